--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use berylhook_backpressure::gate::Gate;
+use berylhook_backpressure::gate::AdmissionGate;
 use berylhook_core::ids::{Incarnation, RequestId};
 use berylhook_core::start_gate::StartGate;
 use berylhook_core::time::MonoMs;
@@ -54,7 +54,7 @@
     pub(crate) target: Arc<dyn Target>,
     pub(crate) lives: Lives,
     /// Whether the target wants rest.
-    pub(crate) pressure: Mutex<Gate>,
+    pub(crate) pressure: Mutex<AdmissionGate>,
     pub(crate) gate: Mutex<StartGate>,
     pub(crate) homes: Mutex<Homes>,
     pub(crate) load: ArcSwap<LoadSample>,
@@ -112,7 +112,7 @@
             incarnation,
             target,
             lives: Lives::new(),
-            pressure: Mutex::new(Gate::default()),
+            pressure: Mutex::new(AdmissionGate::default()),
             gate: Mutex::new(StartGate::new(incarnation, GATE_CAPACITY)),
             homes: Mutex::new(Homes::default()),
             load: ArcSwap::from_pointee(LoadSample {
--- a/crates/agent/src/control/claims.rs
+++ b/crates/agent/src/control/claims.rs
@@ -13,7 +13,7 @@
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
-use berylhook_core::ledger::{Clocks, KEY_SHARDS, Ledger};
+use berylhook_core::ledger::{ClockBounds, KEY_SHARDS, Ledger};
 use berylhook_core::time::WallMs;
 use berylhook_keyvalue::{Compare, EraGate, KeyValue, Kv, KvError, Put, RangeAnswer, Txn, era_of};
 use indexmap::IndexMap;
@@ -230,7 +230,8 @@
         match homes.owned().contains(&shard) {
             true => {}
             false if is_doubtful => {
-                let ledger = Ledger::takeover(Clocks::default(), WallMs::now(), LEDGER_CAPACITY);
+                let ledger =
+                    Ledger::takeover(ClockBounds::default(), WallMs::now(), LEDGER_CAPACITY);
                 homes.claimed(shard, home.claim, ledger);
                 self.doubtful.borrow_mut().swap_remove(&shard);
                 log::info!("home to shard {shard} by a claim whose answer was lost");
@@ -272,7 +273,7 @@
         log::info!(
             "home to shard {shard} of {}, floor {}",
             self.agent.settings.service,
-            ledger.floor_ms().0
+            ledger.low_water_ms().0
         );
         lock(&self.agent.homes).claimed(shard, claim, ledger);
         Ok(())
@@ -364,14 +365,14 @@
 /// nothing, and neither do records that were left in a former era: others may have run keys
 /// since.
 fn ledger_for(state: &ShardState) -> Ledger {
-    let clocks = Clocks::default();
+    let clocks = ClockBounds::default();
     let handover = state.handover.as_ref();
     let moved = handover.and_then(|kv| decode(&kv.value, state.era));
     let may_have_been_home = state.was_claimed || state.era > 0;
     match moved {
         Some(moved) => Ledger::import(clocks, &moved, LEDGER_CAPACITY),
         None if may_have_been_home => Ledger::takeover(clocks, WallMs::now(), LEDGER_CAPACITY),
-        None => Ledger::first(clocks, LEDGER_CAPACITY),
+        None => Ledger::for_new_shard(clocks, LEDGER_CAPACITY),
     }
 }
 
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use berylhook_core::ledger::{Moved, MovedRecord};
+use berylhook_core::ledger::{ExportedRecord, LedgerExport};
 use berylhook_core::time::WallMs;
 use serde::{Deserialize, Serialize};
 
@@ -70,7 +70,7 @@
     status: Option<u16>,
 }
 
-pub(crate) fn encode(moved: &Moved, era: u64) -> Vec<u8> {
+pub(crate) fn encode(moved: &LedgerExport, era: u64) -> Vec<u8> {
     let records = moved
         .records
         .iter()
@@ -83,7 +83,7 @@
         .collect();
     let value = MovedValue {
         era,
-        floor_ms: moved.floor_ms.0,
+        floor_ms: moved.low_water_ms.0,
         records,
     };
     serde_json::to_vec(&value).expect("handover values serialize")
@@ -91,7 +91,7 @@
 
 /// Reads a handover; `None` if it is damaged or of a former era, which counts as none at
 /// all. One that an older copy of the store brought back lacks the runs of whoever took it.
-pub(crate) fn decode(bytes: &[u8], era: u64) -> Option<Moved> {
+pub(crate) fn decode(bytes: &[u8], era: u64) -> Option<LedgerExport> {
     let value: MovedValue = serde_json::from_slice(bytes).ok()?;
     if value.era != era {
         return None;
@@ -100,7 +100,7 @@
         .records
         .into_iter()
         .map(|record| {
-            Some(MovedRecord {
+            Some(ExportedRecord {
                 key: u128::from_str_radix(&record.key, 16).ok()?,
                 issued_ms: WallMs(record.issued_ms),
                 digest: record.digest,
@@ -108,8 +108,8 @@
             })
         })
         .collect::<Option<Vec<_>>>()?;
-    Some(Moved {
-        floor_ms: WallMs(value.floor_ms),
+    Some(LedgerExport {
+        low_water_ms: WallMs(value.floor_ms),
         records,
     })
 }
--- a/crates/agent/src/homes.rs
+++ b/crates/agent/src/homes.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use berylhook_core::lease::HeldLease;
-use berylhook_core::ledger::{Admission, Answer, KeyedRequest, Ledger};
+use berylhook_core::ledger::{Admission, KeyedRequest, Ledger, RecordedResponse};
 use berylhook_core::outcome::Refusal;
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_peer::proto::Keyed;
@@ -50,7 +50,7 @@
 /// What becomes of a keyed order here.
 pub(crate) enum KeyedDecision {
     Run(Recorder),
-    Repeat(Arc<Answer>),
+    Repeat(Arc<RecordedResponse>),
     Unknown,
     NotHome { home: Arc<str> },
     Refused(Refusal),
@@ -73,7 +73,7 @@
     /// The lease was granted or renewed by a call sent at `sent_ms`.
     pub(crate) fn lease_confirmed(&mut self, ttl_ms: u64, sent_ms: MonoMs) {
         match &mut self.lease {
-            Some(lease) => lease.renewed(sent_ms),
+            Some(lease) => lease.on_renewed(sent_ms),
             None => self.lease = Some(HeldLease::granted(ttl_ms, sent_ms)),
         }
     }
@@ -115,7 +115,7 @@
 
     /// Gives the shard up if nothing runs in it; nothing new starts then.
     pub(crate) fn take_idle(&mut self, shard: u32) -> Option<Taken> {
-        let is_idle = !self.shards.get(&shard)?.ledger.has_running();
+        let is_idle = !self.shards.get(&shard)?.ledger.has_running_requests();
         match self.shards.entry(shard) {
             indexmap::map::Entry::Occupied(home) if is_idle => {
                 let home = home.swap_remove();
@@ -129,11 +129,11 @@
     }
 
     fn step(&mut self, shard: u32, request: KeyedRequest, wall_ms: WallMs, now_ms: MonoMs) -> Step {
-        let holds = self.lease.is_some_and(|lease| lease.holds(now_ms));
+        let holds = self.lease.is_some_and(|lease| lease.is_valid(now_ms));
         let Some(home) = self.shards.get_mut(&shard) else {
             return Step::Claim;
         };
-        let admission = match home.ledger.recorded(&request) {
+        let admission = match home.ledger.lookup(&request) {
             Some(known) => known,
             None if holds => home.ledger.admit(request, wall_ms),
             None => {
@@ -208,16 +208,16 @@
 }
 
 impl Recorder {
-    pub(crate) fn finish(self, agent: &Agent, answer: Arc<Answer>) {
+    pub(crate) fn finish(self, agent: &Agent, answer: Arc<RecordedResponse>) {
         self.end(agent, |ledger, key| ledger.finish(key, answer));
     }
 
     pub(crate) fn cut_off(self, agent: &Agent) {
-        self.end(agent, Ledger::cut_off);
+        self.end(agent, Ledger::mark_interrupted);
     }
 
     pub(crate) fn withdraw(self, agent: &Agent) {
-        self.end(agent, Ledger::withdraw);
+        self.end(agent, Ledger::discard_not_run);
     }
 
     fn end(self, agent: &Agent, change: impl FnOnce(&mut Ledger, u128)) {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use berylhook_backpressure::signal::rest_ms;
+use berylhook_backpressure::signal::backoff_ms;
 use berylhook_core::ids::{Incarnation, RequestId};
-use berylhook_core::ledger::Answer as RecordedAnswer;
+use berylhook_core::ledger::RecordedResponse as RecordedAnswer;
 use berylhook_core::outcome::Refusal;
-use berylhook_core::start_gate::Order;
+use berylhook_core::start_gate::RunCommand;
 use berylhook_core::time::MonoMs;
 use berylhook_peer::frame;
 use berylhook_peer::proto::frame::Kind;
@@ -97,7 +97,7 @@
     if let Err(refusal) = admit(agent, id, &start) {
         if !lock(&agent.gate).has_started(id) {
             log::info!("request {id} refused: {}", refusal.as_str());
-            let rest_left_ms = lock(&agent.pressure).rest_left_ms(agent.now_ms());
+            let rest_left_ms = lock(&agent.pressure).backoff_left_ms(agent.now_ms());
             reply.refuse_for(refusal, rest_left_ms.max(RETRY_AFTER_MS));
         }
         return;
@@ -128,7 +128,7 @@
         return Err(Refusal::Busy);
     }
     drop(pressure);
-    let order = Order {
+    let order = RunCommand {
         id,
         for_incarnation: Incarnation(start.for_incarnation),
         start_by_ms: MonoMs(start.start_by_ms),
@@ -324,12 +324,12 @@
     let asks_for_rest = retry_after.filter(|_| answer.status == REFUSED_STATUS);
     let mut pressure = lock(&agent.pressure);
     let Some(value) = asks_for_rest else {
-        pressure.accept(now_ms);
+        pressure.on_accepted(now_ms);
         return;
     };
-    let rest_ms = rest_ms(value.as_bytes());
+    let rest_ms = backoff_ms(value.as_bytes());
     // One agent speaks for the target, so its rest needs no spread.
-    if pressure.rest(rest_ms, 0, now_ms) == 0 {
+    if pressure.start_backoff(rest_ms, 0, now_ms) == 0 {
         log::info!("the target asks for {rest_ms} ms of rest; orders are refused meanwhile");
     }
 }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use berylhook_core::ids::{Incarnation, RequestId};
-use berylhook_core::start_gate::Order;
+use berylhook_core::start_gate::RunCommand;
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{
@@ -124,7 +124,7 @@
 }
 
 fn on_revoke(agent: &Agent, id: RequestId, revoke: &Revoke) -> Revoked {
-    let order = Order {
+    let order = RunCommand {
         id,
         for_incarnation: Incarnation(revoke.for_incarnation),
         start_by_ms: MonoMs(revoke.start_by_ms),
--- a/crates/backpressure/src/ration.rs
+++ b/crates/backpressure/src/allocation.rs
@@ -31,7 +31,7 @@
 
 /// The permits for one target at its home.
 #[derive(Debug)]
-pub struct Ration {
+pub struct Allocation {
     permits: f64,
     filled_ms: MonoMs,
     /// What entries wished for last, and when.
@@ -48,10 +48,10 @@
     held: IndexMap<SocketAddr, u32>,
 }
 
-impl Ration {
+impl Allocation {
     /// A home begins in debt by what a former one may have given out.
     #[must_use]
-    pub fn begin(limit: RequestRate, now_ms: MonoMs) -> Self {
+    pub fn after_takeover(limit: RequestRate, now_ms: MonoMs) -> Self {
         let debt = limit.per_s() * DEBT_MS / MS_PER_S;
         Self {
             permits: -debt,
@@ -66,7 +66,7 @@
 
     /// An entry tells the permits that it has. Once all of `holders` have, their sum takes the
     /// place of the debt.
-    pub fn on_held(&mut self, from: SocketAddr, held: u32, holders: &[SocketAddr]) {
+    pub fn on_held_permits(&mut self, from: SocketAddr, held: u32, holders: &[SocketAddr]) {
         let Some(debt) = &mut self.debt else {
             return;
         };
@@ -117,7 +117,7 @@
     /// How long permits under that limit are valid.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped first
-    pub fn valid_ms(limit: RequestRate) -> u64 {
+    pub fn permit_ttl_ms(limit: RequestRate) -> u64 {
         let out_ms = OUT_AT_ONCE / limit.per_s() * MS_PER_S;
         out_ms.clamp(LEAST_VALID_MS, MOST_VALID_MS) as u64
     }
--- a/crates/backpressure/src/exchange.rs
+++ b/crates/backpressure/src/coordinator.rs
@@ -12,9 +12,9 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
-use crate::messages::{Grant, Wish};
+use crate::allocation::Allocation;
+use crate::messages::{PermitGrant, PermitRequest};
 use crate::rate::RequestRate;
-use crate::ration::Ration;
 
 /// Questions in a row without an answer after which an entry is passed over. One is lost
 /// now and then.
@@ -46,9 +46,9 @@
 
 /// How a question went without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum RequestFailure {
     /// Nothing came in time.
-    Silent,
+    NoReply,
     /// Nobody listens there, or what listens does not know such questions.
     Refused,
 }
@@ -58,22 +58,22 @@
 struct Failures {
     in_a_row: u32,
     last_ms: MonoMs,
-    how: Unanswered,
+    how: RequestFailure,
 }
 
 /// One service's limits, as one entry deals with them.
 #[derive(Debug)]
-pub struct Exchange<T> {
+pub struct PermitCoordinator<T> {
     own: SocketAddr,
     service: u64,
     unanswered: IndexMap<SocketAddr, Failures>,
     heard: IndexMap<SocketAddr, MonoMs>,
-    rations: IndexMap<T, (Ration, MonoMs)>,
+    rations: IndexMap<T, (Allocation, MonoMs)>,
     /// What all were told last.
     told: Vec<(T, Option<RequestRate>)>,
 }
 
-impl<T: Clone + Eq + Hash> Exchange<T> {
+impl<T: Clone + Eq + Hash> PermitCoordinator<T> {
     /// The part of the entry that answers its peers at `own`.
     #[must_use]
     pub fn new(own: SocketAddr, service: &str) -> Self {
@@ -115,11 +115,11 @@
     }
 
     /// An entry did not answer.
-    pub fn on_unanswered(&mut self, member: SocketAddr, how: Unanswered, now_ms: MonoMs) {
+    pub fn on_request_failed(&mut self, member: SocketAddr, how: RequestFailure, now_ms: MonoMs) {
         let before = self.unanswered.get(&member).map_or(0, |it| it.in_a_row);
         let in_a_row = match how {
-            Unanswered::Silent => before + 1,
-            Unanswered::Refused => UNANSWERED_TO_PASS,
+            RequestFailure::NoReply => before + 1,
+            RequestFailure::Refused => UNANSWERED_TO_PASS,
         };
         let last_ms = now_ms;
         self.unanswered.insert(
@@ -133,21 +133,21 @@
     }
 
     /// An entry has sent or answered something.
-    pub fn on_heard(&mut self, member: SocketAddr, now_ms: MonoMs) {
+    pub fn on_received(&mut self, member: SocketAddr, now_ms: MonoMs) {
         self.unanswered.shift_remove(&member);
         self.heard.insert(member, now_ms);
     }
 
     /// An entry, maybe this one, asks for permits; `None` if this one is not home.
-    pub fn on_wishes(
+    pub fn on_permit_requests(
         &mut self,
         from: SocketAddr,
-        wishes: &[Wish<T>],
+        wishes: &[PermitRequest<T>],
         limit_of: impl Fn(&T) -> Option<RequestRate>,
         members: &Members,
         now_ms: MonoMs,
-    ) -> Option<Vec<Grant<T>>> {
-        self.on_heard(from, now_ms);
+    ) -> Option<Vec<PermitGrant<T>>> {
+        self.on_received(from, now_ms);
         if self.home(members, now_ms) != self.own {
             return None;
         }
@@ -160,21 +160,21 @@
             let Some(limit) = limit_of(&wish.target) else {
                 continue;
             };
-            let begun = || (Ration::begin(limit, now_ms), now_ms);
+            let begun = || (Allocation::after_takeover(limit, now_ms), now_ms);
             let (ration, asked_ms) = self
                 .rations
                 .entry(wish.target.clone())
                 .or_insert_with(begun);
             *asked_ms = now_ms;
             if let Some(held) = wish.held {
-                ration.on_held(from, held, &holders);
+                ration.on_held_permits(from, held, &holders);
             }
             let permits = ration.grant(limit, part, (from, wish.requests), now_ms);
             if permits > 0 {
-                grants.push(Grant {
+                grants.push(PermitGrant {
                     target: wish.target.clone(),
                     permits,
-                    valid_ms: Ration::valid_ms(limit),
+                    valid_ms: Allocation::permit_ttl_ms(limit),
                 });
             }
         }
@@ -201,7 +201,7 @@
     fn senders<'a>(&'a self, members: &'a Members) -> impl Iterator<Item = SocketAddr> + 'a {
         let has_ended = |member: &SocketAddr| {
             let failures = self.unanswered.get(member);
-            failures.is_some_and(|failures| failures.how == Unanswered::Refused)
+            failures.is_some_and(|failures| failures.how == RequestFailure::Refused)
         };
         let known = members.known.iter().copied();
         known.filter(move |member| !has_ended(member))
@@ -209,7 +209,7 @@
 
     /// Whom this home tells of the limits: all if any has changed, else those that it does
     /// not hear.
-    pub fn to_tell(
+    pub fn peers_to_notify(
         &mut self,
         limits: Vec<(T, Option<RequestRate>)>,
         members: &Members,
--- a/crates/backpressure/src/gate.rs
+++ b/crates/backpressure/src/gate.rs
@@ -30,24 +30,24 @@
 
 /// Why a target gets no request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Withheld {
+pub enum WithheldReason {
     /// This entry has no permit under the target's limit.
     Limit,
     /// The target asked this entry for rest, or one request tries whether it is over.
-    Rest,
+    Backoff,
     /// The target said that it leaves.
     Leaving,
     /// The target is not listed any more.
     NotListed,
 }
 
-impl Withheld {
+impl WithheldReason {
     /// The name in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Self::Limit => "limit",
-            Self::Rest => "rest",
+            Self::Backoff => "rest",
             Self::Leaving => "leaving",
             Self::NotListed => "not-listed",
         }
@@ -58,20 +58,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
     /// The limit until now, and how long ago the target last said so.
-    pub former: Option<(RequestRate, u64)>,
+    pub previous: Option<(RequestRate, u64)>,
     /// The limit from now on.
     pub limit: Option<RequestRate>,
 }
 
 /// What is new in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SignalNews {
+pub struct SignalUpdate {
     /// The limit has changed.
     pub limit: Option<LimitChange>,
     /// A rest has begun, of that many milliseconds.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
     /// The target said for the first time that it leaves.
-    pub leaves: bool,
+    pub is_newly_leaving: bool,
 }
 
 /// What others should know of a target.
@@ -80,9 +80,9 @@
     /// The limit, or that there is none any more.
     pub limit: Option<RequestRate>,
     /// When the target last said so.
-    pub heard_ms: MonoMs,
+    pub reported_ms: MonoMs,
     /// Requests that this entry would send soon, beyond the permits that it has.
-    pub wished: u32,
+    pub requested: u32,
     /// Permits that it has.
     pub held: u32,
 }
@@ -98,7 +98,7 @@
 /// A request is placed at the target first and admitted when it is about to be sent; it may
 /// wait in between, and the target may have said something else by then.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct AdmissionGate {
     limit: Option<RequestRate>,
     /// When the target last said so; `None` before the first time.
     heard_ms: Option<MonoMs>,
@@ -121,9 +121,9 @@
     demand_ms: MonoMs,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// An answer of the target has come.
-    pub fn hear(&mut self, signal: LimitSignal, now_ms: MonoMs) -> Option<LimitChange> {
+    pub fn on_limit_signal(&mut self, signal: LimitSignal, now_ms: MonoMs) -> Option<LimitChange> {
         let limit = match signal {
             LimitSignal::Absent => None,
             LimitSignal::Named(rate) => Some(rate),
@@ -136,8 +136,8 @@
     /// The target has turned a request of this entry away and wants nothing for so long;
     /// returns how much of a rest was left, so far. A rest that was asked for before is not
     /// shortened: that word still holds.
-    pub fn rest(&mut self, rest_ms: u64, random: u64, now_ms: MonoMs) -> u64 {
-        let left_ms = self.rest_left_ms(now_ms);
+    pub fn start_backoff(&mut self, rest_ms: u64, random: u64, now_ms: MonoMs) -> u64 {
+        let left_ms = self.backoff_left_ms(now_ms);
         let rest_ms = rest_ms.min(MOST_REST_MS);
         let spread_ms = (rest_ms / REST_SPREAD_PART).min(MOST_REST_SPREAD_MS);
         let until_ms = now_ms + rest_ms + random % (spread_ms + 1);
@@ -148,7 +148,7 @@
     }
 
     /// The target has said that it leaves; returns whether that is new.
-    pub fn leave_for_good(&mut self) -> bool {
+    pub fn mark_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
@@ -159,23 +159,23 @@
     }
 
     /// The target has accepted a request; returns whether that ends a trial.
-    pub fn accept(&mut self, now_ms: MonoMs) -> bool {
-        let is_over = self.is_on_trial && self.rest_left_ms(now_ms) == 0;
+    pub fn on_accepted(&mut self, now_ms: MonoMs) -> bool {
+        let is_over = self.is_on_trial && self.backoff_left_ms(now_ms) == 0;
         self.is_on_trial &= !is_over;
         is_over
     }
 
     /// How much longer the target wants nothing from this entry.
     #[must_use]
-    pub fn rest_left_ms(&self, now_ms: MonoMs) -> u64 {
+    pub fn backoff_left_ms(&self, now_ms: MonoMs) -> u64 {
         self.rest_until_ms.since(now_ms)
     }
 
     /// How much longer nothing is sent there: for its rest, or for an answer to the request
     /// that tries it.
     #[must_use]
-    pub fn quiet_left_ms(&self, now_ms: MonoMs) -> u64 {
-        match self.rest_left_ms(now_ms) {
+    pub fn hold_off_left_ms(&self, now_ms: MonoMs) -> u64 {
+        match self.backoff_left_ms(now_ms) {
             0 if self.is_on_trial && self.placed > 0 => TRY_MS,
             0 if self.is_on_trial => self.trial_until_ms.since(now_ms),
             left_ms => left_ms,
@@ -183,7 +183,11 @@
     }
 
     /// Another entry has heard from the target; what is older than known changes nothing.
-    pub fn learn(&mut self, limit: Option<RequestRate>, heard_ms: MonoMs) -> Option<LimitChange> {
+    pub fn on_peer_report(
+        &mut self,
+        limit: Option<RequestRate>,
+        heard_ms: MonoMs,
+    ) -> Option<LimitChange> {
         if self.heard_ms.is_some_and(|known_ms| heard_ms <= known_ms) {
             return None;
         }
@@ -202,7 +206,10 @@
             self.over_told_until_ms = heard_ms + OVER_TOLD_MS;
         }
         self.limit = limit;
-        Some(LimitChange { former, limit })
+        Some(LimitChange {
+            previous: former,
+            limit,
+        })
     }
 
     /// The limit in force.
@@ -213,9 +220,9 @@
 
     /// Whether one more request can be placed.
     #[must_use]
-    pub fn has_room(&self, now_ms: MonoMs) -> bool {
+    pub fn can_place(&self, now_ms: MonoMs) -> bool {
         let has_permit = self.limit.is_none() || self.permits(now_ms) > self.placed;
-        has_permit && !self.is_leaving && self.quiet_left_ms(now_ms) == 0
+        has_permit && !self.is_leaving && self.hold_off_left_ms(now_ms) == 0
     }
 
     /// A request is placed here; [`admit`](Self::admit) or [`leave`](Self::leave) follows.
@@ -224,7 +231,7 @@
     }
 
     /// A placed request goes away unsent.
-    pub fn leave(&mut self) {
+    pub fn cancel_placement(&mut self) {
         self.placed = self.placed.saturating_sub(1);
     }
 
@@ -233,13 +240,13 @@
     /// # Errors
     ///
     /// If it may not be sent now.
-    pub fn admit(&mut self, now_ms: MonoMs) -> Result<(), Withheld> {
-        self.leave();
+    pub fn admit(&mut self, now_ms: MonoMs) -> Result<(), WithheldReason> {
+        self.cancel_placement();
         if self.is_leaving {
-            return Err(Withheld::Leaving);
+            return Err(WithheldReason::Leaving);
         }
-        if self.quiet_left_ms(now_ms) > 0 {
-            return Err(Withheld::Rest);
+        if self.hold_off_left_ms(now_ms) > 0 {
+            return Err(WithheldReason::Backoff);
         }
         if self.limit.is_some() {
             self.take_permit(now_ms)?;
@@ -250,25 +257,25 @@
         Ok(())
     }
 
-    fn take_permit(&mut self, now_ms: MonoMs) -> Result<(), Withheld> {
+    fn take_permit(&mut self, now_ms: MonoMs) -> Result<(), WithheldReason> {
         self.note_demand(now_ms);
         self.permits.retain(|permits| now_ms < permits.until_ms);
-        let permits = self.permits.first_mut().ok_or(Withheld::Limit)?;
+        let permits = self.permits.first_mut().ok_or(WithheldReason::Limit)?;
         permits.count -= 1;
         self.permits.retain(|permits| permits.count > 0);
         Ok(())
     }
 
     /// A request would have been placed here if there were room; returns why there is none.
-    pub fn keep_back(&mut self, now_ms: MonoMs) -> Withheld {
+    pub fn withhold(&mut self, now_ms: MonoMs) -> WithheldReason {
         if self.is_leaving {
-            return Withheld::Leaving;
+            return WithheldReason::Leaving;
         }
-        if self.quiet_left_ms(now_ms) > 0 {
-            return Withheld::Rest;
+        if self.hold_off_left_ms(now_ms) > 0 {
+            return WithheldReason::Backoff;
         }
         self.note_demand(now_ms);
-        Withheld::Limit
+        WithheldReason::Limit
     }
 
     fn note_demand(&mut self, now_ms: MonoMs) {
@@ -277,7 +284,7 @@
     }
 
     /// Permits have come.
-    pub fn grant(&mut self, count: u32, until_ms: MonoMs) {
+    pub fn add_permits(&mut self, count: u32, until_ms: MonoMs) {
         if self.limit.is_some() && count > 0 {
             self.permits.push(Permits { count, until_ms });
         }
@@ -294,8 +301,8 @@
         let held = self.permits(now_ms);
         Some(LimitState {
             limit: self.limit,
-            heard_ms: self.heard_ms.unwrap_or_default(),
-            wished: self.demand.max(at_hand).saturating_sub(held),
+            reported_ms: self.heard_ms.unwrap_or_default(),
+            requested: self.demand.max(at_hand).saturating_sub(held),
             held,
         })
     }
--- a/crates/backpressure/src/lib.rs
+++ b/crates/backpressure/src/lib.rs
@@ -22,13 +22,13 @@
 //! | [`rate`] | a limit in requests a second, within sensible bounds |
 //! | [`signal`] | what one answer says |
 //! | [`gate`] | what one target has said last, and whether it may get a request now |
-//! | [`ration`] | gives out the permits for one target |
-//! | [`exchange`] | who is home, who asks, and who is told |
+//! | [`allocation`] | gives out the permits for one target |
+//! | [`coordinator`] | who is home, who asks, and who is told |
 //! | [`messages`] | what entries tell each other |
 
-pub mod exchange;
+pub mod allocation;
+pub mod coordinator;
 pub mod gate;
 pub mod messages;
 pub mod rate;
-pub mod ration;
 pub mod signal;
--- a/crates/backpressure/src/messages.rs
+++ b/crates/backpressure/src/messages.rs
@@ -22,7 +22,7 @@
 
 /// How many requests an entry would send to a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish<T> {
+pub struct PermitRequest<T> {
     /// The target's incarnation.
     pub target: T,
     /// Requests that it would send soon, beyond the permits that it has.
@@ -34,7 +34,7 @@
 
 /// A question to the home, or news from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question<T> {
+pub struct LimitMessage<T> {
     /// Where the sender answers its peers.
     pub from: SocketAddr,
     /// The service that the targets belong to.
@@ -42,12 +42,13 @@
     /// What the sender knows.
     pub reports: Vec<LimitReport<T>>,
     /// What it would send; empty in news.
-    pub wishes: Vec<Wish<T>>,
+    #[serde(rename = "wishes")]
+    pub permit_requests: Vec<PermitRequest<T>>,
 }
 
 /// Permits for one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant<T> {
+pub struct PermitGrant<T> {
     /// The target's incarnation.
     pub target: T,
     /// Requests that may be sent there.
@@ -58,11 +59,11 @@
 
 /// The answer to a question.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Reply<T> {
+pub struct LimitReply<T> {
     /// Whether the answering entry is home; if not, it grants nothing.
     pub is_home: bool,
     /// What the answering entry knows.
     pub reports: Vec<LimitReport<T>>,
     /// Permits.
-    pub grants: Vec<Grant<T>>,
+    pub grants: Vec<PermitGrant<T>>,
 }
--- a/crates/backpressure/src/signal.rs
+++ b/crates/backpressure/src/signal.rs
@@ -10,7 +10,7 @@
 /// Milliseconds of a `Retry-After`, which is in seconds and may have a fraction. A time
 /// that can't be read is a wish for rest all the same.
 #[must_use]
-pub fn rest_ms(retry_after: &[u8]) -> u64 {
+pub fn backoff_ms(retry_after: &[u8]) -> u64 {
     let text = std::str::from_utf8(retry_after).unwrap_or_default();
     match text.trim().parse::<f64>() {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // positive, saturates
@@ -37,7 +37,7 @@
     /// The limit over all entries.
     pub limit: LimitSignal,
     /// For how long the target wants nothing from this entry; `None` if it does not say.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
     /// Whether the target is about to leave.
     pub is_leaving: bool,
 }
--- a/crates/backpressure/tests/common/mod.rs
+++ b/crates/backpressure/tests/common/mod.rs
@@ -7,9 +7,11 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-use berylhook_backpressure::exchange::{Exchange, Members, Unanswered};
-use berylhook_backpressure::gate::Gate;
-use berylhook_backpressure::messages::{Grant, LimitReport, Question, Reply, Wish};
+use berylhook_backpressure::coordinator::{Members, PermitCoordinator, RequestFailure};
+use berylhook_backpressure::gate::AdmissionGate;
+use berylhook_backpressure::messages::{
+    LimitMessage, LimitReply, LimitReport, PermitGrant, PermitRequest,
+};
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::LimitSignal;
 use berylhook_core::time::MonoMs;
@@ -155,26 +157,26 @@
     Question {
         to: usize,
         number: u64,
-        question: Question<u32>,
+        question: LimitMessage<u32>,
     },
     Reply {
         to: usize,
         from: usize,
         number: u64,
-        reply: Reply<u32>,
+        reply: LimitReply<u32>,
     },
     Unanswered {
         entry: usize,
         of: usize,
         number: u64,
-        how: Unanswered,
+        how: RequestFailure,
     },
 }
 
 #[derive(Debug)]
 struct Entry {
-    gate: Gate,
-    exchange: Exchange<u32>,
+    gate: AdmissionGate,
+    exchange: PermitCoordinator<u32>,
     /// The question that waits for its reply, and when it was sent.
     asked: Option<(u64, u64)>,
     starts: u32,
@@ -232,8 +234,8 @@
     fn new(play: Play) -> Self {
         let mut random = Random(play.seed);
         let entries = (0..play.entries).map(|number| Entry {
-            gate: Gate::default(),
-            exchange: Exchange::new(address(number), "drafts"),
+            gate: AdmissionGate::default(),
+            exchange: PermitCoordinator::new(address(number), "drafts"),
             asked: None,
             starts: 0,
             started_ms: 0,
@@ -290,8 +292,8 @@
             {
                 let asked_ms = self.now_ms;
                 self.entries[entry] = Entry {
-                    gate: Gate::default(),
-                    exchange: Exchange::new(address(entry), "drafts"),
+                    gate: AdmissionGate::default(),
+                    exchange: PermitCoordinator::new(address(entry), "drafts"),
                     asked: None,
                     starts: 1,
                     started_ms: asked_ms,
@@ -411,7 +413,10 @@
             }
             Event::Ask(entry) => self.ask(entry),
             Event::Answer { entry, limit } => {
-                let is_changed = self.entries[entry].gate.hear(limit, now_ms).is_some();
+                let is_changed = self.entries[entry]
+                    .gate
+                    .on_limit_signal(limit, now_ms)
+                    .is_some();
                 if is_changed {
                     self.ask_now(entry);
                 }
@@ -435,9 +440,9 @@
             } => {
                 let asked = &mut self.entries[entry].asked;
                 let is_waited_for = asked.take_if(|(asked, _)| *asked == number).is_some();
-                if is_waited_for || how == Unanswered::Refused {
+                if is_waited_for || how == RequestFailure::Refused {
                     let exchange = &mut self.entries[entry].exchange;
-                    exchange.on_unanswered(address(of), how, now_ms);
+                    exchange.on_request_failed(address(of), how, now_ms);
                 }
                 if is_waited_for {
                     self.ask_now(entry);
@@ -475,11 +480,11 @@
             }
             Way::Permits => {
                 let gate = &mut self.entries[entry].gate;
-                if gate.has_room(now_ms) {
+                if gate.can_place(now_ms) {
                     gate.place();
                     gate.admit(now_ms).is_ok()
                 } else {
-                    gate.keep_back(now_ms);
+                    gate.withhold(now_ms);
                     false
                 }
             }
@@ -531,11 +536,11 @@
         let Some(state) = self.entries[entry].gate.take_state(now_ms) else {
             return;
         };
-        let wishes: Vec<Wish<u32>> = state
+        let wishes: Vec<PermitRequest<u32>> = state
             .limit
-            .map(|_| Wish {
+            .map(|_| PermitRequest {
                 target: TARGET,
-                requests: state.wished,
+                requests: state.requested,
                 held: Some(state.held),
             })
             .into_iter()
@@ -545,8 +550,8 @@
         if home == address(entry) {
             let limit = state.limit;
             let exchange = &mut self.entries[entry].exchange;
-            let grants = exchange.on_wishes(home, &wishes, |_| limit, &members, now_ms);
-            let tell = exchange.to_tell(vec![(TARGET, limit)], &members, now_ms);
+            let grants = exchange.on_permit_requests(home, &wishes, |_| limit, &members, now_ms);
+            let tell = exchange.peers_to_notify(vec![(TARGET, limit)], &members, now_ms);
             self.take_grants(entry, &grants.unwrap_or_default(), self.now_ms);
             for member in tell {
                 let question = self.question(entry, Vec::new());
@@ -563,21 +568,21 @@
         let report = state.map(|state| LimitReport {
             target: TARGET,
             limit: state.limit,
-            age_ms: MonoMs(self.now_ms).since(state.heard_ms),
+            age_ms: MonoMs(self.now_ms).since(state.reported_ms),
         });
         report.into_iter().collect()
     }
 
-    fn question(&self, entry: usize, wishes: Vec<Wish<u32>>) -> Question<u32> {
-        Question {
+    fn question(&self, entry: usize, wishes: Vec<PermitRequest<u32>>) -> LimitMessage<u32> {
+        LimitMessage {
             from: address(entry),
             service: "drafts".into(),
             reports: self.reports(entry),
-            wishes,
+            permit_requests: wishes,
         }
     }
 
-    fn send_question(&mut self, from: usize, to: usize, question: Question<u32>, waits: bool) {
+    fn send_question(&mut self, from: usize, to: usize, question: LimitMessage<u32>, waits: bool) {
         self.order += 1;
         let number = self.order;
         self.outcome.messages += 1;
@@ -585,9 +590,9 @@
             self.entries[from].asked = Some((number, self.now_ms));
         }
         let unanswered = if self.is_killed(to) {
-            Some((Unanswered::Refused, REFUSED_AFTER_MS))
+            Some((RequestFailure::Refused, REFUSED_AFTER_MS))
         } else {
-            waits.then_some((Unanswered::Silent, REPLY_TIMEOUT_MS))
+            waits.then_some((RequestFailure::NoReply, REPLY_TIMEOUT_MS))
         };
         if let Some((how, after_ms)) = unanswered {
             let unanswered = Event::Unanswered {
@@ -616,22 +621,27 @@
         for report in reports {
             let heard_ms = MonoMs(self.now_ms.saturating_sub(report.age_ms));
             let gate = &mut self.entries[entry].gate;
-            is_changed |= gate.learn(report.limit, heard_ms).is_some();
+            is_changed |= gate.on_peer_report(report.limit, heard_ms).is_some();
         }
         if is_changed {
             self.ask_now(entry);
         }
     }
 
-    fn reply(&mut self, to: usize, number: u64, question: &Question<u32>) {
+    fn reply(&mut self, to: usize, number: u64, question: &LimitMessage<u32>) {
         self.take_reports(to, &question.reports);
         let members = self.members(to);
         let now_ms = MonoMs(self.now_ms);
         let limit = self.entries[to].gate.limit();
         let exchange = &mut self.entries[to].exchange;
-        let grants =
-            exchange.on_wishes(question.from, &question.wishes, |_| limit, &members, now_ms);
-        let reply = Reply {
+        let grants = exchange.on_permit_requests(
+            question.from,
+            &question.permit_requests,
+            |_| limit,
+            &members,
+            now_ms,
+        );
+        let reply = LimitReply {
             is_home: grants.is_some(),
             reports: self.reports(to),
             grants: grants.unwrap_or_default(),
@@ -649,9 +659,9 @@
         }
     }
 
-    fn take_reply(&mut self, to: usize, from: usize, number: u64, reply: &Reply<u32>) {
+    fn take_reply(&mut self, to: usize, from: usize, number: u64, reply: &LimitReply<u32>) {
         let now_ms = MonoMs(self.now_ms);
-        self.entries[to].exchange.on_heard(address(from), now_ms);
+        self.entries[to].exchange.on_received(address(from), now_ms);
         let asked = self.entries[to]
             .asked
             .take_if(|(asked, _)| *asked == number);
@@ -661,10 +671,12 @@
         }
     }
 
-    fn take_grants(&mut self, entry: usize, grants: &[Grant<u32>], asked_ms: u64) {
+    fn take_grants(&mut self, entry: usize, grants: &[PermitGrant<u32>], asked_ms: u64) {
         for grant in grants {
             let until_ms = MonoMs(asked_ms + grant.valid_ms);
-            self.entries[entry].gate.grant(grant.permits, until_ms);
+            self.entries[entry]
+                .gate
+                .add_permits(grant.permits, until_ms);
         }
     }
 }
--- a/crates/backpressure/tests/handover.rs
+++ b/crates/backpressure/tests/handover.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use berylhook_backpressure::exchange::{Exchange, Members, Unanswered};
-use berylhook_backpressure::messages::Wish;
+use berylhook_backpressure::coordinator::{Members, PermitCoordinator, RequestFailure};
+use berylhook_backpressure::messages::PermitRequest;
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_core::time::MonoMs;
 
@@ -20,10 +20,10 @@
 }
 
 /// An entry that is home among `entries`, and the others.
-fn home_among(entries: u8) -> (Exchange<u32>, SocketAddr, Vec<SocketAddr>) {
+fn home_among(entries: u8) -> (PermitCoordinator<u32>, SocketAddr, Vec<SocketAddr>) {
     let all: Vec<SocketAddr> = (1..=entries).map(address).collect();
     let members = members(&all);
-    let exchange_of = |own: SocketAddr| Exchange::<u32>::new(own, "drafts");
+    let exchange_of = |own: SocketAddr| PermitCoordinator::<u32>::new(own, "drafts");
     let home = exchange_of(all[0]).home(&members, MonoMs(BEGAN_MS));
     let others = all.into_iter().filter(|it| *it != home).collect();
     (exchange_of(home), home, others)
@@ -38,27 +38,27 @@
 
 /// An entry asks for two requests.
 fn ask(
-    exchange: &mut Exchange<u32>,
+    exchange: &mut PermitCoordinator<u32>,
     all: &[SocketAddr],
     from: SocketAddr,
     held: Option<u32>,
     after_ms: u64,
 ) -> u32 {
-    let wish = Wish {
+    let wish = PermitRequest {
         target: 0,
         requests: 2,
         held,
     };
     let limit = RequestRate::clamped(LIMIT_PER_S);
     let now_ms = MonoMs(BEGAN_MS + after_ms);
-    let grants = exchange.on_wishes(from, &[wish], |_| Some(limit), &members(all), now_ms);
+    let grants = exchange.on_permit_requests(from, &[wish], |_| Some(limit), &members(all), now_ms);
     let grants = grants.expect("it is home");
     grants.iter().map(|grant| grant.permits).sum()
 }
 
 /// What the home itself gets in so long, if nobody else asks any more.
 fn given_within(
-    exchange: &mut Exchange<u32>,
+    exchange: &mut PermitCoordinator<u32>,
     all: &[SocketAddr],
     home: SocketAddr,
     span_ms: u64,
@@ -74,7 +74,7 @@
 fn a_new_home_gives_out_the_limit_at_once_if_nobody_has_permits() {
     let (mut exchange, home, others) = home_among(2);
     let all = [home, others[0]];
-    exchange.on_unanswered(others[0], Unanswered::Refused, MonoMs(BEGAN_MS));
+    exchange.on_request_failed(others[0], RequestFailure::Refused, MonoMs(BEGAN_MS));
 
     let given = given_within(&mut exchange, &all, home, 1_000);
 
--- a/crates/berylhook/src/commands/burn.rs
+++ b/crates/berylhook/src/commands/burn.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use berylhook_core::burn::{Counts, burn_rate};
+use berylhook_core::burn::{SloCounts, burn_rate};
 use berylhook_keyvalue::KeyValue;
 use berylhook_operator::change::Stored;
 use berylhook_operator::document::{CATALOGUE_PREFIX, parse_version_key};
@@ -78,7 +78,7 @@
 
 #[derive(Default)]
 struct Merged {
-    windows: IndexMap<u64, Counts>,
+    windows: IndexMap<u64, SloCounts>,
     first_token: Option<Histogram<u64>>,
     token_gap: Option<Histogram<u64>>,
 }
@@ -168,8 +168,8 @@
     }
 }
 
-fn counts_of(window: &BurnWindow) -> Counts {
-    Counts {
+fn counts_of(window: &BurnWindow) -> SloCounts {
+    SloCounts {
         requests: window.requests,
         failed: window.failed,
         first_tokens: window.first_tokens,
@@ -179,7 +179,11 @@
     }
 }
 
-fn window_report(length_s: u64, counts: &Counts, objectives: Option<&Objectives>) -> WindowReport {
+fn window_report(
+    length_s: u64,
+    counts: &SloCounts,
+    objectives: Option<&Objectives>,
+) -> WindowReport {
     let rate = |bad, all, percent: fn(&Objectives) -> f64| {
         objectives.and_then(|objectives| burn_rate(bad, all, percent(objectives)))
     };
--- a/crates/berylhook/src/serve/attempt.rs
+++ b/crates/berylhook/src/serve/attempt.rs
@@ -1,16 +1,16 @@
 //! One attempt: an order on one link, and the frames that answer it.
 //!
-//! What the frames mean is decided by [`Exchange`]; here they are received,
+//! What the frames mean is decided by [`AttemptState`]; here they are received,
 //! credit is given back, and a revoke is carried to its end.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use berylhook_core::exchange::{Action, Event, Exchange, Verdict};
+use berylhook_core::attempt::{Action, AttemptState, Event, Verdict};
 use berylhook_core::ids::{Incarnation, RequestId};
 use berylhook_core::outcome::{Outcome, Refusal};
-use berylhook_core::route::Sent;
+use berylhook_core::route::SentRequest;
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Cancel, Credit, Data, End, Head, Refused, Revoke, Start};
@@ -56,7 +56,7 @@
     /// Until when the target may be at work on the run; `None` once the agent has told
     /// what became of it, or cannot tell any more.
     runs_until: Option<Instant>,
-    exchange: Exchange,
+    exchange: AttemptState,
     start_by_ms: u64,
     sent_ms: MonoMs,
     deadline: Instant,
@@ -135,8 +135,8 @@
             deadline_after_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             ..order.start.clone()
         };
-        let mut exchange = Exchange::new();
-        let sent = Sent {
+        let mut exchange = AttemptState::new();
+        let sent = SentRequest {
             blocks: &order.blocks,
             is_stream: order.is_stream,
         };
@@ -157,7 +157,7 @@
             awaits_first_data: true,
             home_hint: None,
             retry_after_ms: None,
-            exchange: Exchange::new(),
+            exchange: AttemptState::new(),
             connection,
         };
         if !attempt.connection.send(id, Kind::Start(start)) {
@@ -206,7 +206,7 @@
                     }
                     _ => {}
                 },
-                Action::AskRevoke => {
+                Action::SendRevoke => {
                     let verdict = self.revoke().await;
                     return self.over(verdict);
                 }
@@ -253,7 +253,7 @@
         on_run_end(&self.node, &self.identity, self.clearance.runs_alone(), end);
         Event::End {
             frames: end.frames,
-            whole: end.whole,
+            is_complete: end.whole,
         }
     }
 
@@ -268,7 +268,7 @@
             // "Unknown", or a reason of a newer version: nothing is proved.
             _ => Event::End {
                 frames: 0,
-                whole: false,
+                is_complete: false,
             },
         }
     }
--- a/crates/berylhook/src/serve/burn.rs
+++ b/crates/berylhook/src/serve/burn.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use berylhook_core::burn::{BurnLog, Counts, WINDOWS_S};
+use berylhook_core::burn::{BurnLog, SloCounts, WINDOWS_S};
 use berylhook_core::time::MonoMs;
 use berylhook_operator::Objectives;
 use berylhook_peer::proto::{BurnAnswer, BurnWindow, EntryBurn};
@@ -137,7 +137,7 @@
     }
 
     /// The counts of an entry over the shortest window.
-    pub(crate) fn recent(&self, now_ms: MonoMs) -> Vec<(Arc<str>, Counts)> {
+    pub(crate) fn recent(&self, now_ms: MonoMs) -> Vec<(Arc<str>, SloCounts)> {
         let entries = lock(&self.entries);
         entries
             .iter()
@@ -169,7 +169,7 @@
     }
 }
 
-fn window_message(length_s: u64, counts: &Counts) -> BurnWindow {
+fn window_message(length_s: u64, counts: &SloCounts) -> BurnWindow {
     BurnWindow {
         length_s,
         requests: counts.requests,
@@ -181,7 +181,7 @@
     }
 }
 
-fn counts_of(objectives: &Objectives, failed: bool, times: &RequestTimes) -> Counts {
+fn counts_of(objectives: &Objectives, failed: bool, times: &RequestTimes) -> SloCounts {
     let first_bound_us = objectives.first_token_ms * 1_000;
     let gap_bound_us = objectives.token_gap_ms * 1_000;
     let slow_gaps = times
@@ -192,7 +192,7 @@
     let is_slow = times
         .first_token_us
         .is_some_and(|first_us| first_us > first_bound_us);
-    Counts {
+    SloCounts {
         requests: 1,
         failed: u64::from(failed),
         first_tokens: u64::from(times.first_token_us.is_some()),
--- a/crates/berylhook/src/serve/catalogue.rs
+++ b/crates/berylhook/src/serve/catalogue.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use berylhook_core::versions::Offered;
+use berylhook_core::versions::OfferOutcome;
 use berylhook_operator::catalogue::Item;
 use berylhook_operator::document::Document;
 use berylhook_operator::{Catalogue, DocumentId, ItemKind};
@@ -34,7 +34,7 @@
                 return false;
             }
         };
-        if self.documents.offer(id.clone(), version, body.into()) == Offered::NotNewer {
+        if self.documents.offer(id.clone(), version, body.into()) == OfferOutcome::NotNewer {
             return false;
         }
         match item {
--- a/crates/berylhook/src/serve/collect.rs
+++ b/crates/berylhook/src/serve/collect.rs
@@ -1,7 +1,7 @@
 //! Receiving an answer until it is clear what it is.
 
 use berylhook_caller::{Reply, ReplyBody};
-use berylhook_core::exchange::Verdict;
+use berylhook_core::attempt::Verdict;
 use berylhook_core::outcome::Outcome;
 use berylhook_peer::proto::{Data, Head};
 use bytes::BytesMut;
--- a/crates/berylhook/src/serve/dispatch.rs
+++ b/crates/berylhook/src/serve/dispatch.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::Ordering;
 
 use berylhook_caller::{Call, CallFuture, Gateway, Refused, Reply, ReplyBody};
-use berylhook_core::exchange::Verdict;
+use berylhook_core::attempt::Verdict;
 use berylhook_core::ids::RequestId;
 use berylhook_core::outcome::Outcome;
-use berylhook_core::retry::{self, Next};
+use berylhook_core::retry::{self, RetryDecision};
 use berylhook_operator::{Catalogue, Repeat};
 use berylhook_quarantine::{Clearance, HeldBack};
 use tokio::time::Instant;
@@ -117,7 +117,7 @@
             };
             job.failed.push(target.id);
             job.may_have_run |= verdict.outcome == Outcome::Unknown;
-            if next_step(&job, verdict) == Next::Tell {
+            if next_step(&job, verdict) == RetryDecision::ReportToCaller {
                 let refused = tell(&job, verdict, attempt.retry_after_ms);
                 return Err(job.refuse(refused));
             }
@@ -149,15 +149,15 @@
     }
 }
 
-fn next_step(job: &Job, verdict: Verdict) -> Next {
+fn next_step(job: &Job, verdict: Verdict) -> RetryDecision {
     let verdict = Verdict {
         // Nothing of a collected answer has reached the caller.
         begun: false,
         ..verdict
     };
     if Instant::now() >= job.order.deadline {
-        return Next::Tell;
+        return RetryDecision::ReportToCaller;
     }
     let mut budget = lock(&job.service.budget);
-    retry::after(verdict, true, job.attempts, &mut budget)
+    retry::decide(verdict, true, job.attempts, &mut budget)
 }
--- a/crates/berylhook/src/serve/fleet.rs
+++ b/crates/berylhook/src/serve/fleet.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use berylhook_core::retry::RetryBudget;
-use berylhook_core::route::{Availability, Query, RouteConfig, Router, Sent, TargetId, subset};
+use berylhook_core::route::{
+    Availability, RouteConfig, RouteQuery, Router, SentRequest, TargetId, subset,
+};
 use berylhook_core::time::MonoMs;
 use berylhook_keyvalue::{Vm, VmState};
 use berylhook_operator::Repeat;
@@ -75,7 +77,7 @@
         exclude: &[TargetId],
         now_ms: MonoMs,
     ) -> Option<Arc<Target>> {
-        let query = Query { blocks, exclude };
+        let query = RouteQuery { blocks, exclude };
         let id = lock(&self.router).pick(&query, now_ms, &mut rand::random::<u64>)?;
         lock(&self.targets).get(&id).cloned()
     }
@@ -115,7 +117,7 @@
     }
 
     /// An order was sent.
-    pub(crate) fn on_dispatch(&self, sent: &Sent<'_>, now_ms: MonoMs) {
+    pub(crate) fn on_dispatch(&self, sent: &SentRequest<'_>, now_ms: MonoMs) {
         lock(&self.service.router).on_dispatch(self.id, sent, now_ms);
     }
 
@@ -130,7 +132,7 @@
     /// The order sent at `sent_ms` ended.
     pub(crate) fn on_end(&self, sent_ms: MonoMs) {
         if let Some(load) = lock(&self.service.router).load_mut(self.id) {
-            load.on_end(sent_ms, self.node.now_ms());
+            load.on_request_end(sent_ms, self.node.now_ms());
         }
     }
 
@@ -168,7 +170,7 @@
             let as_of_ms = MonoMs(now_ms.0.saturating_sub(load.age_ms));
             let mut router = lock(&self.service.router);
             if let Some(known) = router.load_mut(self.id) {
-                known.on_report(load.running, load.waiting, load.slots, as_of_ms);
+                known.on_load_report(load.running, load.waiting, load.slots, as_of_ms);
             }
         }
     }
--- a/crates/berylhook/src/serve/keyed.rs
+++ b/crates/berylhook/src/serve/keyed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use berylhook_caller::{IdempotencyKey, Refused, Reply};
-use berylhook_core::exchange::Verdict;
+use berylhook_core::attempt::Verdict;
 use berylhook_core::ledger::shard_of;
 use berylhook_core::outcome::{Outcome, Refusal};
 use berylhook_peer::proto::Keyed;
@@ -103,7 +103,10 @@
 
 impl Outlook {
     fn decide(&self) -> Decision {
-        let helps = self.verdict.refusal.is_none_or(Refusal::elsewhere_helps);
+        let helps = self
+            .verdict
+            .refusal
+            .is_none_or(Refusal::is_retryable_elsewhere);
         match self.verdict.outcome {
             Outcome::Done => Decision::Tell,
             // Asking another agent now would only be answered by its floor.
--- a/crates/berylhook/src/serve/limits.rs
+++ b/crates/berylhook/src/serve/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use berylhook_caller::{Call, Reason, Refused};
-use berylhook_core::limit::{Grant, Holder, ShareConfig, TokenBucket};
+use berylhook_core::limit::{GrantedShare, ShareConfig, ShareHolder, TokenBucket};
 use berylhook_core::time::MonoMs;
 use berylhook_operator::Catalogue;
 use berylhook_operator::catalogue::Limits;
@@ -42,7 +42,7 @@
 struct Limited {
     unit: Unit,
     limit: f64,
-    holder: Holder,
+    holder: ShareHolder,
     bucket: TokenBucket,
     in_use: u32,
     /// Units wanted since the last question, refused ones included.
@@ -82,7 +82,7 @@
         Self {
             unit,
             limit,
-            holder: Holder::new(),
+            holder: ShareHolder::new(),
             bucket: TokenBucket::new(0.0, now_ms),
             in_use: 0,
             wanted: 0.0,
@@ -96,7 +96,7 @@
 
     /// This process's piece of the static part.
     fn own(&self, entries: f64) -> f64 {
-        self.limit * ShareConfig::default().static_part / entries.max(1.0)
+        self.limit * ShareConfig::default().static_fraction / entries.max(1.0)
     }
 
     /// Admits one request, or says when to come back.
@@ -239,8 +239,8 @@
                     limit: name.to_string(),
                     demand: limited.demand,
                     in_use: above_own.max(0.0),
-                    confirmed: limited.holder.confirmed(),
-                    asked: limited.holder.ask(now_ms),
+                    confirmed: limited.holder.confirmed_seq(),
+                    asked: limited.holder.begin_request(now_ms),
                 }
             })
             .collect()
@@ -251,9 +251,9 @@
         let mut limits = lock(&self.limits);
         for grant in grants {
             if let Some(limited) = limits.get_mut(grant.limit.as_str()) {
-                limited.holder.on_grant(&Grant {
+                limited.holder.on_grant(&GrantedShare {
                     epoch: grant.epoch,
-                    asked: grant.asked,
+                    request_seq: grant.asked,
                     share: grant.share,
                     valid_ms: grant.valid_ms,
                 });
--- a/crates/berylhook/src/serve/link.rs
+++ b/crates/berylhook/src/serve/link.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use berylhook_core::ids::{Incarnation, RequestId};
-use berylhook_core::liveness::{Check, LinkHealth, LivenessConfig, redial_after_ms};
+use berylhook_core::liveness::{LinkHealth, LivenessAction, LivenessConfig, redial_delay_ms};
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Frame, Ping, Pong};
@@ -155,7 +155,7 @@
                 }
                 Err(error) => log::debug!("agent {} cannot be reached: {error}", self.agent),
             }
-            let wait_ms = redial_after_ms(&config, attempt, rand::random());
+            let wait_ms = redial_delay_ms(&config, attempt, rand::random());
             attempt += 1;
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         }
@@ -297,11 +297,11 @@
         let mut health = LinkHealth::new(LivenessConfig::default(), node.now_ms());
         loop {
             tokio::time::sleep(CHECK_EVERY).await;
-            health.heard(MonoMs(connection.heard_ms.load(Ordering::Relaxed)));
+            health.on_received(MonoMs(connection.heard_ms.load(Ordering::Relaxed)));
             match health.check(self.is_idle(), node.now_ms()) {
-                Check::Wait => {}
-                Check::Ping => ping(node, connection),
-                Check::GiveUp => return,
+                LivenessAction::Wait => {}
+                LivenessAction::Ping => ping(node, connection),
+                LivenessAction::Reconnect => return,
             }
         }
     }
--- a/crates/berylhook/src/serve/refusals.rs
+++ b/crates/berylhook/src/serve/refusals.rs
@@ -1,7 +1,7 @@
 //! Final answers other than the target's own, and when they are due.
 
 use berylhook_caller::{Reason, Refused};
-use berylhook_core::exchange::Verdict;
+use berylhook_core::attempt::Verdict;
 use berylhook_core::outcome::{Outcome, Refusal};
 use berylhook_core::time::MonoMs;
 use berylhook_quarantine::{Asking, HeldBack};
--- a/crates/berylhook/src/serve/shares.rs
+++ b/crates/berylhook/src/serve/shares.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use berylhook_core::lease::HeldLease;
-use berylhook_core::limit::{Ask, Home, ShareConfig};
+use berylhook_core::limit::{LimitHome, ShareConfig, ShareRequest};
 use berylhook_core::time::MonoMs;
 use berylhook_keyvalue::{Compare, EraGate, KvError, Put, Txn, Vm, VmState, era_of};
 use berylhook_operator::document::LIMITS_HOME_KEY;
@@ -73,7 +73,7 @@
     lease_id: i64,
     lease: HeldLease,
     taken_ms: MonoMs,
-    homes: IndexMap<String, Home>,
+    homes: IndexMap<String, LimitHome>,
     /// When each entry last asked.
     asked_ms: IndexMap<String, MonoMs>,
 }
@@ -180,7 +180,7 @@
                 .get(&*vm.name)
                 .is_some_and(|asked| now_ms.since(*asked) <= UNANIMOUS_WITHIN_MS)
         };
-        self.lease.holds(now_ms) || live_entries(listed).all(has_asked)
+        self.lease.is_valid(now_ms) || live_entries(listed).all(has_asked)
     }
 
     fn grants(
@@ -195,23 +195,23 @@
             .filter_map(|demand| {
                 let limit = control.node.limiter.limit_of(&demand.limit)?;
                 let home = self.homes.entry(demand.limit.clone()).or_insert_with(|| {
-                    Home::takeover(ShareConfig::default(), limit, epoch, taken_ms)
+                    LimitHome::takeover(ShareConfig::default(), limit, epoch, taken_ms)
                 });
                 home.set_limit(limit);
-                let ask = Ask {
+                let ask = ShareRequest {
                     holder: question.holder,
-                    asked: demand.asked,
+                    request_seq: demand.asked,
                     demand: demand.demand,
                     in_use: demand.in_use,
-                    confirmed: Some(demand.confirmed).filter(|asked| *asked > 0),
+                    confirmed_seq: Some(demand.confirmed).filter(|asked| *asked > 0),
                 };
-                let grant = home.on_ask(&ask, now_ms);
+                let grant = home.on_request(&ask, now_ms);
                 Some(ShareGrant {
                     limit: demand.limit.clone(),
                     share: grant.share,
                     epoch: grant.epoch,
                     valid_ms: grant.valid_ms,
-                    asked: grant.asked,
+                    asked: grant.request_seq,
                 })
             })
             .collect()
@@ -232,7 +232,7 @@
         match control.key_value.renew(lease_id).await {
             Ok(_) => {
                 if let Some(split) = &mut control.shares.state.borrow_mut().home {
-                    split.lease.renewed(now_ms);
+                    split.lease.on_renewed(now_ms);
                 }
             }
             Err(KvError::LeaseGone) => {
--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -3,9 +3,11 @@
 use std::hint::black_box;
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
-use berylhook_core::ledger::{Clocks, KeyedRequest, Ledger};
+use berylhook_core::ledger::{ClockBounds, KeyedRequest, Ledger};
 use berylhook_core::quarantine::{End, Quarantine, Suspect};
-use berylhook_core::route::{Availability, Query, RouteConfig, Router, TargetId, prefix_blocks};
+use berylhook_core::route::{
+    Availability, RouteConfig, RouteQuery, Router, TargetId, prefix_blocks,
+};
 use berylhook_core::time::{MonoMs, WallMs};
 use criterion::{Criterion, criterion_group, criterion_main};
 
@@ -16,7 +18,7 @@
         for id in 0..targets {
             router.set_availability(TargetId(id), Availability::Up);
         }
-        let query = Query {
+        let query = RouteQuery {
             blocks: &blocks,
             exclude: &[],
         };
@@ -34,7 +36,7 @@
 }
 
 fn ledger(criterion: &mut Criterion) {
-    let mut ledger = Ledger::first(Clocks::default(), 16_384);
+    let mut ledger = Ledger::for_new_shard(ClockBounds::default(), 16_384);
     let mut number = 0;
     criterion.bench_function("admit and end one keyed request", |bencher| {
         bencher.iter(|| {
@@ -45,7 +47,7 @@
                 digest: number,
             };
             let admission = ledger.admit(request, WallMs(u64::MAX / 2));
-            ledger.cut_off(request.key);
+            ledger.mark_interrupted(request.key);
             black_box(admission)
         });
     });
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -10,7 +10,7 @@
 use std::collections::{BinaryHeap, HashSet, VecDeque};
 use std::time::Instant;
 
-use berylhook_core::route::{Availability, Query, RouteConfig, Router, Sent, TargetId};
+use berylhook_core::route::{Availability, RouteConfig, RouteQuery, Router, SentRequest, TargetId};
 use berylhook_core::time::MonoMs;
 
 const ENTRIES: usize = 4;
@@ -138,7 +138,7 @@
                     router.set_availability(id, Availability::Up);
                     // A link is up only once the first report has come.
                     if let Some(load) = router.load_mut(id) {
-                        load.on_report(0, 0, SLOTS as u32, MonoMs(0));
+                        load.on_load_report(0, 0, SLOTS as u32, MonoMs(0));
                     }
                 }
                 router
@@ -246,7 +246,7 @@
         let engine = self.pick(&job, now_ms);
         let id = TargetId(engine as u32);
         self.in_flight[job.entry][engine] += 1;
-        let sent = Sent {
+        let sent = SentRequest {
             blocks: &job.blocks,
             is_stream: true,
         };
@@ -280,7 +280,7 @@
             Policy::PrefixOnly => (job.blocks[0] >> 32) as usize * 7_919 % count,
             Policy::Ours => {
                 let random = &mut self.random;
-                let query = Query {
+                let query = RouteQuery {
                     blocks: &job.blocks,
                     exclude: &[],
                 };
@@ -336,7 +336,7 @@
         self.in_flight[entry][engine] -= 1;
         let id = TargetId(engine as u32);
         if let Some(load) = self.routers[entry].load_mut(id) {
-            load.on_end(MonoMs(sent_ms), MonoMs(now_ms));
+            load.on_request_end(MonoMs(sent_ms), MonoMs(now_ms));
         }
         self.start(engine, now_ms);
     }
@@ -362,7 +362,7 @@
                         continue;
                     }
                     if let Some(load) = router.load_mut(TargetId(engine as u32)) {
-                        load.on_report(*running, *waiting, SLOTS as u32, MonoMs(taken_ms));
+                        load.on_load_report(*running, *waiting, SLOTS as u32, MonoMs(taken_ms));
                     }
                 }
             }
@@ -433,7 +433,7 @@
         let began = Instant::now();
         for round in 0..rounds {
             let blocks = &prompts[round % prompts.len()];
-            let query = Query {
+            let query = RouteQuery {
                 blocks,
                 exclude: &[],
             };
@@ -441,15 +441,15 @@
                 .pick(&query, MonoMs(round as u64), &mut || random.next())
                 .expect("engines are up");
             if round % 8 == 0 {
-                let sent = Sent {
+                let sent = SentRequest {
                     blocks,
                     is_stream: true,
                 };
                 router.on_dispatch(picked, &sent, MonoMs(round as u64));
                 if let Some(load) = router.load_mut(picked) {
                     load.on_first_token(MonoMs(round as u64), MonoMs(round as u64 + 1));
-                    load.on_end(MonoMs(round as u64), MonoMs(round as u64 + 1));
-                    load.on_report(1, 0, 16, MonoMs(round as u64));
+                    load.on_request_end(MonoMs(round as u64), MonoMs(round as u64 + 1));
+                    load.on_load_report(1, 0, 16, MonoMs(round as u64));
                 }
             }
         }
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/attempt.rs
@@ -1,6 +1,6 @@
 //! What one dispatched attempt means to its caller.
 //!
-//! The entry feeds every event of an attempt into an [`Exchange`] and does
+//! The entry feeds every event of an attempt into an [`AttemptState`] and does
 //! what it says. The rules:
 //!
 //! - Data frames are numbered. The next number is delivered, an earlier one
@@ -14,7 +14,7 @@
 //! - Everything else that ends without an answer is unknown.
 
 use crate::outcome::{Outcome, Refusal};
-use crate::start_gate::RevokeAnswer;
+use crate::start_gate::RevokeReply;
 
 /// Something that happened to the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,14 +33,14 @@
         /// Data frames the agent sent in all.
         frames: u64,
         /// Whether the target's own answer was whole.
-        whole: bool,
+        is_complete: bool,
     },
     /// The agent refused the order.
     Refused(Refusal),
     /// The connection to the agent is gone.
     LinkLost,
     /// The agent answered a revoke.
-    Revoke(RevokeAnswer),
+    Revoke(RevokeReply),
     /// The revoke could not be settled in time.
     RevokeTimedOut,
     /// The caller's deadline passed.
@@ -57,7 +57,7 @@
     /// Late, duplicate or foreign: drop it and count it.
     Drop,
     /// Ask the agent to revoke the order.
-    AskRevoke,
+    SendRevoke,
     /// The attempt is over.
     Finish(Verdict),
 }
@@ -84,18 +84,18 @@
 
 /// The state of one attempt.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct AttemptState {
     phase: Phase,
     next_seq: u64,
 }
 
-impl Default for Exchange {
+impl Default for AttemptState {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Exchange {
+impl AttemptState {
     /// An attempt that has not been sent.
     #[must_use]
     pub fn new() -> Self {
@@ -123,15 +123,21 @@
             // began, or its record of the key is gone.
             (Phase::Sent, Event::End { .. }) => self.finish(Outcome::Unknown, None),
             (Phase::Answering, Event::Data { seq }) => self.data(seq),
-            (Phase::Answering, Event::End { frames, whole }) => self.end(frames, whole),
+            (
+                Phase::Answering,
+                Event::End {
+                    frames,
+                    is_complete,
+                },
+            ) => self.end(frames, is_complete),
             (Phase::Sent, Event::LinkLost | Event::DeadlinePassed) => {
                 self.phase = Phase::Revoking;
-                Action::AskRevoke
+                Action::SendRevoke
             }
             (Phase::Answering, Event::LinkLost | Event::DeadlinePassed) => {
                 self.finish(Outcome::Unknown, None)
             }
-            (Phase::Revoking, Event::Revoke(RevokeAnswer::WillNotRun)) => {
+            (Phase::Revoking, Event::Revoke(RevokeReply::WillNotRun)) => {
                 self.finish(Outcome::NotRun, None)
             }
             (Phase::Revoking, Event::Revoke(_) | Event::RevokeTimedOut) => {
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -23,7 +23,7 @@
 
 /// Counts of good and bad events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SloCounts {
     /// Requests that ended, but for those refused by the caller's own fault
     /// or limit.
     pub requests: u64,
@@ -39,7 +39,7 @@
     pub slow_gaps: u64,
 }
 
-impl Counts {
+impl SloCounts {
     /// Adds another's counts to these.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
@@ -89,14 +89,14 @@
     }
 
     /// Adds counts at `now_ms`.
-    pub fn record(&mut self, counts: &Counts, now_ms: MonoMs) {
+    pub fn record(&mut self, counts: &SloCounts, now_ms: MonoMs) {
         self.fine.record(counts, now_ms);
         self.coarse.record(counts, now_ms);
     }
 
     /// The counts of the last `window_s` seconds.
     #[must_use]
-    pub fn window(&self, window_s: u64, now_ms: MonoMs) -> Counts {
+    pub fn window(&self, window_s: u64, now_ms: MonoMs) -> SloCounts {
         let window_ms = window_s * 1_000;
         if window_ms <= FINE_SLOT_MS * FINE_SLOTS as u64 {
             self.fine.window(window_ms, now_ms)
@@ -110,7 +110,7 @@
 struct Slot {
     /// Which stretch of time the slot holds; slots are reused in turn.
     number: u64,
-    counts: Counts,
+    counts: SloCounts,
 }
 
 #[derive(Debug)]
@@ -127,23 +127,23 @@
         }
     }
 
-    fn record(&mut self, counts: &Counts, now_ms: MonoMs) {
+    fn record(&mut self, counts: &SloCounts, now_ms: MonoMs) {
         let number = now_ms.0 / self.slot_ms + 1;
         let index = self.index(number);
         let slot = &mut self.slots[index];
         if slot.number != number {
             *slot = Slot {
                 number,
-                counts: Counts::default(),
+                counts: SloCounts::default(),
             };
         }
         slot.counts.add(counts);
     }
 
-    fn window(&self, window_ms: u64, now_ms: MonoMs) -> Counts {
+    fn window(&self, window_ms: u64, now_ms: MonoMs) -> SloCounts {
         let newest = now_ms.0 / self.slot_ms + 1;
         let oldest = newest.saturating_sub(window_ms / self.slot_ms) + 1;
-        let mut sum = Counts::default();
+        let mut sum = SloCounts::default();
         for slot in &self.slots {
             if (oldest..=newest).contains(&slot.number) {
                 sum.add(&slot.counts);
--- a/crates/core/src/era_guard.rs
+++ b/crates/core/src/era_guard.rs
@@ -31,11 +31,11 @@
 
 /// Whether a claim may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EraVerdict {
+pub enum ClaimDecision {
     /// It may; the mark stands in the store.
-    Settled,
+    Allow,
     /// It may, and the mark is to be left.
-    LeaveMark,
+    AllowAndMark,
     /// Leases of the era before may still be acted on.
     Wait,
 }
@@ -53,20 +53,20 @@
     }
 
     /// Decides on a claim: the store told this era, and the mark that stands in it.
-    pub fn decide(&mut self, era: u64, mark: Option<u64>, now_ms: MonoMs) -> EraVerdict {
+    pub fn decide(&mut self, era: u64, mark: Option<u64>, now_ms: MonoMs) -> ClaimDecision {
         if era > self.era {
             self.era = era;
             self.since_ms = now_ms;
             self.is_settled = false;
         }
         match mark {
-            _ if self.is_settled => EraVerdict::Settled,
+            _ if self.is_settled => ClaimDecision::Allow,
             Some(mark) if mark == self.era => {
                 self.is_settled = true;
-                EraVerdict::Settled
+                ClaimDecision::Allow
             }
-            _ if now_ms.since(self.since_ms) > self.lease_ms => EraVerdict::LeaveMark,
-            _ => EraVerdict::Wait,
+            _ if now_ms.since(self.since_ms) > self.lease_ms => ClaimDecision::AllowAndMark,
+            _ => ClaimDecision::Wait,
         }
     }
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -30,14 +30,14 @@
             ttl_ms,
             valid_until_ms: MonoMs(0),
         };
-        lease.renewed(sent_ms);
+        lease.on_renewed(sent_ms);
         lease
     }
 
     /// A renewal sent at `sent_ms` was confirmed.
     ///
     /// A confirmation of an older renewal that arrives late extends nothing.
-    pub fn renewed(&mut self, sent_ms: MonoMs) {
+    pub fn on_renewed(&mut self, sent_ms: MonoMs) {
         let margin_ms = self.ttl_ms / DRIFT_PARTS + 1;
         let until_ms = sent_ms + self.ttl_ms.saturating_sub(margin_ms);
         self.valid_until_ms = self.valid_until_ms.max(until_ms);
@@ -51,7 +51,7 @@
 
     /// Whether the holder may still act.
     #[must_use]
-    pub fn holds(&self, now_ms: MonoMs) -> bool {
+    pub fn is_valid(&self, now_ms: MonoMs) -> bool {
         now_ms < self.valid_until_ms
     }
 
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -7,9 +7,9 @@
 //! never run.
 //!
 //! Keys carry their issue time (`UUIDv7`). A home accepts a key only if its
-//! issue time is at most [`Clocks::caller_ahead_ms`] ahead of the home's own
+//! issue time is at most [`ClockBounds::max_caller_skew_ms`] ahead of the home's own
 //! wall clock. A successor sets its floor to its own wall clock plus that
-//! allowance plus [`Clocks::agents_apart_ms`]. Every key that any former home
+//! allowance plus [`ClockBounds::max_agent_skew_ms`]. Every key that any former home
 //! ever accepted is then at or below the floor, including one it accepted,
 //! was frozen on, and runs only after waking. No assumption is made about
 //! the callers' clocks, only about the agents'.
@@ -40,18 +40,18 @@
 
 /// What is assumed of wall clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Clocks {
+pub struct ClockBounds {
     /// How far ahead of the home a key's issue time may be.
-    pub caller_ahead_ms: u64,
+    pub max_caller_skew_ms: u64,
     /// How far apart two agents' wall clocks may be.
-    pub agents_apart_ms: u64,
+    pub max_agent_skew_ms: u64,
 }
 
-impl Default for Clocks {
+impl Default for ClockBounds {
     fn default() -> Self {
         Self {
-            caller_ahead_ms: 500,
-            agents_apart_ms: 500,
+            max_caller_skew_ms: 500,
+            max_agent_skew_ms: 500,
         }
     }
 }
@@ -69,7 +69,7 @@
 
 /// A recorded answer, shared with whoever repeats the key.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct RecordedResponse {
     /// HTTP status of the target's answer.
     pub status: u16,
     /// Content type of the target's answer.
@@ -86,7 +86,7 @@
     /// The first run has not ended.
     InProgress,
     /// The first run ended with this answer.
-    Repeat(Arc<Answer>),
+    Repeat(Arc<RecordedResponse>),
     /// The first run was cut off, or may have happened where no record is.
     Unknown,
     /// The key's issue time is ahead of the clock: nothing ran.
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 enum State {
     Running,
-    Finished(Arc<Answer>),
+    Finished(Arc<RecordedResponse>),
     CutOff,
 }
 
@@ -112,7 +112,7 @@
 /// The records of one shard under one epoch of its home.
 #[derive(Debug)]
 pub struct Ledger {
-    clocks: Clocks,
+    clocks: ClockBounds,
     floor_ms: WallMs,
     capacity: usize,
     records: IndexMap<u128, Record>,
@@ -129,7 +129,7 @@
 /// A record on its way from one home to the next. The answer's body stays
 /// behind: a repeat at the new home learns the outcome only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MovedRecord {
+pub struct ExportedRecord {
     /// The idempotency key.
     pub key: u128,
     /// The issue time it carries.
@@ -142,11 +142,11 @@
 
 /// Everything a planned move hands over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Moved {
+pub struct LedgerExport {
     /// Keys issued at or before this without a record have an unknown past.
-    pub floor_ms: WallMs,
+    pub low_water_ms: WallMs,
     /// The records.
-    pub records: Vec<MovedRecord>,
+    pub records: Vec<ExportedRecord>,
 }
 
 impl Ledger {
@@ -154,28 +154,28 @@
     ///
     /// `capacity` bounds the records kept; 0 is taken as 1.
     #[must_use]
-    pub fn takeover(clocks: Clocks, wall_ms: WallMs, capacity: usize) -> Self {
-        let floor_ms = wall_ms + clocks.caller_ahead_ms + clocks.agents_apart_ms;
+    pub fn takeover(clocks: ClockBounds, wall_ms: WallMs, capacity: usize) -> Self {
+        let floor_ms = wall_ms + clocks.max_caller_skew_ms + clocks.max_agent_skew_ms;
         Self::with_floor(clocks, floor_ms, capacity)
     }
 
     /// The ledger of a shard that is proved never to have had a home.
     #[must_use]
-    pub fn first(clocks: Clocks, capacity: usize) -> Self {
+    pub fn for_new_shard(clocks: ClockBounds, capacity: usize) -> Self {
         Self::with_floor(clocks, WallMs(0), capacity)
     }
 
     /// The ledger of a home that the former home handed its records to.
     #[must_use]
-    pub fn import(clocks: Clocks, moved: &Moved, capacity: usize) -> Self {
-        let mut ledger = Self::with_floor(clocks, moved.floor_ms, capacity);
+    pub fn import(clocks: ClockBounds, moved: &LedgerExport, capacity: usize) -> Self {
+        let mut ledger = Self::with_floor(clocks, moved.low_water_ms, capacity);
         for record in &moved.records {
             ledger.import_record(*record);
         }
         ledger
     }
 
-    fn with_floor(clocks: Clocks, floor_ms: WallMs, capacity: usize) -> Self {
+    fn with_floor(clocks: ClockBounds, floor_ms: WallMs, capacity: usize) -> Self {
         Self {
             clocks,
             floor_ms,
@@ -185,9 +185,9 @@
         }
     }
 
-    fn import_record(&mut self, moved: MovedRecord) {
+    fn import_record(&mut self, moved: ExportedRecord) {
         let state = match moved.status {
-            Some(status) => State::Finished(Arc::new(Answer {
+            Some(status) => State::Finished(Arc::new(RecordedResponse {
                 status,
                 content_type: String::new(),
                 body: None,
@@ -213,7 +213,7 @@
     /// Only to be called when nothing is running, after which this ledger
     /// must admit nothing any more.
     #[must_use]
-    pub fn export(mut self, most: usize) -> Moved {
+    pub fn export(mut self, most: usize) -> LedgerExport {
         while self.evictable.len() > most {
             self.evict();
         }
@@ -222,15 +222,15 @@
             .iter()
             .filter_map(|at| self.records.get(&at.key).map(|record| record.moved(at.key)))
             .collect();
-        Moved {
-            floor_ms: self.floor_ms,
+        LedgerExport {
+            low_water_ms: self.floor_ms,
             records,
         }
     }
 
     /// Whether a first run has not ended.
     #[must_use]
-    pub fn has_running(&self) -> bool {
+    pub fn has_running_requests(&self) -> bool {
         self.evictable.len() < self.records.len()
     }
 
@@ -238,7 +238,7 @@
     ///
     /// A home whose right has lapsed may still say what it knows.
     #[must_use]
-    pub fn recorded(&self, request: &KeyedRequest) -> Option<Admission> {
+    pub fn lookup(&self, request: &KeyedRequest) -> Option<Admission> {
         self.records
             .get(&request.key)
             .map(|record| record.answer_repeat(request.digest))
@@ -246,7 +246,7 @@
 
     /// Keys issued at or before this have an unknown past.
     #[must_use]
-    pub fn floor_ms(&self) -> WallMs {
+    pub fn low_water_ms(&self) -> WallMs {
         self.floor_ms
     }
 
@@ -266,11 +266,11 @@
     ///
     /// The caller has checked just before that its lease on the shard holds.
     pub fn admit(&mut self, request: KeyedRequest, wall_ms: WallMs) -> Admission {
-        if let Some(known) = self.recorded(&request) {
+        if let Some(known) = self.lookup(&request) {
             return known;
         }
         match request.issued_ms {
-            issued if issued > wall_ms + self.clocks.caller_ahead_ms => Admission::FromFuture,
+            issued if issued > wall_ms + self.clocks.max_caller_skew_ms => Admission::FromFuture,
             issued if issued <= self.floor_ms => Admission::Unknown,
             _ => self.record_run(request),
         }
@@ -298,12 +298,12 @@
     }
 
     /// Records the whole answer of a run.
-    pub fn finish(&mut self, key: u128, answer: Arc<Answer>) {
+    pub fn finish(&mut self, key: u128, answer: Arc<RecordedResponse>) {
         self.end(key, State::Finished(answer));
     }
 
     /// Records that a run was cut off with its effect unknown.
-    pub fn cut_off(&mut self, key: u128) {
+    pub fn mark_interrupted(&mut self, key: u128) {
         self.end(key, State::CutOff);
     }
 
@@ -322,7 +322,7 @@
     }
 
     /// Forgets a run that is proved not to have reached the target.
-    pub fn withdraw(&mut self, key: u128) {
+    pub fn discard_not_run(&mut self, key: u128) {
         self.records.swap_remove(&key);
     }
 
@@ -338,12 +338,12 @@
 }
 
 impl Record {
-    fn moved(&self, key: u128) -> MovedRecord {
+    fn moved(&self, key: u128) -> ExportedRecord {
         let status = match &self.state {
             State::Finished(answer) => Some(answer.status),
             State::Running | State::CutOff => None,
         };
-        MovedRecord {
+        ExportedRecord {
             key,
             issued_ms: self.issued_ms,
             digest: self.digest,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`burn`] | how fast an entry uses up its error budget |
 //! | [`digest`] | which requests are the same request, sent again |
 //! | [`era_guard`] | when something may be claimed in a restored store |
-//! | [`exchange`] | what one dispatched request means to its caller |
+//! | [`attempt`] | what one dispatched request means to its caller |
 //! | [`start_gate`] | whether an order may still start beside a target |
 //! | [`ledger`] | whether a keyed request may run, and what a repeat gets |
 //! | [`lease`] | whether a holder may still act on a lease it once got |
@@ -23,10 +23,10 @@
 //! | [`versions`] | which catalogue version is in force |
 //! | [`liveness`] | when a silent connection is dead |
 
+pub mod attempt;
 pub mod burn;
 pub mod digest;
 pub mod era_guard;
-pub mod exchange;
 pub mod ids;
 pub mod lease;
 pub mod ledger;
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -21,5 +21,5 @@
 mod home;
 
 pub use bucket::TokenBucket;
-pub use holder::{Grant, Holder};
-pub use home::{Ask, Home, ShareConfig};
+pub use holder::{GrantedShare, ShareHolder};
+pub use home::{LimitHome, ShareConfig, ShareRequest};
--- a/crates/core/src/limit/holder.rs
+++ b/crates/core/src/limit/holder.rs
@@ -4,11 +4,11 @@
 
 /// A home's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grant {
+pub struct GrantedShare {
     /// The home's epoch; a higher one supersedes.
     pub epoch: u64,
     /// The question's number, to tell a late answer.
-    pub asked: u64,
+    pub request_seq: u64,
     /// How much the holder may use.
     pub share: f64,
     /// For how long, counted from when the holder asked.
@@ -17,7 +17,7 @@
 
 /// One process's share of one limit.
 #[derive(Debug, Default)]
-pub struct Holder {
+pub struct ShareHolder {
     epoch: u64,
     share: f64,
     until_ms: MonoMs,
@@ -26,7 +26,7 @@
     confirmed: u64,
 }
 
-impl Holder {
+impl ShareHolder {
     /// A holder with no share.
     #[must_use]
     pub fn new() -> Self {
@@ -44,7 +44,7 @@
     }
 
     /// A question is sent; gives its number.
-    pub fn ask(&mut self, now_ms: MonoMs) -> u64 {
+    pub fn begin_request(&mut self, now_ms: MonoMs) -> u64 {
         self.asked += 1;
         self.asked_ms = now_ms;
         self.asked
@@ -52,18 +52,18 @@
 
     /// Number of the last question whose answer arrived; 0 for none.
     #[must_use]
-    pub fn confirmed(&self) -> u64 {
+    pub fn confirmed_seq(&self) -> u64 {
         self.confirmed
     }
 
     /// Takes an answer. One to an earlier question is dropped: its time is
     /// counted from a moment that is no longer known.
-    pub fn on_grant(&mut self, grant: &Grant) {
-        if grant.asked != self.asked || grant.epoch < self.epoch {
+    pub fn on_grant(&mut self, grant: &GrantedShare) {
+        if grant.request_seq != self.asked || grant.epoch < self.epoch {
             return;
         }
         self.epoch = grant.epoch;
-        self.confirmed = grant.asked;
+        self.confirmed = grant.request_seq;
         self.share = grant.share;
         self.until_ms = self.asked_ms + grant.valid_ms;
     }
--- a/crates/core/src/limit/home.rs
+++ b/crates/core/src/limit/home.rs
@@ -4,7 +4,7 @@
 
 use crate::time::MonoMs;
 
-use super::Grant;
+use super::GrantedShare;
 
 /// How shares are given.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
     /// Part of a limit that is never given: each process owns an even piece of
     /// it, so that a quiet one need not wait for its first request, and one
     /// that cannot reach the home can still serve some.
-    pub static_part: f64,
+    pub static_fraction: f64,
 }
 
 impl Default for ShareConfig {
@@ -25,24 +25,24 @@
         Self {
             valid_ms: 3_000,
             outstanding_ms: 3_500,
-            static_part: 0.2,
+            static_fraction: 0.2,
         }
     }
 }
 
 /// A holder's question.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ShareRequest {
     /// Who asks; a restarted process is another holder.
     pub holder: u64,
     /// The question's number.
-    pub asked: u64,
+    pub request_seq: u64,
     /// How much the holder could use.
     pub demand: f64,
     /// Part of its share that running requests take up; 0 for rates.
     pub in_use: f64,
     /// Number of the last question whose answer arrived.
-    pub confirmed: Option<u64>,
+    pub confirmed_seq: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,7 @@
 
 /// The home of one limit.
 #[derive(Debug)]
-pub struct Home {
+pub struct LimitHome {
     config: ShareConfig,
     limit: f64,
     epoch: u64,
@@ -67,7 +67,7 @@
     holders: IndexMap<u64, Given>,
 }
 
-impl Home {
+impl LimitHome {
     /// A home that took the limit over at `now_ms`; it gives nothing until
     /// every share that a former home may have given has ended.
     #[must_use]
@@ -98,7 +98,7 @@
     /// arrived: the holder then uses no more than that, but for what its
     /// running requests still take up. Those cannot be called back, so a
     /// lowered share is not given to another while they run.
-    pub fn on_ask(&mut self, ask: &Ask, now_ms: MonoMs) -> Grant {
+    pub fn on_request(&mut self, ask: &ShareRequest, now_ms: MonoMs) -> GrantedShare {
         self.forget_ended(now_ms);
         let given = self.holders.entry(ask.holder).or_insert(Given {
             demand: ask.demand,
@@ -108,7 +108,7 @@
             last_asked: 0,
         });
         given.demand = ask.demand;
-        if ask.confirmed == Some(given.last_asked) {
+        if ask.confirmed_seq == Some(given.last_asked) {
             given.outstanding = given.last.max(ask.in_use);
         }
         let share = if now_ms < self.gives_from_ms {
@@ -117,9 +117,9 @@
             self.share_of(ask.holder)
         };
         self.note(ask, share, now_ms);
-        Grant {
+        GrantedShare {
             epoch: self.epoch,
-            asked: ask.asked,
+            request_seq: ask.request_seq,
             share,
             valid_ms: self.config.valid_ms,
         }
@@ -138,7 +138,7 @@
     }
 
     fn given_out(&self) -> f64 {
-        self.limit * (1.0 - self.config.static_part)
+        self.limit * (1.0 - self.config.static_fraction)
     }
 
     /// In proportion to demand; evenly where there is none.
@@ -152,12 +152,12 @@
         self.given_out() * demand / all
     }
 
-    fn note(&mut self, ask: &Ask, share: f64, now_ms: MonoMs) {
+    fn note(&mut self, ask: &ShareRequest, share: f64, now_ms: MonoMs) {
         if let Some(given) = self.holders.get_mut(&ask.holder) {
             given.outstanding = given.outstanding.max(share).max(ask.in_use);
             given.outstanding_until_ms = now_ms + self.config.outstanding_ms;
             given.last = share;
-            given.last_asked = ask.asked;
+            given.last_asked = ask.request_seq;
         }
     }
 
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessConfig {
     /// Time between pings.
-    pub ping_every_ms: u64,
+    pub ping_interval_ms: u64,
     /// Silence after which the connection is given up.
-    pub silent_after_ms: u64,
+    pub silence_timeout_ms: u64,
     /// How many times longer both are while nobody waits for the connection.
     pub idle_factor: u64,
     /// First wait before dialling again.
@@ -26,8 +26,8 @@
 impl Default for LivenessConfig {
     fn default() -> Self {
         Self {
-            ping_every_ms: 300,
-            silent_after_ms: 1_000,
+            ping_interval_ms: 300,
+            silence_timeout_ms: 1_000,
             idle_factor: 3,
             redial_min_ms: 50,
             redial_max_ms: 1_000,
@@ -37,13 +37,13 @@
 
 /// What to do about a connection now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Check {
+pub enum LivenessAction {
     /// Nothing.
     Wait,
     /// Send a ping.
     Ping,
     /// Give the connection up and dial a fresh one.
-    GiveUp,
+    Reconnect,
 }
 
 /// One connection's signs of life.
@@ -67,7 +67,7 @@
     }
 
     /// Anything arrived on the connection.
-    pub fn heard(&mut self, at_ms: MonoMs) {
+    pub fn on_received(&mut self, at_ms: MonoMs) {
         self.unanswered_ms = self.unanswered_ms.filter(|pinged_ms| at_ms < *pinged_ms);
     }
 
@@ -81,27 +81,27 @@
     /// A process that was itself paused finds the peer silent through no
     /// fault of the peer's: the first check after a pause only pings, and
     /// the silence counts from there.
-    pub fn check(&mut self, is_idle: bool, now_ms: MonoMs) -> Check {
+    pub fn check(&mut self, is_idle: bool, now_ms: MonoMs) -> LivenessAction {
         let factor = if is_idle { self.config.idle_factor } else { 1 };
-        let ping_every_ms = self.config.ping_every_ms * factor;
-        let patience_ms = self.config.silent_after_ms * factor - ping_every_ms;
-        let paused_ms = self.config.ping_every_ms * self.config.idle_factor * 3;
+        let ping_interval_ms = self.config.ping_interval_ms * factor;
+        let patience_ms = self.config.silence_timeout_ms * factor - ping_interval_ms;
+        let paused_ms = self.config.ping_interval_ms * self.config.idle_factor * 3;
         let since_ping_ms = now_ms.since(self.pinged_ms);
         match self.unanswered_ms {
             _ if since_ping_ms > paused_ms => {
                 self.unanswered_ms = None;
                 self.ping(now_ms)
             }
-            Some(pinged_ms) if now_ms.since(pinged_ms) >= patience_ms => Check::GiveUp,
-            _ if since_ping_ms >= ping_every_ms => self.ping(now_ms),
-            _ => Check::Wait,
+            Some(pinged_ms) if now_ms.since(pinged_ms) >= patience_ms => LivenessAction::Reconnect,
+            _ if since_ping_ms >= ping_interval_ms => self.ping(now_ms),
+            _ => LivenessAction::Wait,
         }
     }
 
-    fn ping(&mut self, now_ms: MonoMs) -> Check {
+    fn ping(&mut self, now_ms: MonoMs) -> LivenessAction {
         self.pinged_ms = now_ms;
         self.unanswered_ms = self.unanswered_ms.or(Some(now_ms));
-        Check::Ping
+        LivenessAction::Ping
     }
 }
 
@@ -110,7 +110,7 @@
 /// Doubles up to the longest wait; the jitter keeps a thousand peers of a
 /// restarted process from dialling it in the same millisecond.
 #[must_use]
-pub fn redial_after_ms(config: &LivenessConfig, attempt: u32, random: u64) -> u64 {
+pub fn redial_delay_ms(config: &LivenessConfig, attempt: u32, random: u64) -> u64 {
     let doubled = config
         .redial_min_ms
         .saturating_mul(1 << attempt.min(16))
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -93,7 +93,7 @@
 
     /// Whether another target may accept what this one refused.
     #[must_use]
-    pub fn elsewhere_helps(self) -> bool {
+    pub fn is_retryable_elsewhere(self) -> bool {
         !matches!(self, Self::KeyFromFuture | Self::KeyReused)
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -4,7 +4,7 @@
 //! when there is least capacity. The budget lets retries be a fixed share of
 //! first attempts, plus a small reserve so that a quiet entry can retry too.
 
-use crate::exchange::Verdict;
+use crate::attempt::Verdict;
 use crate::outcome::{Outcome, Refusal};
 
 /// Retries an idle entry may make at once.
@@ -55,11 +55,11 @@
 
 /// What to do after an attempt that brought no whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try again, at another target if there is one.
     Retry,
     /// Tell the caller.
-    Tell,
+    ReportToCaller,
 }
 
 /// Attempts at most for one request, whatever the budget holds.
@@ -71,18 +71,18 @@
 /// Once a byte has reached the caller, a second run would splice two answers
 /// together. Before that, a request that did not run may always be retried,
 /// and one that may have run only if running it twice does no harm.
-pub fn after(
+pub fn decide(
     verdict: Verdict,
     safe_to_repeat: bool,
     attempts: u32,
     budget: &mut RetryBudget,
-) -> Next {
-    let helps = verdict.refusal.is_none_or(Refusal::elsewhere_helps);
+) -> RetryDecision {
+    let helps = verdict.refusal.is_none_or(Refusal::is_retryable_elsewhere);
     match verdict.outcome {
-        Outcome::Done => Next::Tell,
-        _ if verdict.begun || attempts >= MAX_ATTEMPTS || !helps => Next::Tell,
-        Outcome::Unknown if !safe_to_repeat => Next::Tell,
-        Outcome::NotRun | Outcome::Unknown if budget.try_retry() => Next::Retry,
-        Outcome::NotRun | Outcome::Unknown => Next::Tell,
+        Outcome::Done => RetryDecision::ReportToCaller,
+        _ if verdict.begun || attempts >= MAX_ATTEMPTS || !helps => RetryDecision::ReportToCaller,
+        Outcome::Unknown if !safe_to_repeat => RetryDecision::ReportToCaller,
+        Outcome::NotRun | Outcome::Unknown if budget.try_retry() => RetryDecision::Retry,
+        Outcome::NotRun | Outcome::Unknown => RetryDecision::ReportToCaller,
     }
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -64,7 +64,7 @@
 
 /// A request to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct RouteQuery<'a> {
     /// Chained hashes of the prompt's blocks; empty where unknown.
     pub blocks: &'a [u64],
     /// Targets that already failed this request.
@@ -73,7 +73,7 @@
 
 /// A request that was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent<'a> {
+pub struct SentRequest<'a> {
     /// Chained hashes of the prompt's blocks; empty where unknown.
     pub blocks: &'a [u64],
     /// Whether its answer comes token by token, or all at the end.
@@ -116,7 +116,7 @@
             _ => self.up.retain(|up| *up != id),
         }
         if availability == Availability::Down {
-            self.prefixes.forget_target(id);
+            self.prefixes.remove_target(id);
         }
     }
 
@@ -148,7 +148,7 @@
     /// `None` if no target that is up is left.
     pub fn pick(
         &self,
-        query: &Query<'_>,
+        query: &RouteQuery<'_>,
         now_ms: MonoMs,
         random: &mut dyn FnMut() -> u64,
     ) -> Option<TargetId> {
@@ -192,7 +192,7 @@
         picked
     }
 
-    fn score(&self, id: TargetId, query: &Query<'_>, now_ms: MonoMs) -> Option<f64> {
+    fn score(&self, id: TargetId, query: &RouteQuery<'_>, now_ms: MonoMs) -> Option<f64> {
         let target = self.targets.get(&id)?;
         if target.availability != Availability::Up || query.exclude.contains(&id) {
             return None;
@@ -203,7 +203,7 @@
     /// Estimated time to first token of a request at `id`.
     #[must_use]
     pub fn estimate_ms(&self, id: TargetId, blocks: &[u64], now_ms: MonoMs) -> Option<f64> {
-        let query = Query {
+        let query = RouteQuery {
             blocks,
             exclude: &[],
         };
@@ -218,7 +218,7 @@
     }
 
     /// A request was sent to `id`.
-    pub fn on_dispatch(&mut self, id: TargetId, sent: &Sent<'_>, now_ms: MonoMs) {
+    pub fn on_dispatch(&mut self, id: TargetId, sent: &SentRequest<'_>, now_ms: MonoMs) {
         let reading_ms = self.reading_ms(sent.blocks, id);
         if let Some(target) = self.targets.get_mut(&id) {
             target.on_dispatch(reading_ms, sent.is_stream, now_ms);
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that `target` holds nothing.
-    pub fn forget_target(&mut self, target: TargetId) {
+    pub fn remove_target(&mut self, target: TargetId) {
         for holders in self.blocks.values_mut() {
             holders.retain(|holder| *holder != target);
         }
--- a/crates/core/src/route/score.rs
+++ b/crates/core/src/route/score.rs
@@ -97,7 +97,7 @@
     }
 
     /// The target reported its load as of `as_of_ms` on this process's clock.
-    pub fn on_report(&mut self, running: u32, waiting: u32, slots: u32, as_of_ms: MonoMs) {
+    pub fn on_load_report(&mut self, running: u32, waiting: u32, slots: u32, as_of_ms: MonoMs) {
         self.reported = f64::from(running) + f64::from(waiting);
         self.slots = f64::from(slots.max(1));
         let then = self
@@ -123,7 +123,7 @@
 
     /// The request sent at `sent_ms` ended at `now_ms`, answered or not.
     #[allow(clippy::cast_precision_loss)] // milliseconds of one request
-    pub fn on_end(&mut self, sent_ms: MonoMs, now_ms: MonoMs) {
+    pub fn on_request_end(&mut self, sent_ms: MonoMs, now_ms: MonoMs) {
         let held_ms = now_ms.since(sent_ms) as f64;
         self.hold_ms += EWMA_WEIGHT * (held_ms - self.hold_ms);
         self.in_flight = self.in_flight.saturating_sub(1);
--- a/crates/core/src/start_gate.rs
+++ b/crates/core/src/start_gate.rs
@@ -12,7 +12,7 @@
 //!
 //! What the gate cannot know: what a former incarnation of the agent did.
 //! Orders name the incarnation they are for, and a restarted agent answers
-//! every revoke for another incarnation with [`RevokeAnswer::NoRecord`].
+//! every revoke for another incarnation with [`RevokeReply::NoRecord`].
 
 use indexmap::IndexMap;
 
@@ -22,7 +22,7 @@
 
 /// The agent's answer to a revoke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RevokeAnswer {
+pub enum RevokeReply {
     /// The order has not started and never will.
     WillNotRun,
     /// The order had started.
@@ -33,7 +33,7 @@
 
 /// An order as it arrives at the agent.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct RunCommand {
     /// The attempt.
     pub id: RequestId,
     /// The agent incarnation the order is meant for.
@@ -93,7 +93,7 @@
 
     /// Orders remembered at present.
     #[must_use]
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_commands(&self) -> usize {
         self.entries.len()
     }
 
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// The refusal proves that this order did not start and never will.
-    pub fn start(&mut self, order: Order, now_ms: MonoMs) -> Result<(), Refusal> {
+    pub fn start(&mut self, order: RunCommand, now_ms: MonoMs) -> Result<(), Refusal> {
         self.sweep(now_ms);
         let known = self.entries.get(&order.id).map(|entry| entry.fate);
         match known {
@@ -130,20 +130,20 @@
     }
 
     /// Decides a revoke, and remembers it until the order can no longer start.
-    pub fn revoke(&mut self, order: Order, now_ms: MonoMs) -> RevokeAnswer {
+    pub fn revoke(&mut self, order: RunCommand, now_ms: MonoMs) -> RevokeReply {
         self.sweep(now_ms);
         let known = self.entries.get(&order.id).map(|entry| entry.fate);
         match known {
-            _ if order.for_incarnation != self.incarnation => RevokeAnswer::NoRecord,
-            Some(Fate::Started) => RevokeAnswer::Started,
-            Some(Fate::Revoked) => RevokeAnswer::WillNotRun,
+            _ if order.for_incarnation != self.incarnation => RevokeReply::NoRecord,
+            Some(Fate::Started) => RevokeReply::Started,
+            Some(Fate::Revoked) => RevokeReply::WillNotRun,
             // Past its start deadline the record of a start may have been
             // swept, so silence proves nothing any more.
-            None if now_ms > order.start_by_ms => RevokeAnswer::NoRecord,
-            None if self.entries.len() >= self.capacity => RevokeAnswer::NoRecord,
+            None if now_ms > order.start_by_ms => RevokeReply::NoRecord,
+            None if self.entries.len() >= self.capacity => RevokeReply::NoRecord,
             None => {
                 self.remember(order.id, Fate::Revoked, order.start_by_ms);
-                RevokeAnswer::WillNotRun
+                RevokeReply::WillNotRun
             }
         }
     }
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -15,11 +15,11 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hashes in a [`Summary`].
+/// Hashes in a [`VersionSummary`].
 pub const BUCKETS: usize = 64;
 
 /// One hash per bucket of items.
-pub type Summary = [u64; BUCKETS];
+pub type VersionSummary = [u64; BUCKETS];
 
 /// An item's version with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 
 /// What became of an offered version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferOutcome {
     /// It is now in force.
-    TakenUp,
+    Applied,
     /// A version at least as high was in force already.
     NotNewer,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct VersionMap<K, T> {
     items: IndexMap<K, Versioned<T>>,
-    summary: Summary,
+    summary: VersionSummary,
 }
 
 impl<K, T> Default for VersionMap<K, T> {
@@ -57,10 +57,10 @@
 
 impl<K: Hash + Eq + Display, T> VersionMap<K, T> {
     /// Takes `value` up if its version is higher than the one in force.
-    pub fn offer(&mut self, key: K, version: u64, value: T) -> Offered {
+    pub fn offer(&mut self, key: K, version: u64, value: T) -> OfferOutcome {
         let current = self.version(&key);
         if version <= current {
-            return Offered::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         let name = key.to_string();
         let bucket = bucket_of(&name);
@@ -69,7 +69,7 @@
         }
         self.summary[bucket] ^= item_hash(&name, version);
         self.items.insert(key, Versioned { version, value });
-        Offered::TakenUp
+        OfferOutcome::Applied
     }
 
     /// The version in force; 0 where there is none.
@@ -103,21 +103,21 @@
 
     /// The hashes to compare with a peer's.
     #[must_use]
-    pub fn summary(&self) -> &Summary {
+    pub fn summary(&self) -> &VersionSummary {
         &self.summary
     }
 
     /// The items in buckets that differ from the peer's summary.
     pub fn differing<'a>(
         &'a self,
-        peer: &'a Summary,
+        peer: &'a VersionSummary,
     ) -> impl Iterator<Item = (&'a K, &'a Versioned<T>)> {
         self.items
             .iter()
             .filter(move |(key, _)| self.differs(peer, &key.to_string()))
     }
 
-    fn differs(&self, peer: &Summary, name: &str) -> bool {
+    fn differs(&self, peer: &VersionSummary, name: &str) -> bool {
         let bucket = bucket_of(name);
         self.summary[bucket] != peer[bucket]
     }
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -2,23 +2,25 @@
 
 use std::sync::Arc;
 
-use berylhook_core::exchange::{Action, Event, Exchange, Verdict};
+use berylhook_core::attempt::{Action, AttemptState, Event, Verdict};
 use berylhook_core::ids::{Incarnation, RequestId};
 use berylhook_core::lease::HeldLease;
-use berylhook_core::ledger::{Admission, Answer, Clocks, KeyedRequest, Ledger};
-use berylhook_core::liveness::{Check, LinkHealth, LivenessConfig};
+use berylhook_core::ledger::{Admission, ClockBounds, KeyedRequest, Ledger, RecordedResponse};
+use berylhook_core::liveness::{LinkHealth, LivenessAction, LivenessConfig};
 use berylhook_core::outcome::{Outcome, Refusal};
-use berylhook_core::retry::{Next, RetryBudget, after};
-use berylhook_core::route::{Availability, Query, RouteConfig, Router, Sent, TargetId, subset};
-use berylhook_core::start_gate::{Order, RevokeAnswer, StartGate};
+use berylhook_core::retry::{RetryBudget, RetryDecision, decide};
+use berylhook_core::route::{
+    Availability, RouteConfig, RouteQuery, Router, SentRequest, TargetId, subset,
+};
+use berylhook_core::start_gate::{RevokeReply, RunCommand, StartGate};
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_core::versions::VersionMap;
 use proptest::prelude::*;
 
 const AGENT: Incarnation = Incarnation(7);
 
-fn order(counter: u64, start_by_ms: u64) -> Order {
-    Order {
+fn order(counter: u64, start_by_ms: u64) -> RunCommand {
+    RunCommand {
         id: RequestId {
             origin: Incarnation(1),
             counter,
@@ -36,8 +38,8 @@
     }
 }
 
-fn answer() -> Arc<Answer> {
-    Arc::new(Answer {
+fn answer() -> Arc<RecordedResponse> {
+    Arc::new(RecordedResponse {
         status: 200,
         content_type: String::new(),
         body: Some(Vec::new()),
@@ -60,7 +62,7 @@
             if is_start {
                 let started = gate.start(order, now_ms).is_ok();
                 prop_assert!(!started || !promised[usize::try_from(counter).unwrap()]);
-            } else if gate.revoke(order, now_ms) == RevokeAnswer::WillNotRun {
+            } else if gate.revoke(order, now_ms) == RevokeReply::WillNotRun {
                 promised[usize::try_from(counter).unwrap()] = true;
             }
         }
@@ -72,9 +74,9 @@
     fn a_key_runs_at_most_once_over_all_homes(
         moves in proptest::collection::vec((0..6u8, 0..24u128, 0..300u64, 0..400u64), 1..300)
     ) {
-        let clocks = Clocks::default();
+        let clocks = ClockBounds::default();
         let mut true_ms = 100_000u64;
-        let mut ledger = Ledger::first(clocks, 4);
+        let mut ledger = Ledger::for_new_shard(clocks, 4);
         let mut skew_ms = 0;
         let mut issued = [0u64; 24];
         let mut runs = [0u32; 24];
@@ -87,12 +89,12 @@
                     skew_ms = skew;
                     ledger = Ledger::takeover(clocks, WallMs(true_ms + skew_ms), 4);
                 }
-                1 if !ledger.has_running() => {
+                1 if !ledger.has_running_requests() => {
                     let moved = ledger.export(3);
                     ledger = Ledger::import(clocks, &moved, 4);
                 }
                 2 => ledger.finish(key, answer()),
-                3 => ledger.cut_off(key),
+                3 => ledger.mark_interrupted(key),
                 _ => {
                     if issued[index] == 0 {
                         issued[index] = true_ms;
@@ -147,13 +149,13 @@
     fn only_whole_answers_are_done(
         frames in proptest::collection::vec((0..6u64, any::<bool>()), 0..40)
     ) {
-        let mut exchange = Exchange::new();
+        let mut exchange = AttemptState::new();
         exchange.on(Event::Sent);
         exchange.on(Event::Head);
         let mut delivered = Vec::new();
         for (number, is_end) in frames {
             let event = if is_end {
-                Event::End { frames: number, whole: true }
+                Event::End { frames: number, is_complete: true }
             } else {
                 Event::Data { seq: number }
             };
@@ -172,7 +174,7 @@
 #[test]
 fn an_order_for_a_former_incarnation_is_refused_and_not_answered_for() {
     let mut gate = StartGate::new(AGENT, 10);
-    let old = Order {
+    let old = RunCommand {
         for_incarnation: Incarnation(6),
         ..order(1, 1_000)
     };
@@ -181,7 +183,7 @@
     let revoked = gate.revoke(old, MonoMs(0));
 
     assert_eq!(started, Err(Refusal::WrongIncarnation));
-    assert_eq!(revoked, RevokeAnswer::NoRecord);
+    assert_eq!(revoked, RevokeReply::NoRecord);
 }
 
 #[test]
@@ -192,7 +194,7 @@
     let revoked = gate.revoke(order(2, 1_000), MonoMs(1_001));
 
     assert_eq!(started, Err(Refusal::TooLate));
-    assert_eq!(revoked, RevokeAnswer::NoRecord);
+    assert_eq!(revoked, RevokeReply::NoRecord);
 }
 
 /// Symptom: two homes start requests in the same shard.
@@ -203,16 +205,16 @@
 fn a_right_ends_on_the_holders_clock_counted_from_the_sending() {
     let mut lease = HeldLease::granted(10_000, MonoMs(0));
 
-    lease.renewed(MonoMs(4_000));
-    lease.renewed(MonoMs(2_000));
+    lease.on_renewed(MonoMs(4_000));
+    lease.on_renewed(MonoMs(2_000));
 
-    assert!(lease.holds(MonoMs(13_000)));
-    assert!(!lease.holds(MonoMs(13_900)));
+    assert!(lease.is_valid(MonoMs(13_000)));
+    assert!(!lease.is_valid(MonoMs(13_900)));
 }
 
 #[test]
 fn a_full_ledger_of_running_requests_admits_no_more() {
-    let mut ledger = Ledger::first(Clocks::default(), 2);
+    let mut ledger = Ledger::for_new_shard(ClockBounds::default(), 2);
     let now_ms = WallMs(1_000_000);
     assert_eq!(ledger.admit(keyed(1, 999_900), now_ms), Admission::Run);
     assert_eq!(ledger.admit(keyed(2, 999_900), now_ms), Admission::Run);
@@ -230,9 +232,9 @@
     let soon_after = health.check(false, MonoMs(60_600));
     let still_silent = health.check(false, MonoMs(60_700));
 
-    assert_eq!(after_pause, Check::Ping);
-    assert_eq!(soon_after, Check::Ping);
-    assert_eq!(still_silent, Check::GiveUp);
+    assert_eq!(after_pause, LivenessAction::Ping);
+    assert_eq!(soon_after, LivenessAction::Ping);
+    assert_eq!(still_silent, LivenessAction::Reconnect);
 }
 
 /// Symptom: a fault in the targets doubles the load on them.
@@ -250,7 +252,7 @@
     let mut retries = 0;
     for _ in 0..1_000 {
         budget.on_attempt();
-        retries += u32::from(after(failed, true, 1, &mut budget) == Next::Retry);
+        retries += u32::from(decide(failed, true, 1, &mut budget) == RetryDecision::Retry);
     }
 
     assert!((100..=110).contains(&retries), "{retries} retries");
@@ -269,9 +271,15 @@
         ..lost
     };
 
-    assert_eq!(after(lost, false, 1, &mut budget), Next::Tell);
-    assert_eq!(after(lost, true, 1, &mut budget), Next::Retry);
-    assert_eq!(after(begun, true, 1, &mut budget), Next::Tell);
+    assert_eq!(
+        decide(lost, false, 1, &mut budget),
+        RetryDecision::ReportToCaller
+    );
+    assert_eq!(decide(lost, true, 1, &mut budget), RetryDecision::Retry);
+    assert_eq!(
+        decide(begun, true, 1, &mut budget),
+        RetryDecision::ReportToCaller
+    );
 }
 
 #[test]
@@ -280,16 +288,16 @@
     for id in 0..3 {
         router.set_availability(TargetId(id), Availability::Up);
         if let Some(load) = router.load_mut(TargetId(id)) {
-            load.on_report(0, 0, 16, MonoMs(0));
+            load.on_load_report(0, 0, 16, MonoMs(0));
         }
     }
     router.set_availability(TargetId(2), Availability::Leaving);
-    let sent = Sent {
+    let sent = SentRequest {
         blocks: &[],
         is_stream: true,
     };
     router.on_dispatch(TargetId(0), &sent, MonoMs(0));
-    let query = Query {
+    let query = RouteQuery {
         blocks: &[],
         exclude: &[],
     };
@@ -334,9 +342,9 @@
     let mut router = Router::new(RouteConfig::default());
     router.set_availability(TargetId(0), Availability::Up);
     if let Some(load) = router.load_mut(TargetId(0)) {
-        load.on_report(0, 0, 16, MonoMs(0));
+        load.on_load_report(0, 0, 16, MonoMs(0));
     }
-    let sent = |is_stream| Sent {
+    let sent = |is_stream| SentRequest {
         blocks: &[],
         is_stream,
     };
@@ -345,7 +353,7 @@
         let sent_ms = MonoMs(round * 5_000);
         router.on_dispatch(TargetId(0), &sent(false), sent_ms);
         if let Some(load) = router.load_mut(TargetId(0)) {
-            load.on_end(sent_ms, sent_ms + 4_000);
+            load.on_request_end(sent_ms, sent_ms + 4_000);
         }
     }
 
@@ -363,16 +371,16 @@
 #[test]
 fn a_connection_that_becomes_busy_is_pinged_before_it_is_given_up() {
     let mut health = LinkHealth::new(LivenessConfig::default(), MonoMs(0));
-    assert_eq!(health.check(true, MonoMs(900)), Check::Ping);
-    health.heard(MonoMs(901));
+    assert_eq!(health.check(true, MonoMs(900)), LivenessAction::Ping);
+    health.on_received(MonoMs(901));
 
     let idle = health.check(true, MonoMs(1_700));
     let busy = health.check(false, MonoMs(1_950));
     let just_asked = health.check(false, MonoMs(2_000));
     let never_answered = health.check(false, MonoMs(2_650));
 
-    assert_eq!(idle, Check::Wait);
-    assert_eq!(busy, Check::Ping);
-    assert_eq!(just_asked, Check::Wait);
-    assert_eq!(never_answered, Check::GiveUp);
+    assert_eq!(idle, LivenessAction::Wait);
+    assert_eq!(busy, LivenessAction::Ping);
+    assert_eq!(just_asked, LivenessAction::Wait);
+    assert_eq!(never_answered, LivenessAction::Reconnect);
 }
--- a/crates/core/tests/limit.rs
+++ b/crates/core/tests/limit.rs
@@ -1,6 +1,8 @@
 //! The shares of a limit never add up to more than is given out.
 
-use berylhook_core::limit::{Ask, Grant, Holder, Home, ShareConfig, TokenBucket};
+use berylhook_core::limit::{
+    GrantedShare, LimitHome, ShareConfig, ShareHolder, ShareRequest, TokenBucket,
+};
 use berylhook_core::time::MonoMs;
 use proptest::prelude::*;
 
@@ -44,14 +46,14 @@
     holder: usize,
     identity: u64,
     arrives_ms: MonoMs,
-    grant: Grant,
+    grant: GrantedShare,
 }
 
 struct World {
     now_ms: MonoMs,
-    home: Home,
+    home: LimitHome,
     epoch: u64,
-    holders: Vec<Holder>,
+    holders: Vec<ShareHolder>,
     identities: Vec<u64>,
     flying: Vec<Flying>,
 }
@@ -61,9 +63,9 @@
         let config = ShareConfig::default();
         Self {
             now_ms: MonoMs(10_000),
-            home: Home::takeover(config, LIMIT, 1, MonoMs(0)),
+            home: LimitHome::takeover(config, LIMIT, 1, MonoMs(0)),
             epoch: 1,
-            holders: (0..HOLDERS).map(|_| Holder::new()).collect(),
+            holders: (0..HOLDERS).map(|_| ShareHolder::new()).collect(),
             identities: (0..HOLDERS as u64).collect(),
             flying: Vec::new(),
         }
@@ -93,10 +95,10 @@
             Happening::NewHome => {
                 self.epoch += 1;
                 let config = ShareConfig::default();
-                self.home = Home::takeover(config, LIMIT, self.epoch, self.now_ms);
+                self.home = LimitHome::takeover(config, LIMIT, self.epoch, self.now_ms);
             }
             Happening::Restart(holder) => {
-                self.holders[holder] = Holder::new();
+                self.holders[holder] = ShareHolder::new();
                 self.identities[holder] += 1_000;
             }
             Happening::Ask {
@@ -110,18 +112,18 @@
     }
 
     fn ask(&mut self, holder: usize, demand: f64, question_ms: u64, answer_ms: Option<u64>) {
-        let confirmed = Some(self.holders[holder].confirmed()).filter(|asked| *asked > 0);
-        let asked = self.holders[holder].ask(self.now_ms);
+        let confirmed = Some(self.holders[holder].confirmed_seq()).filter(|asked| *asked > 0);
+        let asked = self.holders[holder].begin_request(self.now_ms);
         let identity = self.identities[holder];
         self.advance(question_ms);
-        let ask = Ask {
+        let ask = ShareRequest {
             holder: identity,
-            asked,
+            request_seq: asked,
             demand,
             in_use: 0.0,
-            confirmed,
+            confirmed_seq: confirmed,
         };
-        let grant = self.home.on_ask(&ask, self.now_ms);
+        let grant = self.home.on_request(&ask, self.now_ms);
         if let Some(answer_ms) = answer_ms {
             self.flying.push(Flying {
                 holder,
@@ -138,7 +140,7 @@
             .iter()
             .map(|holder| holder.share(self.now_ms))
             .sum();
-        let given_out = LIMIT * (1.0 - ShareConfig::default().static_part);
+        let given_out = LIMIT * (1.0 - ShareConfig::default().static_fraction);
         assert!(sum <= given_out + 1e-9, "shares add up to {sum}");
     }
 }
@@ -198,16 +200,16 @@
 #[test]
 fn a_lowered_share_is_not_given_while_requests_run_above_it() {
     let config = ShareConfig::default();
-    let mut home = Home::takeover(config, LIMIT, 1, MonoMs(0));
+    let mut home = LimitHome::takeover(config, LIMIT, 1, MonoMs(0));
     let mut ask = |holder, asked, demand, in_use, now_ms| {
-        let ask = Ask {
+        let ask = ShareRequest {
             holder,
-            asked,
+            request_seq: asked,
             demand,
             in_use,
-            confirmed: Some(asked - 1).filter(|asked| *asked > 0),
+            confirmed_seq: Some(asked - 1).filter(|asked| *asked > 0),
         };
-        home.on_ask(&ask, MonoMs(now_ms)).share
+        home.on_request(&ask, MonoMs(now_ms)).share
     };
     let first = ask(1, 1, 80.0, 0.0, 10_000);
 
--- a/crates/core/tests/restored_claims.rs
+++ b/crates/core/tests/restored_claims.rs
@@ -4,9 +4,11 @@
 //! over and are frozen, while the store loses what it has acknowledged. Each step is taken
 //! by itself, and a caller may send a key again at either agent at any time.
 
-use berylhook_core::era_guard::{EraGuard, EraVerdict};
+use berylhook_core::era_guard::{ClaimDecision, EraGuard};
 use berylhook_core::lease::HeldLease;
-use berylhook_core::ledger::{Admission, Answer, Clocks, KeyedRequest, Ledger, Moved};
+use berylhook_core::ledger::{
+    Admission, ClockBounds, KeyedRequest, Ledger, LedgerExport, RecordedResponse,
+};
 use berylhook_core::time::{MonoMs, WallMs};
 use indexmap::IndexMap;
 
@@ -60,7 +62,7 @@
 struct Handover {
     era: u64,
     revision: u64,
-    moved: Moved,
+    moved: LedgerExport,
 }
 
 impl Contents {
@@ -170,9 +172,9 @@
         let held = self.agents[agent].home.as_ref().map(|home| home.claim);
         match &mut self.agents[agent].lease {
             Some((_, granted_in)) if *granted_in != era => self.agents[agent].lose_lease(),
-            Some((lease, _)) if !lease.holds(now_ms) => self.agents[agent].lose_lease(),
+            Some((lease, _)) if !lease.is_valid(now_ms) => self.agents[agent].lose_lease(),
             Some((lease, _)) => {
-                lease.renewed(now_ms);
+                lease.on_renewed(now_ms);
                 self.extend_home(held);
             }
             lease @ None => *lease = Some((HeldLease::granted(LEASE_MS, now_ms), era)),
@@ -193,9 +195,9 @@
         let mark = self.store.now.settled;
         let now_ms = MonoMs(self.now_ms);
         match self.agents[agent].guard.decide(era, mark, now_ms) {
-            EraVerdict::Wait => return,
-            EraVerdict::LeaveMark => self.store.now.settled = Some(era),
-            EraVerdict::Settled => {}
+            ClaimDecision::Wait => return,
+            ClaimDecision::AllowAndMark => self.store.now.settled = Some(era),
+            ClaimDecision::Allow => {}
         }
         self.agents[agent].read = Some((era, self.store.now.clone()));
     }
@@ -221,7 +223,7 @@
         self.store.now.home = Some((self.claims, until));
         self.store.now.was_claimed = true;
         self.store.now.handover = None;
-        if granted_in != era || read_in != era || !lease.holds(MonoMs(self.now_ms)) {
+        if granted_in != era || read_in != era || !lease.is_valid(MonoMs(self.now_ms)) {
             return;
         }
         let ledger = self.ledger(era, state);
@@ -232,14 +234,14 @@
     }
 
     fn ledger(&self, era: u64, state: Contents) -> Ledger {
-        let clocks = Clocks::default();
+        let clocks = ClockBounds::default();
         let moved = state.handover.filter(|left| left.era == era);
         match moved {
             Some(left) => Ledger::import(clocks, &left.moved, CAPACITY),
             None if state.was_claimed || era > 0 => {
                 Ledger::takeover(clocks, WallMs(self.now_ms), CAPACITY)
             }
-            None => Ledger::first(clocks, CAPACITY),
+            None => Ledger::for_new_shard(clocks, CAPACITY),
         }
     }
 
@@ -290,7 +292,7 @@
     fn runs(&mut self, agent: usize, request: KeyedRequest) -> bool {
         let agent = &mut self.agents[agent];
         let now_ms = MonoMs(self.now_ms);
-        let holds = agent.lease.is_some_and(|(lease, _)| lease.holds(now_ms));
+        let holds = agent.lease.is_some_and(|(lease, _)| lease.is_valid(now_ms));
         let Some(home) = agent.home.as_mut().filter(|_| holds) else {
             return false;
         };
@@ -298,7 +300,7 @@
         if admission != Admission::Run {
             return false;
         }
-        let answer = Answer {
+        let answer = RecordedResponse {
             status: 200,
             content_type: String::new(),
             body: None,
@@ -344,8 +346,12 @@
 
     assert_eq!(
         [at_first, restored, too_soon],
-        [EraVerdict::Wait, EraVerdict::Wait, EraVerdict::Wait]
+        [
+            ClaimDecision::Wait,
+            ClaimDecision::Wait,
+            ClaimDecision::Wait
+        ]
     );
-    assert_eq!(in_time, EraVerdict::LeaveMark);
-    assert_eq!([settled, of_another], [EraVerdict::Settled; 2]);
+    assert_eq!(in_time, ClaimDecision::AllowAndMark);
+    assert_eq!([settled, of_another], [ClaimDecision::Allow; 2]);
 }
--- a/crates/entry/src/backpressure.rs
+++ b/crates/entry/src/backpressure.rs
@@ -33,7 +33,7 @@
         log::info!(service = &**service, target = &*of.id; "a target's rest is over");
     }
     let news = queue.on_signal(of, signal);
-    if let Some(rest_ms) = news.rest_ms {
+    if let Some(rest_ms) = news.backoff_ms {
         shared.metrics.count_rest();
         log::info!(
             service = &**service,
@@ -43,7 +43,7 @@
             "a target asks for rest"
         );
     }
-    if news.leaves {
+    if news.is_newly_leaving {
         log::info!(
             service = &**service,
             target = &*of.id,
@@ -84,7 +84,7 @@
     let report = |(target, state): &(Incarnation, LimitState)| LimitReport {
         target: target.clone(),
         limit: state.limit,
-        age_ms: now_ms.since(state.heard_ms),
+        age_ms: now_ms.since(state.reported_ms),
     };
     states.iter().map(report).collect()
 }
@@ -96,11 +96,11 @@
     source: &'static str,
     is_readable: bool,
 ) {
-    let (former_per_s, former_age_ms) = match change.former {
+    let (former_per_s, former_age_ms) = match change.previous {
         Some((rate, age_ms)) => (rate.per_s(), age_ms),
         None => (0.0, 0),
     };
-    let text = match (change.former, change.limit) {
+    let text = match (change.previous, change.limit) {
         (_, None) => "a target names no limit any more",
         (None, Some(_)) => "a target names a limit",
         (Some(_), Some(_)) => "a target names another limit",
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use berylhook_backpressure::gate::Withheld;
+use berylhook_backpressure::gate::WithheldReason;
 use berylhook_platform::headers::{AnswerHead, is_other_incarnation};
 use berylhook_quarantine::HeldBack;
 use bytes::Bytes;
@@ -46,7 +46,7 @@
     /// It is held back, so nothing was sent.
     HeldBack(HeldBack),
     /// The target takes none now, so nothing was sent.
-    Withheld(Withheld),
+    Withheld(WithheldReason),
     /// It may have run: the connection ended or the answer made no sense.
     Unknown,
 }
@@ -137,7 +137,7 @@
 impl SendResult {
     /// What a target said that did not run the request.
     pub(crate) fn of_refusal(status: StatusCode, head: &AnswerHead) -> Self {
-        match head.signal.rest_ms {
+        match head.signal.backoff_ms {
             _ if is_other_incarnation(status.as_u16()) => Self::OtherIncarnation,
             Some(rest_ms) if rest_ms > 0 => Self::AsksForRest,
             Some(_) | None => Self::NotRun,
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use berylhook_backpressure::exchange::{Exchange, Members, Unanswered};
+use berylhook_backpressure::coordinator::{Members, PermitCoordinator, RequestFailure};
 use berylhook_backpressure::gate::LimitState;
-use berylhook_backpressure::messages::{Grant, Question, Reply, Wish};
+use berylhook_backpressure::messages::{LimitMessage, LimitReply, PermitGrant, PermitRequest};
 use berylhook_calls::{Call, CallError, Connection, serve};
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::target::Incarnation;
@@ -54,7 +54,7 @@
 pub(crate) struct Limits {
     shared: Arc<Shared>,
     peers: Arc<Peers>,
-    exchanges: Mutex<IndexMap<Arc<str>, Exchange<Incarnation>>>,
+    exchanges: Mutex<IndexMap<Arc<str>, PermitCoordinator<Incarnation>>>,
     /// Connections to homes, kept between two questions.
     connections: Mutex<IndexMap<SocketAddr, Connection>>,
 }
@@ -119,14 +119,14 @@
     fn with_exchange<R>(
         &self,
         queue: &ServiceQueue,
-        with: impl FnOnce(&mut Exchange<Incarnation>, MonoMs) -> R,
+        with: impl FnOnce(&mut PermitCoordinator<Incarnation>, MonoMs) -> R,
     ) -> R {
         let service = queue.service();
         let now_ms = self.shared.clock.now_ms();
         let mut exchanges = self.exchanges.lock().expect("no holder panics");
         let exchange = exchanges
             .entry(Arc::clone(service))
-            .or_insert_with(|| Exchange::new(self.peers.own_address(), service));
+            .or_insert_with(|| PermitCoordinator::new(self.peers.own_address(), service));
         with(exchange, now_ms)
     }
 
@@ -143,7 +143,7 @@
         queue.on_permits(&grants.unwrap_or_default(), asked_ms);
         let limits = states.iter().map(|(of, state)| (of.clone(), state.limit));
         let told = self.with_exchange(queue, |it, now_ms| {
-            it.to_tell(limits.collect(), members, now_ms)
+            it.peers_to_notify(limits.collect(), members, now_ms)
         });
         let question = self.question(queue, states, Vec::new());
         let question = &question;
@@ -160,11 +160,11 @@
         &self,
         queue: &ServiceQueue,
         from: SocketAddr,
-        wishes: &[Wish<Incarnation>],
+        wishes: &[PermitRequest<Incarnation>],
         members: &Members,
-    ) -> Option<Vec<Grant<Incarnation>>> {
+    ) -> Option<Vec<PermitGrant<Incarnation>>> {
         self.with_exchange(queue, |exchange, now_ms| {
-            exchange.on_wishes(from, wishes, |of| queue.limit(of), members, now_ms)
+            exchange.on_permit_requests(from, wishes, |of| queue.limit(of), members, now_ms)
         })
     }
 
@@ -172,13 +172,13 @@
         &self,
         queue: &ServiceQueue,
         states: &[(Incarnation, LimitState)],
-        wishes: Vec<Wish<Incarnation>>,
-    ) -> Question<Incarnation> {
-        Question {
+        wishes: Vec<PermitRequest<Incarnation>>,
+    ) -> LimitMessage<Incarnation> {
+        LimitMessage {
             from: self.peers.own_address(),
             service: Arc::clone(queue.service()),
             reports: backpressure::reports(states, self.shared.clock.now_ms()),
-            wishes,
+            permit_requests: wishes,
         }
     }
 
@@ -186,11 +186,11 @@
         &self,
         queue: &Arc<ServiceQueue>,
         peer: SocketAddr,
-        question: &Question<Incarnation>,
+        question: &LimitMessage<Incarnation>,
     ) {
         match self.call(peer, question).await {
             Ok(reply) => {
-                self.with_exchange(queue, |it, now_ms| it.on_heard(peer, now_ms));
+                self.with_exchange(queue, |it, now_ms| it.on_received(peer, now_ms));
                 backpressure::learn(&self.shared, queue, &reply.reports);
             }
             // It is told again while it does not ask.
@@ -200,11 +200,11 @@
 
     async fn note_unanswered(&self, queue: &ServiceQueue, peer: SocketAddr, error: &CallError) {
         let how = match error {
-            CallError::Status { .. } => Unanswered::Refused,
-            CallError::NotSent { .. } if is_refused(peer).await => Unanswered::Refused,
-            CallError::NotSent { .. } | CallError::Unknown { .. } => Unanswered::Silent,
+            CallError::Status { .. } => RequestFailure::Refused,
+            CallError::NotSent { .. } if is_refused(peer).await => RequestFailure::Refused,
+            CallError::NotSent { .. } | CallError::Unknown { .. } => RequestFailure::NoReply,
         };
-        self.with_exchange(queue, |it, now_ms| it.on_unanswered(peer, how, now_ms));
+        self.with_exchange(queue, |it, now_ms| it.on_request_failed(peer, how, now_ms));
     }
 
     async fn ask(
@@ -217,7 +217,7 @@
         let question = self.question(queue, states, wishes(states));
         match self.call(home, &question).await {
             Ok(reply) => {
-                self.with_exchange(queue, |it, now_ms| it.on_heard(home, now_ms));
+                self.with_exchange(queue, |it, now_ms| it.on_received(home, now_ms));
                 backpressure::learn(&self.shared, queue, &reply.reports);
                 queue.on_permits(&reply.grants, asked_ms);
             }
@@ -237,8 +237,8 @@
     async fn call(
         &self,
         peer: SocketAddr,
-        question: &Question<Incarnation>,
-    ) -> Result<Reply<Incarnation>, CallError> {
+        question: &LimitMessage<Incarnation>,
+    ) -> Result<LimitReply<Incarnation>, CallError> {
         let kept = {
             let mut connections = self.connections.lock().expect("no holder panics");
             connections.swap_remove(&peer)
@@ -253,12 +253,12 @@
 
     /// Answers a question, or takes news.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let Some(question) = serve::read_json::<Question<Incarnation>>(request).await else {
+        let Some(question) = serve::read_json::<LimitMessage<Incarnation>>(request).await else {
             let text = "send a question on limits in JSON, as another entry does";
             return serve::plain(StatusCode::BAD_REQUEST, text);
         };
         let Some(queue) = self.shared.known_queue(&question.service) else {
-            return serve::json(&Reply::<Incarnation> {
+            return serve::json(&LimitReply::<Incarnation> {
                 is_home: false,
                 reports: Vec::new(),
                 grants: Vec::new(),
@@ -266,9 +266,9 @@
         };
         backpressure::learn(&self.shared, &queue, &question.reports);
         let members = self.peers.limit_members();
-        let grants = self.grants(&queue, question.from, &question.wishes, &members);
+        let grants = self.grants(&queue, question.from, &question.permit_requests, &members);
         let states = queue.limit_states();
-        serve::json(&Reply {
+        serve::json(&LimitReply {
             is_home: grants.is_some(),
             reports: backpressure::reports(&states, self.shared.clock.now_ms()),
             grants: grants.unwrap_or_default(),
@@ -276,11 +276,11 @@
     }
 }
 
-fn wishes(states: &[(Incarnation, LimitState)]) -> Vec<Wish<Incarnation>> {
+fn wishes(states: &[(Incarnation, LimitState)]) -> Vec<PermitRequest<Incarnation>> {
     let limited = states.iter().filter(|(_, state)| state.limit.is_some());
-    let wishes = limited.map(|(target, state)| Wish {
+    let wishes = limited.map(|(target, state)| PermitRequest {
         target: target.clone(),
-        requests: state.wished,
+        requests: state.requested,
         held: Some(state.held),
     });
     wishes.collect()
--- a/crates/entry/src/peers/limits.rs
+++ b/crates/entry/src/peers/limits.rs
@@ -1,10 +1,10 @@
 //! Who shares the limits of targets, and what a new entry is told of them.
 //!
-//! What follows from it is decided by `berylhook_backpressure::exchange`.
+//! What follows from it is decided by `berylhook_backpressure::coordinator`.
 
 use std::sync::Arc;
 
-use berylhook_backpressure::exchange::Members;
+use berylhook_backpressure::coordinator::Members;
 use berylhook_backpressure::messages::LimitReport;
 use berylhook_traffic::target::Incarnation;
 use indexmap::IndexMap;
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -3,8 +3,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use berylhook_backpressure::gate::{LimitChange, LimitState, SignalNews, Withheld};
-use berylhook_backpressure::messages::Grant;
+use berylhook_backpressure::gate::{LimitChange, LimitState, SignalUpdate, WithheldReason};
+use berylhook_backpressure::messages::PermitGrant;
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::BackpressureSignal;
 use berylhook_core::retry::RetryBudget;
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// If the target takes none now: it has said so since the place was given.
-    pub(crate) fn admit(&mut self) -> Result<(), Withheld> {
+    pub(crate) fn admit(&mut self) -> Result<(), WithheldReason> {
         self.is_settled = true;
         self.queue.admit(&self.target.incarnation)
     }
@@ -388,7 +388,7 @@
     }
 
     /// A target said in an answer how much it takes; returns what is new.
-    pub(crate) fn on_signal(&self, of: &Incarnation, signal: BackpressureSignal) -> SignalNews {
+    pub(crate) fn on_signal(&self, of: &Incarnation, signal: BackpressureSignal) -> SignalUpdate {
         let now_ms = self.clock.now_ms();
         let dispatcher = &mut self.lock().dispatcher;
         dispatcher.on_signal(of, signal, rand::random(), now_ms)
@@ -415,7 +415,7 @@
         self.lock().dispatcher.rest_left_ms(of, now_ms)
     }
 
-    fn admit(&self, of: &Incarnation) -> Result<(), Withheld> {
+    fn admit(&self, of: &Incarnation) -> Result<(), WithheldReason> {
         let now_ms = self.clock.now_ms();
         self.lock().dispatcher.admit(of, now_ms)
     }
@@ -442,7 +442,11 @@
     }
 
     /// Permits under targets' limits have come.
-    pub(crate) fn on_permits(self: &Arc<Self>, grants: &[Grant<Incarnation>], asked_ms: MonoMs) {
+    pub(crate) fn on_permits(
+        self: &Arc<Self>,
+        grants: &[PermitGrant<Incarnation>],
+        asked_ms: MonoMs,
+    ) {
         let mut state = self.lock();
         for grant in grants {
             let until_ms = asked_ms + grant.valid_ms;
@@ -456,7 +460,7 @@
 
     /// Requests that did not go to the target chosen first, by why, since this was last
     /// called.
-    pub(crate) fn take_kept_back(&self) -> IndexMap<Withheld, u32> {
+    pub(crate) fn take_kept_back(&self) -> IndexMap<WithheldReason, u32> {
         self.lock().dispatcher.take_kept_back()
     }
 
--- a/crates/groups/src/election.rs
+++ b/crates/groups/src/election.rs
@@ -226,7 +226,7 @@
             let answers = matches!(renewed, Ok(_) | Err(StoreError::LeaseGone));
             self.store_answers.store(answers, Ordering::Relaxed);
             match renewed {
-                Ok(_) => self.held.renewed(sent_ms),
+                Ok(_) => self.held.on_renewed(sent_ms),
                 Err(StoreError::LeaseGone) => {
                     log::warn!(lease = self.lease.id; "the leader's lease has ended");
                     self.is_over.store(true, Ordering::Relaxed);
--- a/crates/keyvalue/src/era_gate.rs
+++ b/crates/keyvalue/src/era_gate.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use berylhook_core::era_guard::{EraGuard, EraVerdict};
+use berylhook_core::era_guard::{ClaimDecision, EraGuard};
 use berylhook_core::position::Position;
 use berylhook_core::time::MonoMs;
 
@@ -56,9 +56,9 @@
             guard.decide(era, mark, now_ms)
         };
         match verdict {
-            EraVerdict::Settled => Ok(true),
-            EraVerdict::Wait => Ok(false),
-            EraVerdict::LeaveMark => {
+            ClaimDecision::Allow => Ok(true),
+            ClaimDecision::Wait => Ok(false),
+            ClaimDecision::AllowAndMark => {
                 self.leave_mark(key_value, era).await?;
                 Ok(true)
             }
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -1,7 +1,7 @@
 //! Between the generated messages and the decision core's types.
 
 use berylhook_core::ids::{Incarnation, RequestId};
-use berylhook_core::start_gate::RevokeAnswer;
+use berylhook_core::start_gate::RevokeReply;
 
 use crate::proto::frame::Kind;
 use crate::proto::{Frame, Revoked, revoked};
@@ -25,12 +25,12 @@
     }
 }
 
-impl From<RevokeAnswer> for Revoked {
-    fn from(answer: RevokeAnswer) -> Self {
+impl From<RevokeReply> for Revoked {
+    fn from(answer: RevokeReply) -> Self {
         let answer = match answer {
-            RevokeAnswer::NoRecord => revoked::Answer::NoRecord,
-            RevokeAnswer::WillNotRun => revoked::Answer::WillNotRun,
-            RevokeAnswer::Started => revoked::Answer::Started,
+            RevokeReply::NoRecord => revoked::Answer::NoRecord,
+            RevokeReply::WillNotRun => revoked::Answer::WillNotRun,
+            RevokeReply::Started => revoked::Answer::Started,
         };
         Self {
             answer: answer.into(),
@@ -38,7 +38,7 @@
     }
 }
 
-impl From<&Revoked> for RevokeAnswer {
+impl From<&Revoked> for RevokeReply {
     fn from(message: &Revoked) -> Self {
         match message.answer() {
             revoked::Answer::NoRecord => Self::NoRecord,
--- a/crates/peer/src/documents.rs
+++ b/crates/peer/src/documents.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use berylhook_core::versions::{BUCKETS, Summary, VersionMap, Versioned};
+use berylhook_core::versions::{BUCKETS, VersionMap, VersionSummary, Versioned};
 use berylhook_operator::DocumentId;
 use berylhook_operator::document::ParseDocumentIdError;
 use indexmap::IndexMap;
@@ -116,7 +116,7 @@
     }
 }
 
-fn summary_of(buckets: &[u64]) -> Summary {
+fn summary_of(buckets: &[u64]) -> VersionSummary {
     let mut summary = [0; BUCKETS];
     for (slot, bucket) in summary.iter_mut().zip(buckets) {
         *slot = *bucket;
--- a/crates/test-support/examples/slopes.rs
+++ b/crates/test-support/examples/slopes.rs
@@ -9,8 +9,8 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_core::ledger::{Clocks, KeyedRequest, Ledger};
-use berylhook_core::limit::{Ask, Holder, Home, ShareConfig};
+use berylhook_core::ledger::{ClockBounds, KeyedRequest, Ledger};
+use berylhook_core::limit::{LimitHome, ShareConfig, ShareHolder, ShareRequest};
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_test_support::cluster::{Cluster, until_serving};
 use berylhook_test_support::{Engine, EngineConfig};
@@ -109,8 +109,8 @@
     for count in [3u64, 30, 300] {
         let config = ShareConfig::default();
         let limit = 10_000.0;
-        let mut home = Home::takeover(config, limit, 1, MonoMs(0));
-        let mut holders: Vec<Holder> = (0..count).map(|_| Holder::new()).collect();
+        let mut home = LimitHome::takeover(config, limit, 1, MonoMs(0));
+        let mut holders: Vec<ShareHolder> = (0..count).map(|_| ShareHolder::new()).collect();
         let mut now_ms = 10_000;
         let mut asked_home = 0;
         let mut spent = Duration::ZERO;
@@ -121,16 +121,16 @@
         for round in 0..rounds {
             for (number, holder) in holders.iter_mut().enumerate() {
                 let is_busy = (number as u64 + round / 20).is_multiple_of(3);
-                let confirmed = Some(holder.confirmed()).filter(|asked| *asked > 0);
-                let ask = Ask {
+                let confirmed = Some(holder.confirmed_seq()).filter(|asked| *asked > 0);
+                let ask = ShareRequest {
                     holder: number as u64,
-                    asked: holder.ask(MonoMs(now_ms)),
+                    request_seq: holder.begin_request(MonoMs(now_ms)),
                     demand: if is_busy { 100.0 } else { 1.0 },
                     in_use: 0.0,
-                    confirmed,
+                    confirmed_seq: confirmed,
                 };
                 let began = Instant::now();
-                let grant = home.on_ask(&ask, MonoMs(now_ms));
+                let grant = home.on_request(&ask, MonoMs(now_ms));
                 spent += began.elapsed();
                 asked_home += 1;
                 if !(round * 31 + number as u64 * 17).is_multiple_of(10) {
@@ -148,7 +148,7 @@
                 sum_of_sums += sum;
             }
         }
-        let given_out = limit * (1.0 - config.static_part);
+        let given_out = limit * (1.0 - config.static_fraction);
         let mean = sum_of_sums / (rounds - 20) as f64;
         println!(
             "limit of {count} holders, 10% of answers lost, demand moving every 10 s: given out {:.1}% on average, {:.1}% at least, {:.1}% at most",
@@ -172,7 +172,7 @@
 fn ledger() {
     let mut points = Vec::new();
     for capacity in [1_000u64, 10_000, 100_000] {
-        let mut ledger = Ledger::first(Clocks::default(), capacity as usize);
+        let mut ledger = Ledger::for_new_shard(ClockBounds::default(), capacity as usize);
         let wall_ms = WallMs(10_000_000);
         let began = Instant::now();
         let requests = capacity * 3;
@@ -183,7 +183,7 @@
                 digest: number,
             };
             ledger.admit(request, wall_ms);
-            ledger.cut_off(request.key);
+            ledger.mark_interrupted(request.key);
         }
         points.push(Point {
             size: capacity as f64 / 1_000.0,
--- a/crates/traffic/src/dispatch.rs
+++ b/crates/traffic/src/dispatch.rs
@@ -24,7 +24,7 @@
 
 use std::sync::Arc;
 
-use berylhook_backpressure::gate::{LimitChange, LimitState, SignalNews, Withheld};
+use berylhook_backpressure::gate::{LimitChange, LimitState, SignalUpdate, WithheldReason};
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::BackpressureSignal;
 use berylhook_core::time::MonoMs;
@@ -412,7 +412,7 @@
         signal: BackpressureSignal,
         random: u64,
         now_ms: MonoMs,
-    ) -> SignalNews {
+    ) -> SignalUpdate {
         self.places.on_signal(of, signal, random, now_ms)
     }
 
@@ -450,7 +450,7 @@
 
     /// Requests that did not go to the target chosen first, by why, since this was last
     /// called.
-    pub fn take_kept_back(&mut self) -> IndexMap<Withheld, u32> {
+    pub fn take_kept_back(&mut self) -> IndexMap<WithheldReason, u32> {
         self.places.take_kept_back()
     }
 
@@ -470,7 +470,7 @@
     /// # Errors
     ///
     /// If its target takes none now: it has said so since the request was placed.
-    pub fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), Withheld> {
+    pub fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), WithheldReason> {
         self.places.admit(of, now_ms)
     }
 
--- a/crates/traffic/src/dispatch/places.rs
+++ b/crates/traffic/src/dispatch/places.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use berylhook_backpressure::gate::{Gate, LimitChange, LimitState, SignalNews, Withheld};
+use berylhook_backpressure::gate::{
+    AdmissionGate, LimitChange, LimitState, SignalUpdate, WithheldReason,
+};
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::BackpressureSignal;
 use berylhook_core::time::MonoMs;
@@ -37,7 +39,7 @@
     /// When any stream from it last brought an event.
     progressed_ms: MonoMs,
     /// What it said of how much it takes.
-    gate: Gate,
+    gate: AdmissionGate,
 }
 
 impl Place {
@@ -54,7 +56,7 @@
                 penalty: 0.0,
             },
             progressed_ms: MonoMs(0),
-            gate: Gate::default(),
+            gate: AdmissionGate::default(),
         }
     }
 
@@ -118,7 +120,7 @@
     /// The fixed part of a target's work, in requests.
     base_load: f64,
     /// Requests that did not go to the target chosen first, by why.
-    kept_back: IndexMap<Withheld, u32>,
+    kept_back: IndexMap<WithheldReason, u32>,
     /// By incarnation: what was learnt of a former one says nothing of a target
     /// that has started anew under the same id.
     places: IndexMap<Incarnation, Place>,
@@ -322,29 +324,30 @@
         signal: BackpressureSignal,
         random: u64,
         now_ms: MonoMs,
-    ) -> SignalNews {
+    ) -> SignalUpdate {
         let Some(place) = self.places.get_mut(of) else {
-            return SignalNews::default();
+            return SignalUpdate::default();
         };
-        let rest = signal.rest_ms.filter(|rest_ms| *rest_ms > 0);
-        let rest_ms = rest.filter(|rest_ms| place.gate.rest(*rest_ms, random, now_ms) == 0);
-        SignalNews {
-            limit: place.gate.hear(signal.limit, now_ms),
-            rest_ms,
-            leaves: signal.is_leaving && place.gate.leave_for_good(),
+        let rest = signal.backoff_ms.filter(|rest_ms| *rest_ms > 0);
+        let rest_ms =
+            rest.filter(|rest_ms| place.gate.start_backoff(*rest_ms, random, now_ms) == 0);
+        SignalUpdate {
+            limit: place.gate.on_limit_signal(signal.limit, now_ms),
+            backoff_ms: rest_ms,
+            is_newly_leaving: signal.is_leaving && place.gate.mark_leaving(),
         }
     }
 
     /// A target accepted a request; returns whether that ends the trial after a rest.
     pub(super) fn on_accepted(&mut self, by: &Incarnation, now_ms: MonoMs) -> bool {
         let place = self.places.get_mut(by);
-        place.is_some_and(|place| place.gate.accept(now_ms))
+        place.is_some_and(|place| place.gate.on_accepted(now_ms))
     }
 
     /// How much longer a target wants nothing from this entry.
     pub(super) fn rest_left_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
         let place = self.places.get(of);
-        place.map_or(0, |place| place.gate.rest_left_ms(now_ms))
+        place.map_or(0, |place| place.gate.backoff_left_ms(now_ms))
     }
 
     /// The limit that a target names.
@@ -360,19 +363,19 @@
         heard_ms: MonoMs,
     ) -> Option<LimitChange> {
         let place = self.places.get_mut(of)?;
-        place.gate.learn(limit, heard_ms)
+        place.gate.on_peer_report(limit, heard_ms)
     }
 
     /// Permits under a target's limit have come.
     pub(super) fn on_permits(&mut self, of: &Incarnation, count: u32, until_ms: MonoMs) {
         if let Some(place) = self.places.get_mut(of) {
-            place.gate.grant(count, until_ms);
+            place.gate.add_permits(count, until_ms);
         }
     }
 
     /// Requests that did not go to the target chosen first, by why, since this was last
     /// called.
-    pub(super) fn take_kept_back(&mut self) -> IndexMap<Withheld, u32> {
+    pub(super) fn take_kept_back(&mut self) -> IndexMap<WithheldReason, u32> {
         std::mem::take(&mut self.kept_back)
     }
 
@@ -397,27 +400,27 @@
     /// A request that has a place at the target is about to be sent.
     ///
     /// A target that is not listed any more is not asked to take it either.
-    pub(super) fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), Withheld> {
+    pub(super) fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), WithheldReason> {
         match self.places.get_mut(of) {
             Some(place) => place.gate.admit(now_ms),
-            None => Err(Withheld::NotListed),
+            None => Err(WithheldReason::NotListed),
         }
     }
 
     /// A request that has a place at the target goes away unsent.
     pub(super) fn leave_unsent(&mut self, of: &Incarnation) {
         if let Some(place) = self.places.get_mut(of) {
-            place.gate.leave();
+            place.gate.cancel_placement();
         }
     }
 
     /// When a target takes a request again, as far as they say; `None` if one does now, or
     /// all are about to leave.
     pub(super) fn takes_again_ms(&self, now_ms: MonoMs) -> Option<u64> {
-        if self.gates().any(|gate| gate.has_room(now_ms)) {
+        if self.gates().any(|gate| gate.can_place(now_ms)) {
             return None;
         }
-        let quiet = self.staying().map(|gate| gate.quiet_left_ms(now_ms));
+        let quiet = self.staying().map(|gate| gate.hold_off_left_ms(now_ms));
         let least_quiet_ms = quiet.filter(|left_ms| *left_ms > 0).min();
         [least_quiet_ms, self.turn_ms(now_ms)]
             .into_iter()
@@ -427,15 +430,15 @@
 
     /// For how long all targets rest that do not leave; 0 if one does not, or there is none.
     pub(super) fn all_rest_ms(&self, now_ms: MonoMs) -> u64 {
-        let rests = self.staying().map(|gate| gate.rest_left_ms(now_ms));
+        let rests = self.staying().map(|gate| gate.backoff_left_ms(now_ms));
         rests.min().unwrap_or(0)
     }
 
-    fn gates(&self) -> impl Iterator<Item = &Gate> {
+    fn gates(&self) -> impl Iterator<Item = &AdmissionGate> {
         self.places.values().map(|place| &place.gate)
     }
 
-    fn staying(&self) -> impl Iterator<Item = &Gate> {
+    fn staying(&self) -> impl Iterator<Item = &AdmissionGate> {
         self.gates().filter(|gate| !gate.is_leaving())
     }
 
@@ -444,8 +447,10 @@
     fn turn_ms(&self, now_ms: MonoMs) -> Option<u64> {
         let awake = self
             .staying()
-            .filter(|gate| gate.quiet_left_ms(now_ms) == 0);
-        let limits = awake.filter_map(Gate::limit).map(RequestRate::per_s);
+            .filter(|gate| gate.hold_off_left_ms(now_ms) == 0);
+        let limits = awake
+            .filter_map(AdmissionGate::limit)
+            .map(RequestRate::per_s);
         let per_s: f64 = limits.sum();
         #[allow(clippy::cast_precision_loss)] // a thousand entries at most
         let entries = self.membership.len() as f64;
@@ -474,7 +479,7 @@
         let choice = self.choose(exclude, random, now_ms, may_send);
         let kept_back = choice.kept_back.filter(|_| is_new);
         if let Some((_, place)) = kept_back.and_then(|index| self.places.get_index_mut(index)) {
-            let why = place.gate.keep_back(now_ms);
+            let why = place.gate.withhold(now_ms);
             *self.kept_back.entry(why).or_default() += 1;
         }
         let target = choice.target?;
@@ -554,7 +559,7 @@
             // A slow rank holds up every pass by its fixed part alone.
             let work = self.base_load + place.load(of_others, now_ms) + 1.0;
             let score = work * place.pace + place.preference.penalty;
-            match place.gate.has_room(now_ms) {
+            match place.gate.can_place(now_ms) {
                 true if best.is_none_or(|(least, _)| score < least) => best = Some((score, place)),
                 false if kept_back.is_none_or(|(least, _)| score < least) => {
                     kept_back = Some((score, index));
--- a/crates/traffic/tests/backpressure.rs
+++ b/crates/traffic/tests/backpressure.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use berylhook_backpressure::gate::Withheld;
+use berylhook_backpressure::gate::WithheldReason;
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::{BackpressureSignal, LimitSignal};
 use berylhook_core::time::MonoMs;
@@ -75,7 +75,7 @@
     assert_eq!(placed, vec![Some("b".into()); 4]);
     let states = dispatcher.take_limit_states(MonoMs(3));
     assert_eq!(states.len(), 1);
-    assert_eq!(states[0].1.wished, 4);
+    assert_eq!(states[0].1.requested, 4);
 }
 
 #[test]
@@ -142,12 +142,12 @@
 
     let admitted = dispatcher.admit(&of.incarnation, MonoMs(2));
 
-    assert_eq!(admitted, Err(Withheld::NotListed));
+    assert_eq!(admitted, Err(WithheldReason::NotListed));
 }
 
 fn rest(rest_ms: u64) -> BackpressureSignal {
     BackpressureSignal {
-        rest_ms: Some(rest_ms),
+        backoff_ms: Some(rest_ms),
         ..BackpressureSignal::default()
     }
 }
@@ -234,7 +234,7 @@
         .map(|ticket| place(&mut dispatcher, ticket, 3))
         .collect();
 
-    assert_eq!(admitted, Err(Withheld::Leaving));
+    assert_eq!(admitted, Err(WithheldReason::Leaving));
     assert!(
         placed
             .iter()
