--- a/crates/berylhook/src/commands/quarantine.rs
+++ b/crates/berylhook/src/commands/quarantine.rs
@@ -13,7 +13,7 @@
 use berylhook_core::time::WallMs;
 use berylhook_keyvalue::{Compare, KeyValue, Put, Txn};
 use berylhook_platform::key_value::PlatformKeyValue;
-use berylhook_quarantine::kept::{self, Kept};
+use berylhook_quarantine::stored::{self, StoredItem};
 use indexmap::{IndexMap, IndexSet};
 use serde_json::json;
 
@@ -34,7 +34,7 @@
 impl Known {
     fn kind(&self) -> &'static str {
         let kind = self.hold.as_ref().map(|hold| hold.kind);
-        kind.map_or("suspected", kept::kind_name)
+        kind.map_or("suspected", stored::kind_name)
     }
 }
 
@@ -62,9 +62,9 @@
 
 async fn read(key_value: &dyn KeyValue) -> anyhow::Result<IndexMap<RequestDigest, Known>> {
     let mut known: IndexMap<RequestDigest, Known> = IndexMap::new();
-    for item in key_value.range(kept::PREFIX).await?.kvs {
-        match kept::read(&item.key, Some(&item.value)) {
-            Ok(Kept::End {
+    for item in key_value.range(stored::PREFIX).await?.kvs {
+        match stored::read(&item.key, Some(&item.value)) {
+            Ok(StoredItem::Exit {
                 target, suspects, ..
             }) => {
                 for suspect in suspects {
@@ -72,12 +72,12 @@
                     request.ends.insert(Arc::clone(&target));
                 }
             }
-            Ok(Kept::Hold { digest, hold }) => {
+            Ok(StoredItem::Hold { digest, hold }) => {
                 let request = known.entry(digest).or_default();
                 request.hold = hold;
                 request.revision = Some(item.mod_revision);
             }
-            Ok(Kept::Outlived { .. } | Kept::Nothing) => {}
+            Ok(StoredItem::SurvivedRun { .. } | StoredItem::Irrelevant) => {}
             Err(error) => eprintln!("{}: {error}", item.key),
         }
     }
@@ -121,7 +121,7 @@
             .await?
             .swap_remove(&digest)
             .unwrap_or_default();
-        let key = kept::hold_key(digest);
+        let key = stored::hold_key(digest);
         let hold = Hold {
             lifted: match kind {
                 HoldKind::Lifted => known.ends.into_iter().collect(),
@@ -136,13 +136,13 @@
             }],
             puts: vec![Put {
                 key,
-                value: kept::hold_value(&hold),
+                value: stored::hold_value(&hold),
                 lease_id: 0,
             }],
             deletes: Vec::new(),
         };
         if key_value.commit(txn).await?.succeeded {
-            println!("{digest}  {}", kept::kind_name(kind));
+            println!("{digest}  {}", stored::kind_name(kind));
             return Ok(ExitCode::SUCCESS);
         }
     }
--- a/crates/berylhook/src/serve/attempt.rs
+++ b/crates/berylhook/src/serve/attempt.rs
@@ -14,7 +14,7 @@
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Cancel, Credit, Data, End, Head, Refused, Revoke, Start};
-use berylhook_quarantine::{Clearance, HeldBack, Patience};
+use berylhook_quarantine::{QuarantineRejection, RunClearance, WaitLimits};
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::fleet::Target;
@@ -52,7 +52,7 @@
     registration: Option<Registration>,
     identity: Arc<Identity>,
     /// What the request needed to be sent; given back with the attempt.
-    clearance: Clearance,
+    clearance: RunClearance,
     /// Until when the target may be at work on the run; `None` once the agent has told
     /// what became of it, or cannot tell any more.
     runs_until: Option<Instant>,
@@ -92,12 +92,12 @@
         }
     }
 
-    fn turn_patience(&self) -> Patience {
+    fn turn_patience(&self) -> WaitLimits {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let start_within = Duration::from_millis(self.start_within_ms);
-        Patience {
-            turn: start_within.min(left).mul_f64(TURN_SHARE),
-            answer: left,
+        WaitLimits {
+            lock_wait: start_within.min(left).mul_f64(TURN_SHARE),
+            response_wait: left,
         }
     }
 }
@@ -112,13 +112,13 @@
         node: &Arc<Node>,
         target: Arc<Target>,
         order: &Order,
-        mut clearance: Clearance,
-    ) -> Result<Option<Self>, HeldBack> {
+        mut clearance: RunClearance,
+    ) -> Result<Option<Self>, QuarantineRejection> {
         let identity = &order.identity;
         let patience = order.turn_patience();
         let suspects = &node.suspects;
         suspects
-            .clear(&**identity, &mut clearance, patience)
+            .acquire_clearance(&**identity, &mut clearance, patience)
             .await?;
         // Nothing may be awaited between leave to go and the order.
         let Some(connection) = target.link.connection() else {
@@ -171,7 +171,7 @@
     }
 
     /// Gives what a run that goes on with this one needs.
-    pub(crate) fn take_clearance(&mut self) -> Clearance {
+    pub(crate) fn take_clearance(&mut self) -> RunClearance {
         std::mem::take(&mut self.clearance)
     }
 
--- a/crates/berylhook/src/serve/control.rs
+++ b/crates/berylhook/src/serve/control.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use berylhook_keyvalue::{HttpVmList, KeyValue, VmList, VmState};
-use berylhook_quarantine::{Keeper, Surroundings, follow};
+use berylhook_quarantine::{ClusterAccess, Replicator, follow_store};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
@@ -40,7 +40,7 @@
     /// Only read, to answer operators.
     pub(crate) fleet: Arc<Fleet>,
     /// Takes and tells news of requests under which targets end.
-    pub(crate) keeper: Arc<Keeper>,
+    pub(crate) keeper: Arc<Replicator>,
     vm_list: Arc<dyn VmList>,
     sources: RefCell<HashSet<Arc<str>>>,
 }
@@ -57,13 +57,13 @@
         .build()
         .expect("the control runtime starts");
     let platform = &node.settings.platform;
-    let surroundings: Arc<dyn Surroundings> = Arc::new(ServeSurroundings {
+    let surroundings: Arc<dyn ClusterAccess> = Arc::new(ServeSurroundings {
         node: Arc::clone(&node),
         store,
     });
     let suspects = &node.suspects;
-    let following = follow(Arc::clone(suspects), Arc::clone(&surroundings));
-    let keeper = Arc::new(Keeper::new(Arc::clone(suspects), surroundings));
+    let following = follow_store(Arc::clone(suspects), Arc::clone(&surroundings));
+    let keeper = Arc::new(Replicator::new(Arc::clone(suspects), surroundings));
     let control = Rc::new(Control {
         key_value,
         keeper,
--- a/crates/berylhook/src/serve/dispatch.rs
+++ b/crates/berylhook/src/serve/dispatch.rs
@@ -9,7 +9,7 @@
 use berylhook_core::outcome::Outcome;
 use berylhook_core::retry::{self, RetryDecision};
 use berylhook_operator::{Catalogue, Repeat};
-use berylhook_quarantine::{Clearance, HeldBack};
+use berylhook_quarantine::{QuarantineRejection, RunClearance};
 use tokio::time::Instant;
 
 use super::attempt::Attempt;
@@ -129,8 +129,8 @@
         &self,
         job: &mut Job,
         target: &Arc<Target>,
-    ) -> Result<Option<Attempt>, HeldBack> {
-        let clearance = Clearance::default();
+    ) -> Result<Option<Attempt>, QuarantineRejection> {
+        let clearance = RunClearance::default();
         let begun = Attempt::begin(&self.node, Arc::clone(target), &job.order, clearance).await?;
         let Some(attempt) = begun else {
             return Ok(None);
--- a/crates/berylhook/src/serve/node.rs
+++ b/crates/berylhook/src/serve/node.rs
@@ -11,7 +11,7 @@
 use berylhook_operator::Catalogue;
 use berylhook_operator::settings::EntrySettings;
 use berylhook_peer::{Documents, Key, KeyRing};
-use berylhook_quarantine::Suspects;
+use berylhook_quarantine::SuspectTracker;
 use tokio::sync::{mpsc, watch};
 
 use super::burn::Burn;
@@ -46,7 +46,7 @@
     pub(crate) burn: Burn,
     pub(crate) limiter: Arc<Limiter>,
     /// Requests under which targets end.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) quarantine_counts: Arc<QuarantineCounts>,
     /// Documents that agents tell, on their way to the control thread.
     offers: OnceLock<mpsc::UnboundedSender<Told>>,
@@ -78,7 +78,7 @@
         let quarantine_counts = Arc::new(QuarantineCounts::default());
         Ok(Self {
             suspects: Arc::new(
-                Suspects::new(Arc::clone(&quarantine_counts) as _).following_store(),
+                SuspectTracker::new(Arc::clone(&quarantine_counts) as _).with_store_follower(),
             ),
             quarantine_counts,
             keys: KeyRing::new(key, previous),
@@ -114,7 +114,7 @@
 
     pub(crate) fn is_ready(&self) -> bool {
         self.has_catalogue.load(Ordering::SeqCst)
-            && !self.suspects.is_ignorant()
+            && !self.suspects.is_uninformed()
             && !*self.stopping.borrow()
     }
 
--- a/crates/berylhook/src/serve/peers.rs
+++ b/crates/berylhook/src/serve/peers.rs
@@ -124,7 +124,7 @@
     Answer {
         answerer: control.node.settings.node.name.to_string(),
         kind: Some(kind),
-        suspicions_summary: control.node.suspects.told_summary(),
+        suspicions_summary: control.node.suspects.summary_for_peers(),
     }
 }
 
--- a/crates/berylhook/src/serve/quarantine.rs
+++ b/crates/berylhook/src/serve/quarantine.rs
@@ -15,7 +15,10 @@
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Answer, End, Suspicions, answer, question};
 use berylhook_platform::store::Store;
-use berylhook_quarantine::{Asking, Clearance, Gauges, Keeper, Loss, News, Surroundings, Telling};
+use berylhook_quarantine::{
+    ClusterAccess, LostRequest, QuarantineMetrics, QuarantineUpdate, Replicator, RequestIdentity,
+    RunClearance, UpdateReply,
+};
 use bytes::Bytes;
 use tokio::time::{Instant, timeout_at};
 
@@ -52,17 +55,17 @@
         }
     }
 
-    fn loss(&self, ran_alone: bool) -> Loss {
-        Loss {
+    fn loss(&self, ran_alone: bool) -> LostRequest {
+        LostRequest {
             digest: self.digest(),
             ran_alone,
-            request: self.id.to_string().into(),
+            attempt_id: self.id.to_string().into(),
             account: Arc::clone(&self.account),
         }
     }
 }
 
-impl Asking for Identity {
+impl RequestIdentity for Identity {
     fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             RequestDigest::of(&RequestContent {
@@ -83,9 +86,9 @@
 pub(crate) fn on_run_end(node: &Node, identity: &Identity, ran_alone: bool, end: &End) {
     let suspects = &node.suspects;
     match (end.whole, end.ended_target.as_str()) {
-        (true, _) if suspects.is_active() => suspects.on_outlived(identity.digest()),
+        (true, _) if suspects.is_active() => suspects.on_survived_run(identity.digest()),
         (true, _) | (false, "") => {}
-        (false, target) => suspects.on_ended(&target.into(), &[identity.loss(ran_alone)]),
+        (false, target) => suspects.on_target_exit(&target.into(), &[identity.loss(ran_alone)]),
     }
 }
 
@@ -95,7 +98,7 @@
     pub(crate) registration: Registration,
     pub(crate) identity: Arc<Identity>,
     /// Given back once it is known how the run ended.
-    pub(crate) clearance: Clearance,
+    pub(crate) clearance: RunClearance,
     /// Until when the target may be at work on it.
     pub(crate) runs_until: Instant,
 }
@@ -127,7 +130,7 @@
     pub(crate) store: SocketAddr,
 }
 
-impl Surroundings for ServeSurroundings {
+impl ClusterAccess for ServeSurroundings {
     fn name(&self) -> Arc<str> {
         Arc::clone(&self.node.settings.node.name)
     }
@@ -141,14 +144,14 @@
         others.into_iter().map(|vm| vm.address).collect()
     }
 
-    fn tell(&self, peer: SocketAddr, news: News) -> Telling<'_> {
+    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_> {
         let question = question::Kind::Suspicions(message(&news));
         Box::pin(async move {
             let told = peers::ask(&self.node, peer, question).await;
             let told = told.map_err(|error| format!("{error:#}"))?;
             match told.kind {
                 Some(answer::Kind::Suspicions(told)) => {
-                    News::from_bytes(&told.news).map_err(|error| error.to_string())
+                    QuarantineUpdate::from_bytes(&told.news).map_err(|error| error.to_string())
                 }
                 _ => Err("it is of a version that keeps no suspicions".to_owned()),
             }
@@ -156,16 +159,16 @@
     }
 }
 
-fn message(news: &News) -> Suspicions {
+fn message(news: &QuarantineUpdate) -> Suspicions {
     Suspicions {
         news: news.to_bytes().into(),
     }
 }
 
 /// Answers another entry's news.
-pub(crate) fn answer_news(keeper: &Keeper, told: &Suspicions) -> Suspicions {
-    match News::from_bytes(&told.news) {
-        Ok(news) => message(&keeper.take_news(news)),
+pub(crate) fn answer_news(keeper: &Replicator, told: &Suspicions) -> Suspicions {
+    match QuarantineUpdate::from_bytes(&told.news) {
+        Ok(news) => message(&keeper.apply_update(news)),
         Err(error) => {
             log::warn!("what another entry suspects is left out: {error}");
             Suspicions::default()
@@ -176,7 +179,7 @@
 /// Compares what another entry knows, by the summary in its answer to a digest.
 pub(crate) fn on_answer(node: &Node, address: SocketAddr, answer: &Answer) {
     if let Some(summary) = answer.suspicions_summary {
-        node.suspects.on_summary(address, summary);
+        node.suspects.on_peer_summary(address, summary);
     }
 }
 
@@ -191,13 +194,13 @@
     pub(crate) held: AtomicU64,
 }
 
-impl Gauges for QuarantineCounts {
-    fn set_standings(&self, suspected: usize, held: usize) {
+impl QuarantineMetrics for QuarantineCounts {
+    fn set_request_counts(&self, suspected: usize, held: usize) {
         self.suspected.store(suspected as u64, Ordering::Relaxed);
         self.held.store(held as u64, Ordering::Relaxed);
     }
 
-    fn add_ended(&self, requests: usize) {
+    fn add_requests_at_exit(&self, requests: usize) {
         let ended = &self.ended_under_requests;
         ended.fetch_add(requests as u64, Ordering::Relaxed);
     }
--- a/crates/berylhook/src/serve/refusals.rs
+++ b/crates/berylhook/src/serve/refusals.rs
@@ -4,7 +4,7 @@
 use berylhook_core::attempt::Verdict;
 use berylhook_core::outcome::{Outcome, Refusal};
 use berylhook_core::time::MonoMs;
-use berylhook_quarantine::{Asking, HeldBack};
+use berylhook_quarantine::{QuarantineRejection, RequestIdentity};
 use tokio::time::Instant;
 
 use super::fleet::Target;
@@ -48,15 +48,15 @@
 }
 
 /// The final answer to a request that is not sent because targets end under it.
-pub(super) fn held_back(job: &Job, held: HeldBack) -> Refused {
+pub(super) fn held_back(job: &Job, held: QuarantineRejection) -> Refused {
     let back_ms = held
-        .back
+        .retry_after
         .map(|back| u64::try_from(back.as_millis()).unwrap_or(u64::MAX));
     log::warn!(
         request:% = job.call.id,
         account = &*job.call.account.name,
         digest:% = job.order.identity.digest(),
-        why = held.why,
+        why = held.reason,
         back_ms = back_ms.unwrap_or_default();
         "a request was held back"
     );
--- a/crates/berylhook/src/serve/streaming.rs
+++ b/crates/berylhook/src/serve/streaming.rs
@@ -140,7 +140,7 @@
             return None;
         }
         Err(held) => {
-            log::info!("request {}: not resumed, {}", job.call.id, held.why);
+            log::info!("request {}: not resumed, {}", job.call.id, held.reason);
             return None;
         }
     };
--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -4,7 +4,7 @@
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
 use berylhook_core::ledger::{ClockBounds, KeyedRequest, Ledger};
-use berylhook_core::quarantine::{End, Quarantine, Suspect};
+use berylhook_core::quarantine::{Quarantine, Suspect, TargetExit};
 use berylhook_core::route::{
     Availability, RouteConfig, RouteQuery, Router, TargetId, prefix_blocks,
 };
@@ -79,7 +79,7 @@
     };
     let mut full = Quarantine::default();
     for target in 0..256 {
-        full.on_end(&End {
+        full.on_exit(&TargetExit {
             target: format!("i-{target}").into(),
             at_ms: MonoMs(target * 10),
             suspects: (0..64)
@@ -97,7 +97,7 @@
         ("unknown", unknown),
     ] {
         criterion.bench_function(&format!("standing of a request {name}"), |bencher| {
-            bencher.iter(|| full.standing(black_box(asked), MonoMs(3_000), WallMs(1)));
+            bencher.iter(|| full.status(black_box(asked), MonoMs(3_000), WallMs(1)));
         });
     }
 }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -6,11 +6,11 @@
 //! them are suspects and at most one is to blame.
 //!
 //! What is kept are facts that entries tell each other: which target ended, and with which
-//! requests ([`End`]), and which suspects a target has [outlived](Outlived). Facts are
+//! requests ([`TargetExit`]), and which suspects a target has [survived](SurvivedRun). Facts are
 //! merged by union, so their order and number do not matter. What follows is derived from
 //! them, the same at each entry:
 //!
-//! | Ends, less runs outlived since | [`Standing`] | What it means |
+//! | Ends, less runs outlived since | [`QuarantineStatus`] | What it means |
 //! |---|---|---|
 //! | 0 | `Clear` | it goes like any other |
 //! | 1 | `Suspect` | one run at a time over all entries |
@@ -25,12 +25,12 @@
 //! back for minutes.
 //!
 //! Targets are also killed by what no request did, many at once. An end with others around
-//! it (see [`CROWD_MS`]) is doubtful; where most are, a request is held back only after
-//! [`HELD_AT_ANY`] of them.
+//! it (see [`CORRELATION_WINDOW_MS`]) is doubtful; where most are, a request is held back only after
+//! [`CORRELATED_HOLD_THRESHOLD`] of them.
 //!
 //! Where targets run in lock-step groups, one end stops a whole group for seconds. There two
-//! ends hold a request for [`GROUP_WAIT_MS`], if it is the only one that explains both (see
-//! [`Quarantine::standing_in_group`]).
+//! ends hold a request for [`GROUP_HOLD_MS`], if it is the only one that explains both (see
+//! [`Quarantine::status_in_group`]).
 //!
 //! A request is held only if it alone explains its ends. While another one that no target has
 //! outlived since was at all of them, both are on trial, and their runs tell them apart.
@@ -61,7 +61,7 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-pub use self::facts::{End, Facts, Outlived, Suspect};
+pub use self::facts::{Facts, SurvivedRun, Suspect, TargetExit};
 pub use self::hold::{Hold, HoldKind};
 use crate::digest::RequestDigest;
 use crate::time::{MonoMs, WallMs};
@@ -69,30 +69,30 @@
 /// Ends after which a request is held, if enough of them stand alone. Two may be chance: of
 /// sixteen targets the second to end runs a former neighbour of the guilty request often
 /// enough.
-pub const HELD_AT: usize = 3;
+pub const HOLD_THRESHOLD: usize = 3;
 
 /// How long two ends hold a request that stops a group with each: a trial stops a group for
 /// four seconds, and two ends may be chance, so it is longer than that and shorter than the
 /// wait after three.
-pub const GROUP_WAIT_MS: u64 = 60_000;
+pub const GROUP_HOLD_MS: u64 = 60_000;
 
 /// Ends after which a request is held even if others ended beside each of them.
-pub const HELD_AT_ANY: usize = 5;
+pub const CORRELATED_HOLD_THRESHOLD: usize = 5;
 
 /// Ends within this time of each other are taken to have one cause: a loss of power or a
 /// kill hits its targets within a second, and each entry notices in its own time.
-pub const CROWD_MS: u64 = 1_000;
+pub const CORRELATION_WINDOW_MS: u64 = 1_000;
 
 /// A fact counts for this long. Callers that repeat a request do so within minutes, and
 /// the platform's longest lease, by which facts are kept, is as long.
-pub const FACTS_FADE_MS: u64 = 600_000;
+pub const FACT_TTL_MS: u64 = 600_000;
 
 /// Suspects of one end: more than a large target runs and queues for all entries together.
 const MOST_SUSPECTS: usize = 64;
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// It goes like any other.
     Clear,
     /// One target ended with it: one run at a time.
@@ -102,11 +102,11 @@
     /// It is refused.
     Held {
         /// Time until its next trial; `None` if an operator has to lift it.
-        back_ms: Option<u64>,
+        retry_after_ms: Option<u64>,
     },
 }
 
-impl Standing {
+impl QuarantineStatus {
     /// The name in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -169,7 +169,7 @@
     }
 
     /// Takes up that a target ended; returns the suspects that are new to this end.
-    pub fn on_end(&mut self, end: &End) -> Vec<RequestDigest> {
+    pub fn on_exit(&mut self, end: &TargetExit) -> Vec<RequestDigest> {
         let known = self.ends.entry(Arc::clone(&end.target));
         let record = known.or_insert_with(|| EndRecord {
             at_ms: end.at_ms,
@@ -201,7 +201,7 @@
     ///
     /// The news of its end may come later: messages are lost and told again. Were this one
     /// forgotten meanwhile, the request would stay a suspect here alone, for ten minutes.
-    pub fn on_outlived(&mut self, outlived: &Outlived) -> bool {
+    pub fn on_survived_run(&mut self, outlived: &SurvivedRun) -> bool {
         let known = self.requests.get(&outlived.digest);
         let is_suspect = known.is_some_and(|request| !request.is_idle());
         let request = self.requests.entry(outlived.digest).or_default();
@@ -244,22 +244,29 @@
 
     /// What may be done with the request now.
     #[must_use]
-    pub fn standing(&self, digest: RequestDigest, now_ms: MonoMs, wall_ms: WallMs) -> Standing {
+    pub fn status(
+        &self,
+        digest: RequestDigest,
+        now_ms: MonoMs,
+        wall_ms: WallMs,
+    ) -> QuarantineStatus {
         let Some(request) = self.requests.get(&digest) else {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         };
         let kind = request.hold.as_ref().map(|learnt| learnt.hold.kind);
         match (kind, self.derived(digest, request, now_ms)) {
-            (Some(HoldKind::Pinned), _) => Standing::Held { back_ms: None },
+            (Some(HoldKind::Pinned), _) => QuarantineStatus::Held {
+                retry_after_ms: None,
+            },
             (Some(HoldKind::Held), _) => {
                 let back_ms = request
                     .hold
                     .as_ref()
-                    .map_or(0, |it| it.hold.back_ms(wall_ms));
+                    .map_or(0, |it| it.hold.retry_after_ms(wall_ms));
                 match back_ms {
-                    0 => Standing::OnTrial,
-                    _ => Standing::Held {
-                        back_ms: Some(back_ms),
+                    0 => QuarantineStatus::OnTrial,
+                    _ => QuarantineStatus::Held {
+                        retry_after_ms: Some(back_ms),
                     },
                 }
             }
@@ -274,16 +281,18 @@
     /// request explains both of them, and nothing else ended beside either. They do so too
     /// where they came together: a request that all callers send is not the only one then.
     #[must_use]
-    pub fn standing_in_group(
+    pub fn status_in_group(
         &self,
         digest: RequestDigest,
         now_ms: MonoMs,
         wall_ms: WallMs,
-    ) -> Standing {
-        let standing = self.standing(digest, now_ms, wall_ms);
+    ) -> QuarantineStatus {
+        let standing = self.status(digest, now_ms, wall_ms);
         let request = self.requests.get(&digest);
         match (standing, request) {
-            (Standing::Suspect | Standing::OnTrial, Some(request)) if request.hold.is_none() => {
+            (QuarantineStatus::Suspect | QuarantineStatus::OnTrial, Some(request))
+                if request.hold.is_none() =>
+            {
                 self.held_as_sole_suspect(digest, request, now_ms)
                     .unwrap_or(standing)
             }
@@ -292,14 +301,14 @@
     }
 
     /// The targets that ended with the request.
-    pub fn ends_of(&self, digest: RequestDigest) -> impl Iterator<Item = &Arc<str>> {
+    pub fn exits_of(&self, digest: RequestDigest) -> impl Iterator<Item = &Arc<str>> {
         let request = self.requests.get(&digest);
         request.into_iter().flat_map(|request| request.ends.keys())
     }
 
     /// Whether that target is known to have ended.
     #[must_use]
-    pub fn has_ended(&self, target: &str) -> bool {
+    pub fn has_exited(&self, target: &str) -> bool {
         self.ends.contains_key(target)
     }
 
@@ -309,7 +318,7 @@
     /// Facts fade after minutes, and a loss of power takes them from all entries; what is
     /// kept in the store lasts, and counts the trials that failed.
     #[must_use]
-    pub fn unrecorded(&self, now_ms: MonoMs, wall_ms: WallMs) -> Vec<(RequestDigest, Hold)> {
+    pub fn unrecorded_holds(&self, now_ms: MonoMs, wall_ms: WallMs) -> Vec<(RequestDigest, Hold)> {
         let requests = self.requests.iter();
         requests
             .filter_map(|(digest, request)| {
@@ -334,7 +343,7 @@
     /// Requests that the store keeps and nobody has asked for long after their trial was
     /// due.
     #[must_use]
-    pub fn forgettable(&self, wall_ms: WallMs) -> Vec<RequestDigest> {
+    pub fn expired_holds(&self, wall_ms: WallMs) -> Vec<RequestDigest> {
         let requests = self.requests.iter();
         let held = requests.filter_map(|(digest, it)| Some((digest, it.hold.as_ref()?)));
         held.filter(|(_, learnt)| learnt.hold.is_forgettable(wall_ms))
@@ -345,14 +354,14 @@
     /// All facts that count, for an entry that may have missed some.
     #[must_use]
     pub fn facts(&self, now_ms: MonoMs) -> Facts {
-        let ends = self.ends.iter().map(|(target, end)| End {
+        let ends = self.ends.iter().map(|(target, end)| TargetExit {
             target: Arc::clone(target),
             at_ms: end.at_ms,
             suspects: suspects_of(end),
         });
         let requests = self.requests.iter();
         let outlived = requests.flat_map(|(digest, request)| {
-            request.outlived.iter().map(|(run, at_ms)| Outlived {
+            request.outlived.iter().map(|(run, at_ms)| SurvivedRun {
                 digest: *digest,
                 run: Arc::clone(run),
                 at_ms: *at_ms,
@@ -385,11 +394,11 @@
     #[must_use]
     pub fn counts(&self, now_ms: MonoMs, wall_ms: WallMs) -> (usize, usize) {
         let standings = self.requests.keys();
-        let standings = standings.map(|digest| self.standing(*digest, now_ms, wall_ms));
+        let standings = standings.map(|digest| self.status(*digest, now_ms, wall_ms));
         standings.fold((0, 0), |(suspects, held), standing| match standing {
-            Standing::Clear => (suspects, held),
-            Standing::Suspect | Standing::OnTrial => (suspects + 1, held),
-            Standing::Held { .. } => (suspects, held + 1),
+            QuarantineStatus::Clear => (suspects, held),
+            QuarantineStatus::Suspect | QuarantineStatus::OnTrial => (suspects + 1, held),
+            QuarantineStatus::Held { .. } => (suspects, held + 1),
         })
     }
 }
--- a/crates/core/src/quarantine/bounds.rs
+++ b/crates/core/src/quarantine/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{FACTS_FADE_MS, HoldKind, Quarantine, Record};
+use super::{FACT_TTL_MS, HoldKind, Quarantine, Record};
 use crate::time::MonoMs;
 
 /// Ends that are remembered. A fleet that loses more in ten minutes has other troubles;
@@ -20,8 +20,8 @@
 
 impl Quarantine {
     /// Forgets facts that are too old to count.
-    pub fn fade(&mut self, now_ms: MonoMs) {
-        let is_fresh = |at_ms: MonoMs| now_ms.since(at_ms) < FACTS_FADE_MS;
+    pub fn expire_facts(&mut self, now_ms: MonoMs) {
+        let is_fresh = |at_ms: MonoMs| now_ms.since(at_ms) < FACT_TTL_MS;
         self.ends.retain(|_, end| is_fresh(end.at_ms));
         for request in self.requests.values_mut() {
             request.outlived.retain(|_, at_ms| is_fresh(*at_ms));
--- a/crates/core/src/quarantine/derive.rs
+++ b/crates/core/src/quarantine/derive.rs
@@ -3,7 +3,10 @@
 use std::sync::Arc;
 
 use super::explain::Explanation;
-use super::{CROWD_MS, GROUP_WAIT_MS, HELD_AT_ANY, Quarantine, Record, Standing, hold};
+use super::{
+    CORRELATED_HOLD_THRESHOLD, CORRELATION_WINDOW_MS, GROUP_HOLD_MS, Quarantine, QuarantineStatus,
+    Record, hold,
+};
 use crate::digest::RequestDigest;
 use crate::time::MonoMs;
 
@@ -26,32 +29,39 @@
         digest: RequestDigest,
         request: &Record,
         now_ms: MonoMs,
-    ) -> Standing {
+    ) -> QuarantineStatus {
         let ends = self.counted_ends(request);
         let counted = self.apart(request, &ends);
         let net = self.net(&counted, request);
         let alone = counted.iter().filter(|end| !self.is_crowded(end, digest));
         match net {
-            0 => Standing::Clear,
-            1 => Standing::Suspect,
-            TRIAL_AT => Standing::OnTrial,
-            _ if net < HELD_AT_ANY && alone.count() < ALONE_AT => Standing::OnTrial,
+            0 => QuarantineStatus::Clear,
+            1 => QuarantineStatus::Suspect,
+            TRIAL_AT => QuarantineStatus::OnTrial,
+            _ if net < CORRELATED_HOLD_THRESHOLD && alone.count() < ALONE_AT => {
+                QuarantineStatus::OnTrial
+            }
             _ => self.held_if_sole(digest, &ends, now_ms),
         }
     }
 
     /// The standing of a request that enough ends speak against.
-    fn held_if_sole(&self, digest: RequestDigest, ends: &[&Arc<str>], now_ms: MonoMs) -> Standing {
+    fn held_if_sole(
+        &self,
+        digest: RequestDigest,
+        ends: &[&Arc<str>],
+        now_ms: MonoMs,
+    ) -> QuarantineStatus {
         let waited_ms = now_ms.since(self.newest(ends));
         let left_ms = hold::FIRST_WAIT_MS.saturating_sub(waited_ms);
         match self.explanation(digest, ends, now_ms) {
-            _ if left_ms == 0 => Standing::OnTrial,
-            Explanation::Shared => Standing::OnTrial,
-            Explanation::Open { known_in_ms } => Standing::Held {
-                back_ms: Some(known_in_ms),
+            _ if left_ms == 0 => QuarantineStatus::OnTrial,
+            Explanation::Shared => QuarantineStatus::OnTrial,
+            Explanation::Open { known_in_ms } => QuarantineStatus::Held {
+                retry_after_ms: Some(known_in_ms),
             },
-            Explanation::Sole => Standing::Held {
-                back_ms: Some(left_ms),
+            Explanation::Sole => QuarantineStatus::Held {
+                retry_after_ms: Some(left_ms),
             },
         }
     }
@@ -64,8 +74,10 @@
         now_ms: MonoMs,
     ) -> bool {
         let ends = self.counted_ends(request);
-        matches!(self.derived(digest, request, now_ms), Standing::Held { .. })
-            && self.explanation(digest, &ends, now_ms) == Explanation::Sole
+        matches!(
+            self.derived(digest, request, now_ms),
+            QuarantineStatus::Held { .. }
+        ) && self.explanation(digest, &ends, now_ms) == Explanation::Sole
     }
 
     /// The hold of a request that alone explains its ends; `None` if it does not, or its trial
@@ -75,15 +87,15 @@
         digest: RequestDigest,
         request: &Record,
         now_ms: MonoMs,
-    ) -> Option<Standing> {
+    ) -> Option<QuarantineStatus> {
         let ends = self.counted_ends(request);
         let is_alone = ends.iter().all(|end| !self.is_crowded(end, digest));
         let is_shared = self.explanation(digest, &ends, now_ms) == Explanation::Shared;
-        let left_ms = GROUP_WAIT_MS.checked_sub(now_ms.since(self.newest(&ends)))?;
+        let left_ms = GROUP_HOLD_MS.checked_sub(now_ms.since(self.newest(&ends)))?;
         let is_enough = self.net(&ends, request) >= TRIAL_AT;
         let is_held = is_enough && is_alone && !is_shared && left_ms > 0;
-        is_held.then_some(Standing::Held {
-            back_ms: Some(left_ms),
+        is_held.then_some(QuarantineStatus::Held {
+            retry_after_ms: Some(left_ms),
         })
     }
 
@@ -148,7 +160,7 @@
                 .at_ms
                 .since(own.at_ms)
                 .max(own.at_ms.since(other.at_ms));
-            apart_ms <= CROWD_MS && !other.suspects.contains_key(&digest)
+            apart_ms <= CORRELATION_WINDOW_MS && !other.suspects.contains_key(&digest)
         })
     }
 }
--- a/crates/core/src/quarantine/facts.rs
+++ b/crates/core/src/quarantine/facts.rs
@@ -7,7 +7,7 @@
 
 /// A target ended, and these requests with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct TargetExit {
     /// The target's incarnation.
     pub target: Arc<str>,
     /// When it was noticed.
@@ -27,7 +27,7 @@
 
 /// A target has outlived a run of a request that is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outlived {
+pub struct SurvivedRun {
     /// The request.
     pub digest: RequestDigest,
     /// Names the run: one that is told twice counts once.
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
     /// Targets that ended.
-    pub ends: Vec<End>,
+    pub exits: Vec<TargetExit>,
     /// Runs that targets outlived.
-    pub outlived: Vec<Outlived>,
+    pub survived_runs: Vec<SurvivedRun>,
     /// The holder's clock: readings of two processes cannot be compared, ages can.
     pub now_ms: MonoMs,
 }
@@ -50,10 +50,10 @@
 impl Facts {
     /// Facts at `now_ms`.
     #[must_use]
-    pub fn new(ends: Vec<End>, outlived: Vec<Outlived>, now_ms: MonoMs) -> Self {
+    pub fn new(exits: Vec<TargetExit>, survived_runs: Vec<SurvivedRun>, now_ms: MonoMs) -> Self {
         Self {
-            ends,
-            outlived,
+            exits,
+            survived_runs,
             now_ms,
         }
     }
@@ -61,18 +61,18 @@
     /// Whether there are none.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.outlived.is_empty()
+        self.exits.is_empty() && self.survived_runs.is_empty()
     }
 
     /// The same facts by the clock of a process that reads `now_ms` at this moment.
     #[must_use]
-    pub fn at(mut self, now_ms: MonoMs) -> Self {
+    pub fn rebased_to(mut self, now_ms: MonoMs) -> Self {
         let told_ms = self.now_ms;
         let shift = |at_ms: MonoMs| MonoMs(now_ms.0.saturating_sub(told_ms.since(at_ms)));
-        for end in &mut self.ends {
+        for end in &mut self.exits {
             end.at_ms = shift(end.at_ms);
         }
-        for outlived in &mut self.outlived {
+        for outlived in &mut self.survived_runs {
             outlived.at_ms = shift(outlived.at_ms);
         }
         self.now_ms = now_ms;
--- a/crates/core/src/quarantine/hold.rs
+++ b/crates/core/src/quarantine/hold.rs
@@ -71,7 +71,7 @@
 
     /// Time until the next trial; 0 once it is due.
     #[must_use]
-    pub fn back_ms(&self, wall_ms: WallMs) -> u64 {
+    pub fn retry_after_ms(&self, wall_ms: WallMs) -> u64 {
         let due_ms = self.since.0.saturating_add(self.wait_ms());
         // A clock that was set back must not hold a request for longer than it waits.
         due_ms.saturating_sub(wall_ms.0).min(self.wait_ms())
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,8 +4,8 @@
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
 use berylhook_core::quarantine::{
-    CROWD_MS, End, FACTS_FADE_MS, GROUP_WAIT_MS, HELD_AT, HELD_AT_ANY, Hold, HoldKind, Outlived,
-    Quarantine, Standing, Suspect,
+    CORRELATED_HOLD_THRESHOLD, CORRELATION_WINDOW_MS, FACT_TTL_MS, GROUP_HOLD_MS, HOLD_THRESHOLD,
+    Hold, HoldKind, Quarantine, QuarantineStatus, SurvivedRun, Suspect, TargetExit,
 };
 use berylhook_core::time::{MonoMs, WallMs};
 use proptest::prelude::*;
@@ -23,8 +23,8 @@
     })
 }
 
-fn end(target: u64, at_ms: u64, suspects: &[u64]) -> End {
-    End {
+fn end(target: u64, at_ms: u64, suspects: &[u64]) -> TargetExit {
+    TargetExit {
         target: format!("i-{target}").into(),
         at_ms: MonoMs(at_ms),
         suspects: suspects
@@ -35,8 +35,8 @@
 }
 
 /// The same with requests that did not run alone.
-fn end_among_others(target: u64, at_ms: u64, suspects: &[u64]) -> End {
-    End {
+fn end_among_others(target: u64, at_ms: u64, suspects: &[u64]) -> TargetExit {
+    TargetExit {
         suspects: suspects
             .iter()
             .map(|number| suspect(*number, false))
@@ -52,8 +52,8 @@
     }
 }
 
-fn outlived(number: u64, run: u64, at_ms: u64) -> Outlived {
-    Outlived {
+fn outlived(number: u64, run: u64, at_ms: u64) -> SurvivedRun {
+    SurvivedRun {
         digest: digest(number),
         run: format!("entry-1/{run}").into(),
         at_ms: MonoMs(at_ms),
@@ -64,13 +64,13 @@
 fn after_ends(count: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 0..count {
-        quarantine.on_end(&end(number, number * 10_000, &[1, 100 + number]));
+        quarantine.on_exit(&end(number, number * 10_000, &[1, 100 + number]));
     }
     quarantine
 }
 
-fn standing_at(quarantine: &Quarantine, number: u64, now_ms: u64) -> Standing {
-    quarantine.standing(digest(number), MonoMs(now_ms), WALL)
+fn standing_at(quarantine: &Quarantine, number: u64, now_ms: u64) -> QuarantineStatus {
+    quarantine.status(digest(number), MonoMs(now_ms), WALL)
 }
 
 #[test]
@@ -89,7 +89,7 @@
     for neighbour in 100..103 {
         assert_eq!(
             standing_at(&quarantine, neighbour, 20_000),
-            Standing::Suspect
+            QuarantineStatus::Suspect
         );
     }
 }
@@ -98,10 +98,10 @@
 fn a_target_that_outlives_a_suspect_clears_it() {
     let mut quarantine = after_ends(1);
 
-    assert!(quarantine.on_outlived(&outlived(1, 1, 500)));
-    assert!(!quarantine.on_outlived(&outlived(1, 1, 500)));
+    assert!(quarantine.on_survived_run(&outlived(1, 1, 500)));
+    assert!(!quarantine.on_survived_run(&outlived(1, 1, 500)));
 
-    assert_eq!(standing_at(&quarantine, 1, 600), Standing::Clear);
+    assert_eq!(standing_at(&quarantine, 1, 600), QuarantineStatus::Clear);
 }
 
 // Symptom: one entry of a fleet lets a cleared request run one at a time for ten minutes, and
@@ -112,11 +112,11 @@
 fn what_was_outlived_counts_also_if_it_is_heard_before_the_end() {
     let mut quarantine = Quarantine::default();
 
-    quarantine.on_outlived(&outlived(1, 1, 500));
-    quarantine.on_end(&end_among_others(1, 100, &[1, 2]));
+    quarantine.on_survived_run(&outlived(1, 1, 500));
+    quarantine.on_exit(&end_among_others(1, 100, &[1, 2]));
 
-    assert_eq!(standing_at(&quarantine, 1, 600), Standing::Clear);
-    assert_eq!(standing_at(&quarantine, 2, 600), Standing::Suspect);
+    assert_eq!(standing_at(&quarantine, 1, 600), QuarantineStatus::Clear);
+    assert_eq!(standing_at(&quarantine, 2, 600), QuarantineStatus::Suspect);
 }
 
 // Symptom: a process grows. Sequence: peers tell of thousands of runs of requests that it
@@ -125,12 +125,12 @@
 fn runs_heard_of_early_are_bounded_and_fade() {
     let mut quarantine = Quarantine::default();
     for number in 0..20_000 {
-        quarantine.on_outlived(&outlived(number, number, 0));
+        quarantine.on_survived_run(&outlived(number, number, 0));
     }
-    let known = quarantine.facts(MonoMs(1)).outlived.len();
+    let known = quarantine.facts(MonoMs(1)).survived_runs.len();
     assert!(known <= 1_024, "{known}");
 
-    quarantine.fade(MonoMs(FACTS_FADE_MS + 1));
+    quarantine.expire_facts(MonoMs(FACT_TTL_MS + 1));
     assert!(quarantine.is_empty());
 }
 
@@ -141,16 +141,16 @@
 fn runs_outlived_before_any_suspicion_count_for_nothing() {
     let mut quarantine = Quarantine::default();
     for run in 0..9 {
-        assert!(!quarantine.on_outlived(&outlived(1, run, 0)));
+        assert!(!quarantine.on_survived_run(&outlived(1, run, 0)));
     }
 
     for number in 0..3 {
-        quarantine.on_end(&end(number, 10_000 * number, &[1]));
+        quarantine.on_exit(&end(number, 10_000 * number, &[1]));
     }
 
     assert!(matches!(
         standing_at(&quarantine, 1, 20_000),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
 }
 
@@ -161,17 +161,17 @@
 fn runs_outlived_are_not_saved_up_against_later_ends() {
     let mut quarantine = after_ends(1);
     for run in 0..53 {
-        quarantine.on_outlived(&outlived(1, run, 1_000 + run));
+        quarantine.on_survived_run(&outlived(1, run, 1_000 + run));
     }
-    assert_eq!(standing_at(&quarantine, 1, 2_000), Standing::Clear);
+    assert_eq!(standing_at(&quarantine, 1, 2_000), QuarantineStatus::Clear);
 
     for number in 1..=3 {
-        quarantine.on_end(&end(number, 10_000 * number, &[1]));
+        quarantine.on_exit(&end(number, 10_000 * number, &[1]));
     }
 
     assert!(matches!(
         standing_at(&quarantine, 1, 30_000),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
 }
 
@@ -183,11 +183,18 @@
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let at_ms = number * 10_000;
-        quarantine.on_end(&end(2 * number, at_ms, &[1]));
-        quarantine.on_end(&end(2 * number + 1, at_ms + CROWD_MS / 2, &[2]));
+        quarantine.on_exit(&end(2 * number, at_ms, &[1]));
+        quarantine.on_exit(&end(
+            2 * number + 1,
+            at_ms + CORRELATION_WINDOW_MS / 2,
+            &[2],
+        ));
     }
 
-    assert_eq!(standing_at(&quarantine, 1, 20_000), Standing::OnTrial);
+    assert_eq!(
+        standing_at(&quarantine, 1, 20_000),
+        QuarantineStatus::OnTrial
+    );
 }
 
 // Symptom: a guilty request goes on for as long as targets fail for other causes too.
@@ -195,14 +202,14 @@
 #[test]
 fn a_request_at_every_end_is_held_even_if_each_is_in_a_crowd() {
     let mut quarantine = Quarantine::default();
-    for number in 0..HELD_AT_ANY as u64 {
-        quarantine.on_end(&end(2 * number, number * 10_000, &[1]));
-        quarantine.on_end(&end(2 * number + 1, number * 10_000, &[2, 50 + number]));
+    for number in 0..CORRELATED_HOLD_THRESHOLD as u64 {
+        quarantine.on_exit(&end(2 * number, number * 10_000, &[1]));
+        quarantine.on_exit(&end(2 * number + 1, number * 10_000, &[2, 50 + number]));
     }
 
     assert!(matches!(
         standing_at(&quarantine, 1, 50_000),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
 }
 
@@ -213,21 +220,21 @@
 fn a_request_that_is_at_every_target_all_the_time_stays_a_suspect() {
     let mut quarantine = Quarantine::default();
     for number in 0..8 {
-        quarantine.on_end(&end_among_others(number, number * 100, &[1, 10 + number]));
+        quarantine.on_exit(&end_among_others(number, number * 100, &[1, 10 + number]));
     }
 
-    assert_eq!(standing_at(&quarantine, 1, 800), Standing::Suspect);
+    assert_eq!(standing_at(&quarantine, 1, 800), QuarantineStatus::Suspect);
 }
 
 /// Three targets that end within 110 ms, each with a request that all callers send and a guilty
 /// one. The guilty one is told last of each end, as by another process.
-fn after_shared_ends() -> (Quarantine, Vec<End>) {
+fn after_shared_ends() -> (Quarantine, Vec<TargetExit>) {
     let mut quarantine = Quarantine::default();
     let popular_alone = |target, at_ms| end(target, at_ms, &[POPULAR]);
-    quarantine.on_end(&end_among_others(1, 0, &[POPULAR, GUILTY]));
-    quarantine.on_end(&popular_alone(2, 9));
-    quarantine.on_end(&end_among_others(2, 23, &[GUILTY]));
-    quarantine.on_end(&popular_alone(3, 111));
+    quarantine.on_exit(&end_among_others(1, 0, &[POPULAR, GUILTY]));
+    quarantine.on_exit(&popular_alone(2, 9));
+    quarantine.on_exit(&end_among_others(2, 23, &[GUILTY]));
+    quarantine.on_exit(&popular_alone(3, 111));
     (quarantine, vec![end(3, 112, &[GUILTY])])
 }
 
@@ -243,11 +250,14 @@
 fn a_request_is_not_held_for_ends_that_another_explains_as_well() {
     let (mut quarantine, told_late) = after_shared_ends();
     for end in &told_late {
-        quarantine.on_end(end);
+        quarantine.on_exit(end);
     }
 
-    assert_eq!(standing_at(&quarantine, POPULAR, 500), Standing::OnTrial);
-    assert_eq!(quarantine.unrecorded(MonoMs(500), WALL), Vec::new());
+    assert_eq!(
+        standing_at(&quarantine, POPULAR, 500),
+        QuarantineStatus::OnTrial
+    );
+    assert_eq!(quarantine.unrecorded_holds(MonoMs(500), WALL), Vec::new());
 }
 
 // The same while the process that had the guilty one there has not told yet: the caller is
@@ -258,11 +268,11 @@
 
     assert_eq!(
         standing_at(&quarantine, POPULAR, 120),
-        Standing::Held {
-            back_ms: Some(TOLD_MS - 9)
+        QuarantineStatus::Held {
+            retry_after_ms: Some(TOLD_MS - 9)
         }
     );
-    assert_eq!(quarantine.unrecorded(MonoMs(120), WALL), Vec::new());
+    assert_eq!(quarantine.unrecorded_holds(MonoMs(120), WALL), Vec::new());
 }
 
 // A request that all callers send was held for five minutes: the process that had the guilty
@@ -272,16 +282,19 @@
     let (mut quarantine, told_late) = after_shared_ends();
     let while_paused = standing_at(&quarantine, POPULAR, 111 + 1_000);
     for end in &told_late {
-        quarantine.on_end(end);
+        quarantine.on_exit(end);
     }
 
     assert_eq!(
         while_paused,
-        Standing::Held {
-            back_ms: Some(TOLD_MS - 1_000)
+        QuarantineStatus::Held {
+            retry_after_ms: Some(TOLD_MS - 1_000)
         }
     );
-    assert_eq!(standing_at(&quarantine, POPULAR, 1_300), Standing::OnTrial);
+    assert_eq!(
+        standing_at(&quarantine, POPULAR, 1_300),
+        QuarantineStatus::OnTrial
+    );
 }
 
 // What it is exempted for ends with the first run that a target outlives: then the guilty one
@@ -290,14 +303,14 @@
 fn the_request_that_is_left_to_explain_all_ends_is_held() {
     let (mut quarantine, told_late) = after_shared_ends();
     for end in &told_late {
-        quarantine.on_end(end);
+        quarantine.on_exit(end);
     }
-    quarantine.on_outlived(&outlived(POPULAR, 1, 300));
-    quarantine.on_end(&end(4, 1_000, &[GUILTY]));
+    quarantine.on_survived_run(&outlived(POPULAR, 1, 300));
+    quarantine.on_exit(&end(4, 1_000, &[GUILTY]));
 
     assert!(matches!(
         standing_at(&quarantine, GUILTY, 1_300),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
 }
 
@@ -308,15 +321,15 @@
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let at_ms = number * 1_000;
-        quarantine.on_end(&end(number, at_ms, &[GUILTY]));
-        quarantine.on_end(&end_among_others(number, at_ms, &[POPULAR]));
-        quarantine.on_outlived(&outlived(POPULAR, number, at_ms + 200));
+        quarantine.on_exit(&end(number, at_ms, &[GUILTY]));
+        quarantine.on_exit(&end_among_others(number, at_ms, &[POPULAR]));
+        quarantine.on_survived_run(&outlived(POPULAR, number, at_ms + 200));
     }
-    quarantine.on_end(&end_among_others(2, 2_000, &[POPULAR]));
+    quarantine.on_exit(&end_among_others(2, 2_000, &[POPULAR]));
 
     assert!(matches!(
         standing_at(&quarantine, GUILTY, 2_400),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
 }
 
@@ -329,13 +342,13 @@
         end_among_others(1, 0, &[1]),
     ];
     let mut quarantine = Quarantine::default();
-    quarantine.on_end(&end_among_others(0, 0, &[1]));
+    quarantine.on_exit(&end_among_others(0, 0, &[1]));
 
     for fact in &facts {
-        quarantine.on_end(fact);
+        quarantine.on_exit(fact);
     }
 
-    assert_eq!(standing_at(&quarantine, 1, 0), Standing::OnTrial);
+    assert_eq!(standing_at(&quarantine, 1, 0), QuarantineStatus::OnTrial);
 }
 
 // Three copies of the guilty request that run at once end three targets at once; they are
@@ -347,36 +360,39 @@
 fn one_end_that_stands_alone_among_kills_holds_nobody() {
     let mut quarantine = Quarantine::default();
     for (number, at_ms) in [(0, 0), (2, 20_000)] {
-        quarantine.on_end(&end(number, at_ms, &[1]));
-        quarantine.on_end(&end(number + 10, at_ms, &[2]));
+        quarantine.on_exit(&end(number, at_ms, &[1]));
+        quarantine.on_exit(&end(number + 10, at_ms, &[2]));
     }
-    quarantine.on_end(&end(1, 10_000, &[1, 3]));
+    quarantine.on_exit(&end(1, 10_000, &[1, 3]));
 
-    assert_eq!(standing_at(&quarantine, 1, 20_000), Standing::OnTrial);
+    assert_eq!(
+        standing_at(&quarantine, 1, 20_000),
+        QuarantineStatus::OnTrial
+    );
 }
 
 #[test]
 fn copies_of_one_request_are_no_crowd() {
     let mut quarantine = Quarantine::default();
-    for number in 0..HELD_AT as u64 {
-        quarantine.on_end(&end(number, number, &[1, 10 + number]));
+    for number in 0..HOLD_THRESHOLD as u64 {
+        quarantine.on_exit(&end(number, number, &[1, 10 + number]));
     }
 
     assert!(matches!(
         standing_at(&quarantine, 1, 10),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
-    assert_eq!(standing_at(&quarantine, 10, 10), Standing::Suspect);
+    assert_eq!(standing_at(&quarantine, 10, 10), QuarantineStatus::Suspect);
 }
 
 #[test]
 fn what_was_told_twice_counts_once() {
     let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        quarantine.on_end(&end(1, 0, &[1]));
+        quarantine.on_exit(&end(1, 0, &[1]));
     }
 
-    assert_eq!(standing_at(&quarantine, 1, 0), Standing::Suspect);
+    assert_eq!(standing_at(&quarantine, 1, 0), QuarantineStatus::Suspect);
 }
 
 #[test]
@@ -388,33 +404,33 @@
 
     assert_eq!(
         held,
-        Standing::Held {
-            back_ms: Some(FIVE_MINUTES_MS)
+        QuarantineStatus::Held {
+            retry_after_ms: Some(FIVE_MINUTES_MS)
         }
     );
-    assert_eq!(due, Standing::OnTrial);
+    assert_eq!(due, QuarantineStatus::OnTrial);
 }
 
 #[test]
 fn a_hold_that_is_kept_outlasts_the_facts() {
     let mut quarantine = after_ends(3);
-    let (held, hold) = quarantine.unrecorded(MonoMs(20_000), WALL).remove(0);
+    let (held, hold) = quarantine.unrecorded_holds(MonoMs(20_000), WALL).remove(0);
     quarantine.on_hold(held, Some(hold), MonoMs(20_100));
 
-    quarantine.fade(MonoMs(20_000 + FACTS_FADE_MS));
+    quarantine.expire_facts(MonoMs(20_000 + FACT_TTL_MS));
 
     assert!(
         quarantine
-            .unrecorded(MonoMs(20_000 + FACTS_FADE_MS), WALL)
+            .unrecorded_holds(MonoMs(20_000 + FACT_TTL_MS), WALL)
             .is_empty()
     );
     assert!(matches!(
-        quarantine.standing(digest(1), MonoMs(30_000 + FACTS_FADE_MS), WALL + 1_000),
-        Standing::Held { .. }
+        quarantine.status(digest(1), MonoMs(30_000 + FACT_TTL_MS), WALL + 1_000),
+        QuarantineStatus::Held { .. }
     ));
     assert_eq!(
-        standing_at(&quarantine, 100, 30_000 + FACTS_FADE_MS),
-        Standing::Clear
+        standing_at(&quarantine, 100, 30_000 + FACT_TTL_MS),
+        QuarantineStatus::Clear
     );
 }
 
@@ -426,20 +442,23 @@
     let (mut now, mut wall) = (MonoMs(20_000), WALL);
     let mut waits_ms = Vec::new();
     for trial in 0..6 {
-        for (held, hold) in quarantine.unrecorded(now, wall) {
+        for (held, hold) in quarantine.unrecorded_holds(now, wall) {
             quarantine.on_hold(held, Some(hold), now);
         }
-        let Standing::Held {
-            back_ms: Some(back_ms),
-        } = quarantine.standing(digest(1), now, wall)
+        let QuarantineStatus::Held {
+            retry_after_ms: Some(retry_after_ms),
+        } = quarantine.status(digest(1), now, wall)
         else {
             panic!("it is held after trial {trial}");
         };
-        waits_ms.push(back_ms);
-        (now, wall) = (now + back_ms, wall + back_ms);
-        assert_eq!(quarantine.standing(digest(1), now, wall), Standing::OnTrial);
-        quarantine.fade(now);
-        quarantine.on_end(&end(1_000 + trial, now.0, &[1]));
+        waits_ms.push(retry_after_ms);
+        (now, wall) = (now + retry_after_ms, wall + retry_after_ms);
+        assert_eq!(
+            quarantine.status(digest(1), now, wall),
+            QuarantineStatus::OnTrial
+        );
+        quarantine.expire_facts(now);
+        quarantine.on_exit(&end(1_000 + trial, now.0, &[1]));
     }
 
     let minutes: Vec<u64> = waits_ms.iter().map(|ms| ms / 60_000).collect();
@@ -454,9 +473,9 @@
     let mut quarantine = Quarantine::default();
     quarantine.on_hold(digest(1), Some(Hold::new(HoldKind::Held, WALL)), MonoMs(0));
 
-    quarantine.on_end(&end(1, 900, &[1]));
+    quarantine.on_exit(&end(1, 900, &[1]));
 
-    assert!(quarantine.unrecorded(MonoMs(1_000), WALL).is_empty());
+    assert!(quarantine.unrecorded_holds(MonoMs(1_000), WALL).is_empty());
 }
 
 #[test]
@@ -468,26 +487,34 @@
         MonoMs(0),
     );
 
-    let much_later = quarantine.standing(digest(1), MonoMs(9), WALL + 100 * HOUR_MS);
+    let much_later = quarantine.status(digest(1), MonoMs(9), WALL + 100 * HOUR_MS);
 
-    assert_eq!(much_later, Standing::Held { back_ms: None });
-    assert!(quarantine.forgettable(WALL + 100 * HOUR_MS).is_empty());
+    assert_eq!(
+        much_later,
+        QuarantineStatus::Held {
+            retry_after_ms: None
+        }
+    );
+    assert!(quarantine.expired_holds(WALL + 100 * HOUR_MS).is_empty());
 }
 
 #[test]
 fn ends_before_it_was_lifted_count_no_more_and_later_ones_do() {
     let mut quarantine = after_ends(3);
     let hold = Hold {
-        lifted: quarantine.ends_of(digest(1)).map(Arc::clone).collect(),
+        lifted: quarantine.exits_of(digest(1)).map(Arc::clone).collect(),
         ..Hold::new(HoldKind::Lifted, WALL)
     };
 
     quarantine.on_hold(digest(1), Some(hold), MonoMs(30_000));
     let lifted = standing_at(&quarantine, 1, 30_000);
-    quarantine.on_end(&end(77, 31_000, &[1]));
+    quarantine.on_exit(&end(77, 31_000, &[1]));
 
-    assert_eq!(lifted, Standing::Clear);
-    assert_eq!(standing_at(&quarantine, 1, 31_000), Standing::Suspect);
+    assert_eq!(lifted, QuarantineStatus::Clear);
+    assert_eq!(
+        standing_at(&quarantine, 1, 31_000),
+        QuarantineStatus::Suspect
+    );
 }
 
 #[test]
@@ -495,8 +522,8 @@
     let mut quarantine = Quarantine::default();
     quarantine.on_hold(digest(1), Some(Hold::new(HoldKind::Held, WALL)), MonoMs(0));
 
-    assert!(quarantine.forgettable(WALL + HOUR_MS).is_empty());
-    assert_eq!(quarantine.forgettable(WALL + 2 * HOUR_MS), [digest(1)]);
+    assert!(quarantine.expired_holds(WALL + HOUR_MS).is_empty());
+    assert_eq!(quarantine.expired_holds(WALL + 2 * HOUR_MS), [digest(1)]);
 }
 
 // A clock that was set back by a day must not hold a request for a day.
@@ -504,7 +531,10 @@
 fn a_clock_that_is_set_back_holds_nothing_for_longer_than_its_wait() {
     let hold = Hold::new(HoldKind::Held, WALL);
 
-    assert_eq!(hold.back_ms(WallMs(WALL.0 - 24 * HOUR_MS)), FIVE_MINUTES_MS);
+    assert_eq!(
+        hold.retry_after_ms(WallMs(WALL.0 - 24 * HOUR_MS)),
+        FIVE_MINUTES_MS
+    );
 }
 
 // Symptom: a held request goes through again, and an entry grows. Sequence: somebody has
@@ -516,16 +546,16 @@
 
     for number in 0..3_000 {
         let suspects: Vec<u64> = (0..200).map(|it| 10_000 + number * 200 + it).collect();
-        quarantine.on_end(&end(number, number, &suspects));
+        quarantine.on_exit(&end(number, number, &suspects));
     }
 
     assert!(matches!(
         standing_at(&quarantine, 1, 3_000),
-        Standing::Held { .. }
+        QuarantineStatus::Held { .. }
     ));
     let facts = quarantine.facts(MonoMs(3_000));
-    assert!(facts.ends.len() <= 256);
-    assert!(facts.ends.iter().all(|end| end.suspects.len() <= 64));
+    assert!(facts.exits.len() <= 256);
+    assert!(facts.exits.iter().all(|end| end.suspects.len() <= 64));
     let (suspects, held) = quarantine.counts(MonoMs(3_000), WALL);
     assert!(suspects <= 256 * 64, "{suspects}");
     assert_eq!(held, 1);
@@ -548,9 +578,15 @@
 fn facts_keep_their_age_when_another_process_takes_them_up() {
     let quarantine = after_ends(3);
 
-    let facts = quarantine.facts(MonoMs(25_000)).at(MonoMs(1_000_000));
+    let facts = quarantine
+        .facts(MonoMs(25_000))
+        .rebased_to(MonoMs(1_000_000));
 
-    let ages_ms: Vec<u64> = facts.ends.iter().map(|it| 1_000_000 - it.at_ms.0).collect();
+    let ages_ms: Vec<u64> = facts
+        .exits
+        .iter()
+        .map(|it| 1_000_000 - it.at_ms.0)
+        .collect();
     assert_eq!(ages_ms, [25_000, 15_000, 5_000]);
 }
 
@@ -562,20 +598,20 @@
         ends in prop::collection::vec((0_u64..6, 0_u64..4, 0_u64..4), 1..12),
         order in prop::collection::vec(any::<prop::sample::Index>(), 40),
     ) {
-        let facts: Vec<End> = ends
+        let facts: Vec<TargetExit> = ends
             .iter()
             .map(|(target, first, second)| end(*target, target * 700, &[*first, *second]))
             .collect();
         let mut once = Quarantine::default();
         for fact in &facts {
-            once.on_end(fact);
+            once.on_exit(fact);
         }
         let mut shuffled = Quarantine::default();
         for index in order {
-            shuffled.on_end(index.get(&facts));
+            shuffled.on_exit(index.get(&facts));
         }
         for fact in facts.iter().rev() {
-            shuffled.on_end(fact);
+            shuffled.on_exit(fact);
         }
 
         prop_assert_eq!(once.summary(), shuffled.summary());
@@ -585,8 +621,8 @@
     }
 }
 
-fn in_group(quarantine: &Quarantine, number: u64, now_ms: u64) -> Standing {
-    quarantine.standing_in_group(digest(number), MonoMs(now_ms), WALL)
+fn in_group(quarantine: &Quarantine, number: u64, now_ms: u64) -> QuarantineStatus {
+    quarantine.status_in_group(digest(number), MonoMs(now_ms), WALL)
 }
 
 /// Guards against a third outage of a group for one guilty request: from the second end on
@@ -594,18 +630,18 @@
 #[test]
 fn in_a_group_two_ends_hold_the_only_request_that_explains_both() {
     let mut quarantine = Quarantine::default();
-    quarantine.on_end(&end(1, 1_000, &[1, 2, 3]));
-    quarantine.on_end(&end(2, 5_000, &[1, 4, 5]));
+    quarantine.on_exit(&end(1, 1_000, &[1, 2, 3]));
+    quarantine.on_exit(&end(2, 5_000, &[1, 4, 5]));
 
     let guilty = in_group(&quarantine, 1, 5_000);
     let elsewhere = standing_at(&quarantine, 1, 5_000);
-    let later = in_group(&quarantine, 1, 5_000 + GROUP_WAIT_MS);
+    let later = in_group(&quarantine, 1, 5_000 + GROUP_HOLD_MS);
 
-    let back_ms = Some(GROUP_WAIT_MS);
-    assert_eq!(guilty, Standing::Held { back_ms });
-    assert_eq!(elsewhere, Standing::OnTrial);
-    assert_eq!(later, Standing::OnTrial);
-    assert_eq!(in_group(&quarantine, 4, 5_000), Standing::Suspect);
+    let retry_after_ms = Some(GROUP_HOLD_MS);
+    assert_eq!(guilty, QuarantineStatus::Held { retry_after_ms });
+    assert_eq!(elsewhere, QuarantineStatus::OnTrial);
+    assert_eq!(later, QuarantineStatus::OnTrial);
+    assert_eq!(in_group(&quarantine, 4, 5_000), QuarantineStatus::Suspect);
 }
 
 /// Guards against an innocent request that is held back: another one was at both ends, or
@@ -613,19 +649,22 @@
 #[test]
 fn in_a_group_two_ends_that_others_explain_hold_nothing() {
     let mut shared = Quarantine::default();
-    shared.on_end(&end(1, 1_000, &[1, 2]));
-    shared.on_end(&end(2, 5_000, &[1, 2]));
+    shared.on_exit(&end(1, 1_000, &[1, 2]));
+    shared.on_exit(&end(2, 5_000, &[1, 2]));
     let mut crowded = Quarantine::default();
-    crowded.on_end(&end(1, 1_000, &[1]));
-    crowded.on_end(&end(2, 5_000, &[1]));
-    crowded.on_end(&end(3, 5_300, &[6]));
+    crowded.on_exit(&end(1, 1_000, &[1]));
+    crowded.on_exit(&end(2, 5_000, &[1]));
+    crowded.on_exit(&end(3, 5_300, &[6]));
 
-    assert_eq!(in_group(&shared, 1, 5_000), Standing::OnTrial);
-    assert_eq!(in_group(&crowded, 1, 5_300), Standing::OnTrial);
+    assert_eq!(in_group(&shared, 1, 5_000), QuarantineStatus::OnTrial);
+    assert_eq!(in_group(&crowded, 1, 5_300), QuarantineStatus::OnTrial);
 
-    shared.on_outlived(&outlived(2, 7, 6_000));
-    shared.on_outlived(&outlived(2, 8, 6_500));
-    assert!(matches!(in_group(&shared, 1, 7_000), Standing::Held { .. }));
+    shared.on_survived_run(&outlived(2, 7, 6_000));
+    shared.on_survived_run(&outlived(2, 8, 6_500));
+    assert!(matches!(
+        in_group(&shared, 1, 7_000),
+        QuarantineStatus::Held { .. }
+    ));
 }
 
 /// Guards against a third group that is stopped within milliseconds: two copies of the guilty
@@ -638,11 +677,17 @@
         end
     };
     let mut quarantine = Quarantine::default();
-    quarantine.on_end(&copies(1, 1_000, &[2, 3]));
-    quarantine.on_end(&copies(2, 1_120, &[4, 5]));
+    quarantine.on_exit(&copies(1, 1_000, &[2, 3]));
+    quarantine.on_exit(&copies(2, 1_120, &[4, 5]));
 
     let guilty = in_group(&quarantine, 1, 1_130);
 
-    assert!(matches!(guilty, Standing::Held { .. }), "{guilty:?}");
-    assert_eq!(standing_at(&quarantine, 1, 1_130), Standing::Suspect);
+    assert!(
+        matches!(guilty, QuarantineStatus::Held { .. }),
+        "{guilty:?}"
+    );
+    assert_eq!(
+        standing_at(&quarantine, 1, 1_130),
+        QuarantineStatus::Suspect
+    );
 }
--- a/crates/core/tests/quarantine_fleet.rs
+++ b/crates/core/tests/quarantine_fleet.rs
@@ -8,7 +8,9 @@
 use std::collections::VecDeque;
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
-use berylhook_core::quarantine::{End, Facts, Outlived, Quarantine, Standing, Suspect};
+use berylhook_core::quarantine::{
+    Facts, Quarantine, QuarantineStatus, SurvivedRun, Suspect, TargetExit,
+};
 use berylhook_core::time::{MonoMs, WallMs};
 use indexmap::{IndexMap, IndexSet};
 
@@ -104,7 +106,7 @@
     locks: IndexMap<String, u64>,
     news: Vec<(u64, usize, Facts)>,
     /// Ends that stand in the store, which whoever gets a lock reads.
-    kept: Vec<End>,
+    kept: Vec<TargetExit>,
     next_request: u64,
     counts: Counts,
 }
@@ -173,11 +175,11 @@
         let now_ms = self.now_ms;
         let due = self.news.extract_if(.., |(due_ms, ..)| *due_ms <= now_ms);
         for (_, entry, facts) in due {
-            for end in &facts.ends {
-                self.entries[entry].on_end(end);
+            for end in &facts.exits {
+                self.entries[entry].on_exit(end);
             }
-            for outlived in &facts.outlived {
-                self.entries[entry].on_outlived(outlived);
+            for outlived in &facts.survived_runs {
+                self.entries[entry].on_survived_run(outlived);
             }
         }
     }
@@ -210,15 +212,15 @@
         let wall = self.wall();
         let known = &mut self.entries[run.entry];
         // An entry makes no fact of a run that it suspects of nothing.
-        if known.standing(own, MonoMs(self.now_ms), wall) == Standing::Clear {
+        if known.status(own, MonoMs(self.now_ms), wall) == QuarantineStatus::Clear {
             return;
         }
-        let outlived = Outlived {
+        let outlived = SurvivedRun {
             digest: own,
             run: format!("{}/{}", run.entry, self.now_ms).into(),
             at_ms: MonoMs(self.now_ms),
         };
-        if known.on_outlived(&outlived) {
+        if known.on_survived_run(&outlived) {
             let facts = Facts::new(Vec::new(), vec![outlived], MonoMs(self.now_ms));
             self.tell(run.entry, &facts);
         }
@@ -233,7 +235,7 @@
         target.back_ms = self.now_ms + BACK_AFTER_MS;
         for entry in 0..self.entries.len() {
             let own = runs.iter().filter(|run| run.entry == entry);
-            let end = End {
+            let end = TargetExit {
                 target: name.as_str().into(),
                 at_ms: MonoMs(self.now_ms),
                 suspects: own.map(suspect).collect(),
@@ -241,7 +243,7 @@
             if end.suspects.is_empty() {
                 continue;
             }
-            self.entries[entry].on_end(&end);
+            self.entries[entry].on_exit(&end);
             self.kept.push(end.clone());
             let facts = Facts::new(vec![end], Vec::new(), MonoMs(self.now_ms));
             self.tell(entry, &facts);
@@ -289,12 +291,12 @@
         let entry = usize::try_from(self.random.below(entries)).expect("few entries");
         let own = digest(caller.request);
         let wall = self.wall();
-        let standing = self.entries[entry].standing(own, MonoMs(self.now_ms), wall);
+        let standing = self.entries[entry].status(own, MonoMs(self.now_ms), wall);
         let lock = match standing {
-            Standing::Clear => None,
-            Standing::Suspect => Some(format!("request/{own}")),
-            Standing::OnTrial => Some("service".to_owned()),
-            Standing::Held { .. } => {
+            QuarantineStatus::Clear => None,
+            QuarantineStatus::Suspect => Some(format!("request/{own}")),
+            QuarantineStatus::OnTrial => Some("service".to_owned()),
+            QuarantineStatus::Held { .. } => {
                 self.counts.held += u64::from(caller.request != GUILTY);
                 return self.come_again(caller.request, caller.deadline_ms);
             }
@@ -309,9 +311,9 @@
         if let Some(lock) = &lock {
             let known = &mut self.entries[entry];
             for end in &self.kept {
-                known.on_end(end);
+                known.on_exit(end);
             }
-            if known.standing(own, MonoMs(self.now_ms), wall) != standing {
+            if known.status(own, MonoMs(self.now_ms), wall) != standing {
                 return self.come_again(caller.request, caller.deadline_ms);
             }
             self.locks.insert(lock.clone(), caller.deadline_ms);
@@ -438,13 +440,13 @@
 
 impl Fleet {
     /// Of those that ended with a target, how many any entry still takes for this or worse.
-    fn suspected(&self, is_meant: impl Fn(Standing) -> bool) -> usize {
+    fn suspected(&self, is_meant: impl Fn(QuarantineStatus) -> bool) -> usize {
         let (now_ms, wall) = (MonoMs(self.now_ms), self.wall());
         let suspects = self.kept.iter().flat_map(|end| &end.suspects);
         let digests: IndexSet<RequestDigest> = suspects.map(|it| it.digest).collect();
         let is_suspected = |digest: &&RequestDigest| {
             let mut entries = self.entries.iter();
-            entries.any(|entry| is_meant(entry.standing(**digest, now_ms, wall)))
+            entries.any(|entry| is_meant(entry.status(**digest, now_ms, wall)))
         };
         digests.iter().filter(is_suspected).count()
     }
@@ -469,8 +471,12 @@
             fleet.play_until_ends(2);
             fleet.play(NEWS_WITHIN_MS, FULL_LOAD, None);
 
-            let on_trial = fleet
-                .suspected(|standing| !matches!(standing, Standing::Clear | Standing::Suspect));
+            let on_trial = fleet.suspected(|standing| {
+                !matches!(
+                    standing,
+                    QuarantineStatus::Clear | QuarantineStatus::Suspect
+                )
+            });
             assert_eq!(on_trial, 1, "{entries} entries, seed {seed}");
         }
     }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -12,7 +12,7 @@
 
 use berylhook_backpressure::gate::WithheldReason;
 use berylhook_platform::headers::{AnswerHead, is_other_incarnation};
-use berylhook_quarantine::HeldBack;
+use berylhook_quarantine::QuarantineRejection;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -44,7 +44,7 @@
     /// Nobody listens at the target's address, so nothing was sent.
     Refused,
     /// It is held back, so nothing was sent.
-    HeldBack(HeldBack),
+    HeldBack(QuarantineRejection),
     /// The target takes none now, so nothing was sent.
     Withheld(WithheldReason),
     /// It may have run: the connection ended or the answer made no sense.
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -13,7 +13,7 @@
 use berylhook_groups::Members;
 use berylhook_platform::documents;
 use berylhook_platform::store::{OwnItem, Store, StoreEvent, Watched};
-use berylhook_quarantine::kept;
+use berylhook_quarantine::stored;
 use berylhook_traffic::configuration::Service;
 use berylhook_traffic::directory::{Change, Directory, Listing, Unusable};
 use berylhook_traffic::unusable::{UnusableEntries, unusable};
@@ -184,7 +184,7 @@
 
     /// Takes over what the store keeps of requests under which targets end.
     pub(crate) fn take_quarantine(&self, items: &[OwnItem], position: Position) {
-        self.shared.suspects.take_items(items, position);
+        self.shared.suspects.apply_items(items, position);
     }
 
     pub(crate) fn now_ms(&self) -> MonoMs {
@@ -225,9 +225,9 @@
                     }
                     state.directory.apply(change, revised.position, now_ms);
                 }
-                StoreEvent::Own { key, value } if key.starts_with(kept::PREFIX) => {
+                StoreEvent::Own { key, value } if key.starts_with(stored::PREFIX) => {
                     let suspects = &self.shared.suspects;
-                    suspects.take_item(&key, value.as_deref(), revised.position);
+                    suspects.apply_item(&key, value.as_deref(), revised.position);
                 }
                 StoreEvent::Own { .. } => self.own_keys.send_modify(|count| *count += 1),
             }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -8,7 +8,7 @@
 
 use berylhook_core::position::Position;
 use berylhook_platform::store::{Store, StoreError, Topic, Watched};
-use berylhook_quarantine::kept;
+use berylhook_quarantine::stored;
 use tokio::time::sleep;
 
 use crate::control::{Control, Followed};
@@ -45,7 +45,7 @@
         Followed::Configuration => Topic::Configuration,
         Followed::Targets => Topic::Targets,
         Followed::Leaders => Topic::Own(LEADER_PREFIX),
-        Followed::Quarantine => Topic::Own(kept::PREFIX),
+        Followed::Quarantine => Topic::Own(stored::PREFIX),
     }
 }
 
@@ -144,7 +144,7 @@
             position
         }
         Followed::Quarantine => {
-            let read = store.own_items(kept::PREFIX).await;
+            let read = store.own_items(stored::PREFIX).await;
             count(control, "read", &read);
             let (items, position) = read?;
             contact.regained(control);
--- a/crates/entry/src/health_check.rs
+++ b/crates/entry/src/health_check.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use berylhook_platform::headers;
-use berylhook_quarantine::{Look, Looking};
+use berylhook_quarantine::{Probe, ProbeFuture};
 use berylhook_target::probe::Listening;
 use berylhook_traffic::target::Target;
 use bytes::Bytes;
@@ -73,8 +73,8 @@
     }
 }
 
-impl Look for HealthCheck {
-    fn look(&self) -> Looking<'_> {
+impl Probe for HealthCheck {
+    fn probe(&self) -> ProbeFuture<'_> {
         Box::pin(self.listening())
     }
 }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -9,7 +9,8 @@
 use berylhook_core::digest::{RequestContent, RequestDigest};
 use berylhook_platform::headers::{self, Forward, RequestHead};
 use berylhook_quarantine::{
-    AnyListener, Asking, Clearance, HeldBack, Look, Loss, Patience as TurnPatience,
+    AnyListener, LostRequest, Probe, QuarantineRejection, RequestIdentity, RunClearance,
+    WaitLimits as TurnPatience,
 };
 use berylhook_traffic::configuration::{ClientAccount, Repeat, Route};
 use berylhook_traffic::retry_after::Back;
@@ -180,7 +181,7 @@
         &self,
         hold: &mut Hold,
         resume_after: Option<EventId>,
-        clearance: &mut Clearance,
+        clearance: &mut RunClearance,
     ) -> Result<Answer, CallError> {
         let suspects = &self.shared.suspects;
         self.wait_for_turn(clearance).await?;
@@ -198,8 +199,8 @@
         let sent_ms = suspects.now_ms();
         // Nothing may be awaited between leave to go and this.
         let answer = call::send(target.address, self.request_for(target, resume_after)).await;
-        if suspects.awaits_looks() && answer.as_ref().is_ok_and(Answer::is_of_the_target) {
-            suspects.on_listening(&place(target).target, sent_ms);
+        if suspects.awaits_probes() && answer.as_ref().is_ok_and(Answer::is_of_the_target) {
+            suspects.on_connection_accepted(&place(target).target, sent_ms);
         }
         if let Ok(answer) = &answer {
             backpressure::hear(&self.shared, &self.queue, target, answer);
@@ -209,17 +210,17 @@
 
     /// Waits until the request may be sent. One that has waited until it can hardly be served
     /// is not sent any more.
-    async fn wait_for_turn(&self, clearance: &mut Clearance) -> Result<(), CallError> {
+    async fn wait_for_turn(&self, clearance: &mut RunClearance) -> Result<(), CallError> {
         let began = Instant::now();
-        let clearing = self
-            .shared
-            .suspects
-            .clear(self, clearance, self.turn_patience());
+        let clearing =
+            self.shared
+                .suspects
+                .acquire_clearance(self, clearance, self.turn_patience());
         clearing.await.map_err(CallError::HeldBack)?;
         let least = Duration::from_millis(self.route.goal_ms).mul_f64(LEAST_SHARE);
         let has_waited = began.elapsed() >= least;
         if has_waited && self.left() < least {
-            return Err(CallError::HeldBack(HeldBack::OUT_OF_TIME));
+            return Err(CallError::HeldBack(QuarantineRejection::OUT_OF_TIME));
         }
         Ok(())
     }
@@ -233,36 +234,36 @@
     fn turn_patience(&self) -> TurnPatience {
         let goal = Duration::from_millis(self.route.goal_ms);
         TurnPatience {
-            turn: goal.mul_f64(STREAM_PATIENCE_SHARE).min(self.left()),
-            answer: self.left(),
+            lock_wait: goal.mul_f64(STREAM_PATIENCE_SHARE).min(self.left()),
+            response_wait: self.left(),
         }
     }
 
     /// Refuses the request at once if it cannot be sent at present.
     pub(crate) fn refuse_if_held(&self) -> Option<Response<Body>> {
-        let held = self.shared.suspects.refusal(self)?;
+        let held = self.shared.suspects.rejection(self)?;
         Some(self.hold_back(held))
     }
 
     /// The final answer to a request that is held back and has not run.
-    pub(crate) fn hold_back(&self, held: HeldBack) -> Response<Body> {
+    pub(crate) fn hold_back(&self, held: QuarantineRejection) -> Response<Body> {
         log::warn!(
             request = text(self.head.attempt_id.as_ref()),
             account = self.account_name(),
             digest:% = self.digest(),
-            why = held.why,
-            back_ms = held.back.map_or(0, |back| u64::try_from(back.as_millis()).unwrap_or(u64::MAX));
+            why = held.reason,
+            back_ms = held.retry_after.map_or(0, |back| u64::try_from(back.as_millis()).unwrap_or(u64::MAX));
             "a request was held back"
         );
         self.finish(Own::HeldBack.name(), None);
-        held_back(held.back, self.head.attempt_id.as_ref())
+        held_back(held.retry_after, self.head.attempt_id.as_ref())
     }
 
     /// The target at which it ran has lived on.
     pub(crate) fn note_outlived(&self) {
         let suspects = &self.shared.suspects;
         if suspects.is_active() {
-            suspects.on_outlived(self.digest());
+            suspects.on_survived_run(self.digest());
         }
     }
 
@@ -370,11 +371,11 @@
         );
     }
 
-    fn loss(&self) -> Loss {
-        Loss {
+    fn loss(&self) -> LostRequest {
+        LostRequest {
             digest: self.digest(),
             ran_alone: self.record.ran_alone.load(Ordering::Relaxed),
-            request: text(self.head.attempt_id.as_ref()).into(),
+            attempt_id: text(self.head.attempt_id.as_ref()).into(),
             account: self.account_name().into(),
         }
     }
@@ -398,11 +399,11 @@
             return;
         }
         let suspects = &self.shared.suspects;
-        suspects.on_left_at(&place(target), self.loss(), self.look(target));
+        suspects.on_abandoned_run_with_probe(&place(target), self.loss(), self.look(target));
     }
 
     /// How to find out who listens at the target's address.
-    fn look(&self, target: &Target) -> Arc<dyn Look> {
+    fn look(&self, target: &Target) -> Arc<dyn Probe> {
         match self.health_check(target) {
             Some(asked) => Arc::new(asked),
             None => Arc::new(AnyListener(target.address)),
@@ -423,26 +424,35 @@
         match result {
             SendResult::Answered | SendResult::Failed => self.note_outlived(),
             SendResult::Silent => self.note_left_at(target),
-            SendResult::Refused => self.shared.suspects.on_refused(&place(target).target),
+            SendResult::Refused => self
+                .shared
+                .suspects
+                .on_connection_refused(&place(target).target),
             // Another one listens at its address, so it has ended.
             SendResult::OtherIncarnation if !headers::expects_version(&self.headers) => {
-                self.shared.suspects.on_refused(&place(target).target);
+                self.shared
+                    .suspects
+                    .on_connection_refused(&place(target).target);
             }
             _ if result.is_unexplained() && self.queue.has_target(&target.incarnation) => {
                 let suspects = &self.shared.suspects;
-                suspects.on_loss_at(&place(target), self.loss(), self.look(target));
+                suspects.on_lost_response_with_probe(
+                    &place(target),
+                    self.loss(),
+                    self.look(target),
+                );
             }
             _ => {}
         }
     }
 }
 
-impl Asking for Job {
+impl RequestIdentity for Job {
     fn service(&self) -> &Arc<str> {
         self.queue.service()
     }
 
-    fn stops_group(&self) -> bool {
+    fn exit_stops_group(&self) -> bool {
         self.queue.stops_group()
     }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -245,7 +245,7 @@
             peers: self.candidates(),
             processor_share: self.shared.settings().processor_share,
             sharing: self.own_sharing(),
-            suspicions: self.shared.suspects.told_summary(),
+            suspicions: self.shared.suspects.summary_for_peers(),
             era: self.shared.eras.newest(),
             limits: self.limit_reports(),
         })
@@ -253,7 +253,7 @@
 
     fn compare_suspicions(&self, address: SocketAddr, summary: Option<u64>) {
         if let Some(summary) = summary {
-            self.shared.suspects.on_summary(address, summary);
+            self.shared.suspects.on_peer_summary(address, summary);
         }
     }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use berylhook_quarantine::{Clearance, HeldBack};
+use berylhook_quarantine::{QuarantineRejection, RunClearance};
 use berylhook_traffic::health::Evidence;
 use berylhook_traffic::target::Incarnation;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     /// It did not run it.
     NotRun,
     /// The request may not go to any target.
-    HeldBack(HeldBack),
+    HeldBack(QuarantineRejection),
     /// The target takes none now, and was not sent it.
     Withheld,
     /// It may have run it.
@@ -79,7 +79,7 @@
         return job.own(Own::NoPlace);
     };
     let mut sofar = Sofar::default();
-    let mut clearance = Clearance::default();
+    let mut clearance = RunClearance::default();
     loop {
         let may_repeat = job.route.repeat.allows_second_run();
         let is_last = sofar.sends + 1 >= job.route.max_targets;
@@ -141,7 +141,7 @@
 
 /// Ends a request that may not go to any target. One that may have run is not told to
 /// come back.
-fn give_up_held(job: &Job, sofar: Sofar, held: HeldBack) -> Response<Body> {
+fn give_up_held(job: &Job, sofar: Sofar, held: QuarantineRejection) -> Response<Body> {
     if sofar.may_have_run || sofar.failure.is_some() {
         give_up(job, sofar)
     } else {
@@ -154,7 +154,7 @@
     job: &Job,
     mut hold: Hold,
     bound: Duration,
-    clearance: &mut Clearance,
+    clearance: &mut RunClearance,
 ) -> (Attempt, bool) {
     let target = hold.target().clone();
     let exchange = async {
@@ -166,7 +166,7 @@
     };
     let (attempt, result) = match timeout(bound, exchange).await {
         Err(_) if !job.is_at_target() => (
-            Attempt::HeldBack(HeldBack::OUT_OF_TIME),
+            Attempt::HeldBack(QuarantineRejection::OUT_OF_TIME),
             SendResult::HeldBack,
         ),
         Err(_) => (Attempt::TooLate, SendResult::Silent),
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -7,7 +7,9 @@
 
 use berylhook_calls::{Call, Connection, serve};
 use berylhook_platform::store::Store;
-use berylhook_quarantine::{Gauges, Keeper, News, Place, Surroundings, Telling};
+use berylhook_quarantine::{
+    ClusterAccess, QuarantineMetrics, QuarantineUpdate, Replicator, TargetIncarnation, UpdateReply,
+};
 use berylhook_traffic::target::{Incarnation, Target};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -33,8 +35,8 @@
 }
 
 /// Where a request runs.
-pub(crate) fn place(target: &Target) -> Place {
-    Place {
+pub(crate) fn place(target: &Target) -> TargetIncarnation {
+    TargetIncarnation {
         target: target_name(&target.incarnation),
         address: target.address,
         listed_revision: target.listed_revision,
@@ -47,7 +49,7 @@
     pub(crate) peers: Arc<Peers>,
 }
 
-impl Surroundings for EntrySurroundings {
+impl ClusterAccess for EntrySurroundings {
     fn name(&self) -> Arc<str> {
         Arc::clone(&self.shared.settings().name)
     }
@@ -61,7 +63,7 @@
         self.peers.candidates()
     }
 
-    fn tell(&self, peer: SocketAddr, news: News) -> Telling<'_> {
+    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_> {
         Box::pin(async move {
             let call = Call::post_compact(NEWS_PATH.to_owned(), &news, ANSWER_TIMEOUT);
             let told = Connection::new(peer).compact(call).await;
@@ -70,23 +72,23 @@
     }
 }
 
-impl Gauges for Metrics {
-    fn set_standings(&self, suspected: usize, held: usize) {
+impl QuarantineMetrics for Metrics {
+    fn set_request_counts(&self, suspected: usize, held: usize) {
         self.set_quarantine(suspected, held);
     }
 
-    fn add_ended(&self, requests: usize) {
+    fn add_requests_at_exit(&self, requests: usize) {
         self.ended_under_requests.inc_by(requests as u64);
     }
 }
 
 /// Takes a peer's news.
 pub(crate) async fn take_news(
-    keeper: &Keeper,
+    keeper: &Replicator,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    match serve::read_compact::<News>(request).await {
-        Some(news) => serve::compact(&keeper.take_news(news)),
+    match serve::read_compact::<QuarantineUpdate>(request).await {
+        Some(news) => serve::compact(&keeper.apply_update(news)),
         None => {
             let text = "send news in the compact form, as an entry of this version does";
             serve::plain(StatusCode::BAD_REQUEST, text)
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -9,7 +9,7 @@
 use anyhow::Context;
 use berylhook_calls::serve;
 use berylhook_groups::Candidate;
-use berylhook_quarantine::Keeper;
+use berylhook_quarantine::Replicator;
 use hyper::StatusCode;
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
@@ -113,7 +113,7 @@
         shared: Arc::clone(&shared),
         peers: Arc::clone(&peers),
     });
-    let keeper = Arc::new(Keeper::new(Arc::clone(&shared.suspects), surroundings));
+    let keeper = Arc::new(Replicator::new(Arc::clone(&shared.suspects), surroundings));
     let limits = Arc::new(Limits::new(Arc::clone(&shared), Arc::clone(&peers)));
     spawn_servers(&shared, &peers, &keeper, &limits)?;
     tokio::spawn(keeper.run());
@@ -191,7 +191,7 @@
 fn spawn_servers(
     shared: &Arc<Shared>,
     peers: &Arc<Peers>,
-    keeper: &Arc<Keeper>,
+    keeper: &Arc<Replicator>,
     limits: &Arc<Limits>,
 ) -> anyhow::Result<()> {
     let ready = listen(shared.settings().ready)?;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use berylhook_quarantine::Suspects;
+use berylhook_quarantine::SuspectTracker;
 use berylhook_traffic::configuration::Configuration;
 use berylhook_traffic::ownership::{Member, Membership};
 use berylhook_traffic::pace::EngineNews;
@@ -66,7 +66,7 @@
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
     /// Requests under which targets end.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     /// The eras of the store.
     pub(crate) eras: Arc<Eras>,
     pub(crate) stage: watch::Sender<Stage>,
@@ -103,7 +103,9 @@
             arrivals: AtomicU64::new(0),
             settings: ArcSwap::from_pointee(settings),
             clock,
-            suspects: Arc::new(Suspects::new(Arc::clone(&metrics) as _).following_store()),
+            suspects: Arc::new(
+                SuspectTracker::new(Arc::clone(&metrics) as _).with_store_follower(),
+            ),
             metrics,
             eras: Arc::new(Eras::new()),
             stage: watch::Sender::new(Stage::Serving),
@@ -143,7 +145,7 @@
         match requirement {
             Requirement::OpenAddress => self.is_listening.load(Ordering::Relaxed),
             Requirement::Configuration => self.configuration.load().is_some(),
-            Requirement::Holds => !self.suspects.is_ignorant(),
+            Requirement::Holds => !self.suspects.is_uninformed(),
         }
     }
 
@@ -171,7 +173,8 @@
         let targets: Vec<&Target> = usable.collect();
         let count = i64::try_from(targets.len()).unwrap_or(i64::MAX);
         self.metrics.targets.set(count);
-        self.suspects.on_listing(targets.iter().copied().map(place));
+        self.suspects
+            .on_target_list(targets.iter().copied().map(place));
         let mut services: Vec<&Arc<str>> = targets.iter().map(|target| &target.service).collect();
         services.sort();
         services.dedup();
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -12,7 +12,7 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-use berylhook_quarantine::{Clearance, HeldBack};
+use berylhook_quarantine::{QuarantineRejection, RunClearance};
 use berylhook_target::EventSplitter;
 use berylhook_traffic::concurrency::FirstEvent;
 use berylhook_traffic::dispatch::Load;
@@ -66,7 +66,7 @@
     /// It did not run it.
     NotRun,
     /// The request may not go to any target.
-    HeldBack(HeldBack),
+    HeldBack(QuarantineRejection),
     /// The target takes none now, and was not sent it.
     Withheld,
     /// It may have run it.
@@ -91,7 +91,7 @@
     sends: u32,
     may_have_run: bool,
     /// What it needs to be sent while targets end under it.
-    clearance: Clearance,
+    clearance: RunClearance,
     gap_began: Instant,
 }
 
@@ -109,7 +109,7 @@
         tried: Vec::new(),
         sends: 0,
         may_have_run: false,
-        clearance: Clearance::default(),
+        clearance: RunClearance::default(),
         gap_began: Instant::now(),
     };
     let mut started = session.start(hold).await;
@@ -158,7 +158,7 @@
         self.clearance = clearance;
         let answered = match answered {
             Err(_) if !self.job.is_at_target() => {
-                Ok(Err(CallError::HeldBack(HeldBack::OUT_OF_TIME)))
+                Ok(Err(CallError::HeldBack(QuarantineRejection::OUT_OF_TIME)))
             }
             answered => answered,
         };
--- a/crates/quarantine/src/left.rs
+++ b/crates/quarantine/src/abandoned_runs.rs
@@ -15,7 +15,7 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
-use crate::losses::{Loss, Place};
+use crate::lost_requests::{LostRequest, TargetIncarnation};
 
 /// The first look is this long after the caller left: a run that ends its target mostly
 /// does so at once, and its caller may be back as soon.
@@ -39,7 +39,7 @@
 const MOST_RUNS: usize = 64;
 
 struct Run {
-    loss: Loss,
+    loss: LostRequest,
     left_ms: MonoMs,
 }
 
@@ -82,7 +82,12 @@
     }
 
     /// Adds a run that its caller left; returns whether the target is a new one to look at.
-    pub(crate) fn add(&mut self, place: &Place, loss: Loss, now_ms: MonoMs) -> bool {
+    pub(crate) fn add(
+        &mut self,
+        place: &TargetIncarnation,
+        loss: LostRequest,
+        now_ms: MonoMs,
+    ) -> bool {
         let is_new = !self.by_target.contains_key(&place.target);
         if is_new && self.by_target.len() >= MOST_TARGETS {
             self.by_target.shift_remove_index(0);
@@ -109,7 +114,7 @@
     }
 
     /// The target took a connection that was asked for at `at_ms`.
-    pub(crate) fn on_listening(&mut self, target: &str, at_ms: MonoMs) {
+    pub(crate) fn on_connection_accepted(&mut self, target: &str, at_ms: MonoMs) {
         let Some(left) = self.by_target.get_mut(target) else {
             return;
         };
@@ -123,7 +128,7 @@
     }
 
     /// Gives up the runs at a target: it has ended, or nothing can be known of it.
-    pub(crate) fn take(&mut self, target: &str) -> Vec<Loss> {
+    pub(crate) fn take(&mut self, target: &str) -> Vec<LostRequest> {
         let left = self.by_target.shift_remove(target);
         let runs = left.map(|left| left.runs).unwrap_or_default();
         runs.into_iter().map(|run| run.loss).collect()
--- a/crates/quarantine/src/clearance.rs
+++ b/crates/quarantine/src/clearance.rs
@@ -1,6 +1,6 @@
 //! What a request needs before it may be sent to a target.
 //!
-//! Each way to a target leads through [`Suspects::clear`], at the last moment before the
+//! Each way to a target leads through [`SuspectTracker::acquire_clearance`], at the last moment before the
 //! connection: what was learnt while a request waited, ran or was cut counts too. A suspect
 //! gets a lock over all processes there, for which it may have to wait.
 //!
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 use berylhook_core::digest::RequestDigest;
-use berylhook_core::quarantine::Standing;
+use berylhook_core::quarantine::QuarantineStatus;
 use berylhook_platform::store::Lease;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::keeper::{LockAnswer, Task};
-use crate::suspects::Suspects;
+use crate::replicator::{LockAnswer, Task};
+use crate::suspects::SuspectTracker;
 
 /// Time between two looks of a request that waits for another run to end.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
@@ -50,32 +50,32 @@
 
 /// A request is not sent because targets end under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldBack {
+pub struct QuarantineRejection {
     /// When coming back can help; `None` if an operator has to lift it first.
-    pub back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Why, for the logs.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-impl HeldBack {
+impl QuarantineRejection {
     /// It has waited for its turn until its time was over.
     pub const OUT_OF_TIME: Self = Self {
-        back: Some(BUSY_BACK),
-        why: "out-of-time",
+        retry_after: Some(BUSY_BACK),
+        reason: "out-of-time",
     };
 }
 
 /// How long a request may wait.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct WaitLimits {
     /// For its turn, if it is suspected.
-    pub turn: Duration,
+    pub lock_wait: Duration,
     /// For its whole answer, for which its lock is needed.
-    pub answer: Duration,
+    pub response_wait: Duration,
 }
 
 /// What a request has to show. It is asked for its digest only where anything is suspected.
-pub trait Asking {
+pub trait RequestIdentity {
     /// The digest of its content.
     fn digest(&self) -> RequestDigest;
 
@@ -83,7 +83,7 @@
     fn service(&self) -> &Arc<str>;
 
     /// Whether the end of one of its targets stops a whole group.
-    fn stops_group(&self) -> bool {
+    fn exit_stops_group(&self) -> bool {
         false
     }
 }
@@ -102,7 +102,7 @@
     ///
     /// A request on trial may still run as a suspect, for a process that has not heard of its
     /// last end, so its trial is locked under both names, all or none.
-    fn names(self, asking: &impl Asking) -> Vec<Arc<str>> {
+    fn names(self, asking: &impl RequestIdentity) -> Vec<Arc<str>> {
         let request: Arc<str> = format!("request/{}", asking.digest()).into();
         match self {
             Self::Request => vec![request],
@@ -113,7 +113,7 @@
 
 /// A lock over all processes, or over this one while the store does not answer.
 struct Permit {
-    suspects: Arc<Suspects>,
+    suspects: Arc<SuspectTracker>,
     digest: RequestDigest,
     scope: Scope,
     names: Vec<Arc<str>>,
@@ -150,9 +150,9 @@
 
 /// What a request has got; it is given back with it.
 #[derive(Default)]
-pub struct Clearance(Option<Permit>);
+pub struct RunClearance(Option<Permit>);
 
-impl Clearance {
+impl RunClearance {
     /// Whether no other run of this request goes on in any process, as a suspect.
     ///
     /// A lock of this process alone, without the store, says nothing of the others: runs of
@@ -174,13 +174,13 @@
     Lock(Scope),
     /// The end of another run, or certainty about the last.
     Patience,
-    Refusal(HeldBack),
+    Refusal(QuarantineRejection),
 }
 
-impl Suspects {
+impl SuspectTracker {
     /// Why the request cannot be sent at present, if no waiting helps.
-    pub fn refusal(&self, asking: &impl Asking) -> Option<HeldBack> {
-        match self.need(asking, &Clearance::default()) {
+    pub fn rejection(&self, asking: &impl RequestIdentity) -> Option<QuarantineRejection> {
+        match self.need(asking, &RunClearance::default()) {
             Need::Refusal(held) => Some(held),
             Need::Nothing | Need::Lock(_) | Need::Patience => None,
         }
@@ -192,12 +192,12 @@
     /// # Errors
     ///
     /// If the request may not be sent at present.
-    pub async fn clear(
+    pub async fn acquire_clearance(
         self: &Arc<Self>,
-        asking: &impl Asking,
-        clearance: &mut Clearance,
-        patience: Patience,
-    ) -> Result<(), HeldBack> {
+        asking: &impl RequestIdentity,
+        clearance: &mut RunClearance,
+        patience: WaitLimits,
+    ) -> Result<(), QuarantineRejection> {
         let began = Instant::now();
         let mut changes = self.changes.subscribe();
         loop {
@@ -208,23 +208,27 @@
                 Need::Patience => {}
                 Need::Lock(scope) => {
                     // One request never holds two locks, so none waits for another's.
-                    *clearance = Clearance::default();
+                    *clearance = RunClearance::default();
                     *clearance = self.permit(asking, scope, patience).await?;
                     if clearance.suffices(scope) {
                         continue;
                     }
                 }
             }
-            let Some(left) = patience.turn.checked_sub(began.elapsed()) else {
-                return Err(if self.is_ignorant() { UNINFORMED } else { BUSY });
+            let Some(left) = patience.lock_wait.checked_sub(began.elapsed()) else {
+                return Err(if self.is_uninformed() {
+                    UNINFORMED
+                } else {
+                    BUSY
+                });
             };
             // Running out of time is a reason to look again.
             let _ = timeout(left.min(LOOK_EVERY), changes.changed()).await;
         }
     }
 
-    fn need(&self, asking: &impl Asking, clearance: &Clearance) -> Need {
-        if self.is_ignorant() {
+    fn need(&self, asking: &impl RequestIdentity, clearance: &RunClearance) -> Need {
+        if self.is_uninformed() {
             return Need::Patience;
         }
         if !self.is_active.load(Ordering::Relaxed) {
@@ -234,14 +238,14 @@
         if self.lock().losses.is_unsettled(digest) {
             return Need::Patience;
         }
-        let scope = match self.standing(digest, asking.stops_group()) {
-            Standing::Clear => return Need::Nothing,
-            Standing::Suspect => Scope::Request,
-            Standing::OnTrial => Scope::Service,
-            Standing::Held { back_ms } => {
-                return Need::Refusal(HeldBack {
-                    back: back_ms.map(Duration::from_millis),
-                    why: "held",
+        let scope = match self.standing(digest, asking.exit_stops_group()) {
+            QuarantineStatus::Clear => return Need::Nothing,
+            QuarantineStatus::Suspect => Scope::Request,
+            QuarantineStatus::OnTrial => Scope::Service,
+            QuarantineStatus::Held { retry_after_ms } => {
+                return Need::Refusal(QuarantineRejection {
+                    retry_after: retry_after_ms.map(Duration::from_millis),
+                    reason: "held",
                 });
             }
         };
@@ -255,14 +259,14 @@
     /// Asks for a lock; an empty clearance if another run has it.
     async fn permit(
         self: &Arc<Self>,
-        asking: &impl Asking,
+        asking: &impl RequestIdentity,
         scope: Scope,
-        patience: Patience,
-    ) -> Result<Clearance, HeldBack> {
+        patience: WaitLimits,
+    ) -> Result<RunClearance, QuarantineRejection> {
         let digest = asking.digest();
         let names = scope.names(asking);
         if !self.reserve(&names) {
-            return Ok(Clearance::default());
+            return Ok(RunClearance::default());
         }
         let mut permit = Permit {
             suspects: Arc::clone(self),
@@ -274,14 +278,16 @@
         let (answer, answered) = oneshot::channel();
         self.ask_keeper(Task::Lock {
             names,
-            ttl: patience.answer + LEASE_MARGIN,
+            ttl: patience.response_wait + LEASE_MARGIN,
             answer,
         });
         let is_away = self.is_store_away.load(Ordering::Relaxed);
         let wait = if is_away {
-            patience.turn.max(LOOK_EVERY)
+            patience.lock_wait.max(LOOK_EVERY)
         } else {
-            patience.turn.max(patience.answer.mul_f64(LOCK_SHARE))
+            patience
+                .lock_wait
+                .max(patience.response_wait.mul_f64(LOCK_SHARE))
         };
         // A keeper that is gone can reach the store no more.
         let answered = timeout(wait, answered).await;
@@ -291,11 +297,11 @@
                 permit.lease = Some(lease);
                 let lock = permit.names.last().map_or("-", |name| &**name);
                 log::info!(digest:% = digest, lock; "a suspect runs alone");
-                Ok(Clearance(Some(permit)))
+                Ok(RunClearance(Some(permit)))
             }
-            (Ok(LockAnswer::Taken), _) => Ok(Clearance::default()),
+            (Ok(LockAnswer::Taken), _) => Ok(RunClearance::default()),
             (Err(_), _) if !is_away => Err(LATE),
-            (Ok(LockAnswer::Away) | Err(_), Scope::Request) => Ok(Clearance(Some(permit))),
+            (Ok(LockAnswer::Away) | Err(_), Scope::Request) => Ok(RunClearance(Some(permit))),
             (Ok(LockAnswer::Away) | Err(_), Scope::Service) => Err(AWAY),
         }
     }
@@ -326,22 +332,22 @@
     }
 }
 
-const UNINFORMED: HeldBack = HeldBack {
-    back: Some(UNINFORMED_BACK),
-    why: "uninformed",
+const UNINFORMED: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(UNINFORMED_BACK),
+    reason: "uninformed",
 };
 
-const AWAY: HeldBack = HeldBack {
-    back: Some(AWAY_BACK),
-    why: "no-lock",
+const AWAY: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(AWAY_BACK),
+    reason: "no-lock",
 };
 
-const LATE: HeldBack = HeldBack {
-    back: Some(BUSY_BACK),
-    why: "lock-late",
+const LATE: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(BUSY_BACK),
+    reason: "lock-late",
 };
 
-const BUSY: HeldBack = HeldBack {
-    back: Some(BUSY_BACK),
-    why: "runs-elsewhere",
+const BUSY: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(BUSY_BACK),
+    reason: "runs-elsewhere",
 };
--- a/crates/quarantine/src/follow.rs
+++ b/crates/quarantine/src/follow.rs
@@ -6,8 +6,8 @@
 use berylhook_platform::store::{Store, StoreError, StoreEvent, Topic};
 use tokio::time::sleep;
 
-use crate::kept::PREFIX;
-use crate::{Surroundings, Suspects};
+use crate::stored::PREFIX;
+use crate::{ClusterAccess, SuspectTracker};
 
 /// Longest wait of one watch. Each counts as a call, and news comes at once all the same.
 const WATCH_WAIT_MS: u64 = 20_000;
@@ -16,7 +16,7 @@
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Takes over what the store keeps, for as long as the process lives.
-pub async fn follow(suspects: Arc<Suspects>, surroundings: Arc<dyn Surroundings>) {
+pub async fn follow_store(suspects: Arc<SuspectTracker>, surroundings: Arc<dyn ClusterAccess>) {
     let mut is_away = false;
     loop {
         let mut store = surroundings.store();
@@ -33,12 +33,12 @@
 enum Never {}
 
 async fn follow_until_lost(
-    suspects: &Suspects,
+    suspects: &SuspectTracker,
     store: &mut Store,
     is_away: &mut bool,
 ) -> Result<Never, StoreError> {
     let (items, mut position) = store.own_items(PREFIX).await?;
-    suspects.take_items(&items, position);
+    suspects.apply_items(&items, position);
     if std::mem::take(is_away) {
         log::info!("what is held back can be read in the store again");
     }
@@ -47,7 +47,7 @@
         let watched = store.watch(topic, position, WATCH_WAIT_MS).await?;
         for revised in watched.events {
             if let StoreEvent::Own { key, value } = revised.event {
-                suspects.take_item(&key, value.as_deref(), revised.position);
+                suspects.apply_item(&key, value.as_deref(), revised.position);
             }
         }
         position = watched.position;
--- a/crates/quarantine/src/items.rs
+++ b/crates/quarantine/src/items.rs
@@ -6,15 +6,15 @@
 
 use berylhook_core::digest::RequestDigest;
 use berylhook_core::position::Position;
-use berylhook_core::quarantine::{End, Facts, Hold, Outlived};
+use berylhook_core::quarantine::{Facts, Hold, SurvivedRun, TargetExit};
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_platform::store::OwnItem;
 
-use crate::keeper::Task;
-use crate::kept::{self, Kept};
-use crate::suspects::{Suspects, locked};
+use crate::replicator::Task;
+use crate::stored::{self, StoredItem};
+use crate::suspects::{SuspectTracker, locked};
 
-impl Suspects {
+impl SuspectTracker {
     /// Where the request's hold was written last in the store; `None` if it has none.
     pub(crate) fn hold_written(&self, digest: RequestDigest) -> Option<Position> {
         locked(&self.kept_holds).written(digest)
@@ -50,7 +50,7 @@
     }
 
     /// Takes over what the store holds of this project's, read anew at that position.
-    pub fn take_items(&self, items: &[OwnItem], position: Position) {
+    pub fn apply_items(&self, items: &[OwnItem], position: Position) {
         let (is_restored, mut gone) = {
             let mut kept = locked(&self.kept_holds);
             (kept.on_era(position.era), kept.digests())
@@ -60,7 +60,7 @@
             let taken = if is_restored {
                 self.take_copied(item)
             } else {
-                self.take_item(&item.key, Some(&item.value), item.position)
+                self.apply_item(&item.key, Some(&item.value), item.position)
             };
             if let Some(digest) = taken {
                 gone.retain(|known| *known != digest);
@@ -79,12 +79,12 @@
     /// Takes over one item of a store that was restored from an older copy, unless this
     /// process knows better; gives the request whose hold it is.
     fn take_copied(&self, item: &OwnItem) -> Option<RequestDigest> {
-        let Ok(Kept::Hold {
+        let Ok(StoredItem::Hold {
             digest,
             hold: Some(copied),
-        }) = kept::read(&item.key, Some(&item.value))
+        }) = stored::read(&item.key, Some(&item.value))
         else {
-            return self.take_item(&item.key, Some(&item.value), item.position);
+            return self.apply_item(&item.key, Some(&item.value), item.position);
         };
         let known = self.known_hold(digest);
         let has_ended = locked(&self.kept_holds).has_ended(digest, &copied);
@@ -108,20 +108,20 @@
     }
 
     /// Takes over one item of the store; gives the request whose hold it is.
-    pub fn take_item(
+    pub fn apply_item(
         &self,
         key: &str,
         value: Option<&[u8]>,
         written: Position,
     ) -> Option<RequestDigest> {
-        match kept::read(key, value) {
-            Ok(Kept::End {
+        match stored::read(key, value) {
+            Ok(StoredItem::Exit {
                 target,
                 at,
                 suspects,
             }) => {
                 let at_ms = self.at_ms(at);
-                let end = End {
+                let end = TargetExit {
                     target,
                     at_ms,
                     suspects,
@@ -130,8 +130,8 @@
                 self.take_facts(&facts, "store");
                 None
             }
-            Ok(Kept::Outlived { digest, run, at }) => {
-                let outlived = Outlived {
+            Ok(StoredItem::SurvivedRun { digest, run, at }) => {
+                let outlived = SurvivedRun {
                     digest,
                     run,
                     at_ms: self.at_ms(at),
@@ -140,11 +140,11 @@
                 self.take_facts(&facts, "store");
                 None
             }
-            Ok(Kept::Hold { digest, hold }) => {
+            Ok(StoredItem::Hold { digest, hold }) => {
                 self.learn_hold(digest, hold, written);
                 Some(digest)
             }
-            Ok(Kept::Nothing) => None,
+            Ok(StoredItem::Irrelevant) => None,
             Err(error) => {
                 log::error!(key, reason:% = error; "an item of the store cannot be read");
                 None
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -2,8 +2,8 @@
 //! it heard, and who may go on.
 //!
 //! The decision is `berylhook_core::quarantine`'s. Here its facts are gathered, and each
-//! request asks before it is sent. A process that embeds this brings its [`Surroundings`]
-//! and its [`Gauges`], asks [`Suspects::clear`] before each send, and tells what became of
+//! request asks before it is sent. A process that embeds this brings its [`ClusterAccess`]
+//! and its [`QuarantineMetrics`], asks [`SuspectTracker::acquire_clearance`] before each send, and tells what became of
 //! it.
 //!
 //! | Part | Job |
@@ -19,22 +19,22 @@
 //! | `follow` | follows it, for a process that follows nothing else there |
 //! | `informed` | whether a process that has just started knows enough to serve |
 //! | `messages` | what processes tell each other |
-//! | [`kept`] | what stands in the store |
+//! | [`stored`] | what stands in the store |
 //!
 //! Most of the time nothing is suspected; a request then costs one atomic load, and no
 //! digest is made of it.
 
+mod abandoned_runs;
 mod clearance;
 mod follow;
 mod informed;
 mod items;
-mod keeper;
-pub mod kept;
-mod kept_holds;
-mod left;
-mod look;
-mod losses;
+mod lost_requests;
 mod messages;
+mod probe;
+mod replicator;
+pub mod stored;
+mod stored_holds;
 mod suspects;
 
 use std::net::SocketAddr;
@@ -43,19 +43,20 @@
 
 use berylhook_platform::store::Store;
 
-pub use self::clearance::{Asking, Clearance, HeldBack, Patience};
-pub use self::follow::follow;
-pub use self::keeper::Keeper;
-pub use self::look::{AnyListener, Look, Looking};
-pub use self::losses::{Loss, Place};
-pub use self::messages::{MalformedNews, News};
-pub use self::suspects::Suspects;
+pub use self::clearance::{QuarantineRejection, RequestIdentity, RunClearance, WaitLimits};
+pub use self::follow::follow_store;
+pub use self::lost_requests::{LostRequest, TargetIncarnation};
+pub use self::messages::{MalformedUpdate, QuarantineUpdate};
+pub use self::probe::{AnyListener, Probe, ProbeFuture};
+pub use self::replicator::Replicator;
+pub use self::suspects::SuspectTracker;
 
 /// A peer's answer to news, or why there is none.
-pub type Telling<'a> = Pin<Box<dyn Future<Output = Result<News, String>> + Send + 'a>>;
+pub type UpdateReply<'a> =
+    Pin<Box<dyn Future<Output = Result<QuarantineUpdate, String>> + Send + 'a>>;
 
 /// The store and the peers of the process.
-pub trait Surroundings: Send + Sync {
+pub trait ClusterAccess: Send + Sync {
     /// This process's name, as the holder of a lock.
     fn name(&self) -> Arc<str>;
 
@@ -66,14 +67,14 @@
     fn peers(&self) -> Vec<SocketAddr>;
 
     /// Tells a peer news; it answers with all that it knows where the news asks for it.
-    fn tell(&self, peer: SocketAddr, news: News) -> Telling<'_>;
+    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_>;
 }
 
 /// Where the process counts what happens here.
-pub trait Gauges: Send + Sync {
+pub trait QuarantineMetrics: Send + Sync {
     /// How many requests are suspected at present, and how many held back.
-    fn set_standings(&self, suspected: usize, held: usize);
+    fn set_request_counts(&self, suspected: usize, held: usize);
 
     /// So many requests were newly found to have been at a target that ended.
-    fn add_ended(&self, requests: usize);
+    fn add_requests_at_exit(&self, requests: usize);
 }
--- a/crates/quarantine/src/losses.rs
+++ b/crates/quarantine/src/lost_requests.rs
@@ -26,7 +26,7 @@
 
 /// An incarnation of a target, and where it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct TargetIncarnation {
     /// The name of the incarnation, the same at all processes.
     pub target: Arc<str>,
     /// Where it listens.
@@ -37,18 +37,18 @@
 
 /// A request whose answer was lost.
 #[derive(Clone, Debug)]
-pub struct Loss {
+pub struct LostRequest {
     /// What was asked.
     pub digest: RequestDigest,
     /// Whether it ran under a lock, as a suspect.
     pub ran_alone: bool,
     /// The attempt's id, for the logs.
-    pub request: Arc<str>,
+    pub attempt_id: Arc<str>,
     /// The client account, for the logs.
     pub account: Arc<str>,
 }
 
-impl Loss {
+impl LostRequest {
     pub(crate) fn suspect(&self) -> Suspect {
         Suspect {
             digest: self.digest,
@@ -58,8 +58,8 @@
 }
 
 struct Lost {
-    place: Place,
-    losses: Vec<Loss>,
+    place: TargetIncarnation,
+    losses: Vec<LostRequest>,
     /// When it turned out that somebody listens there; `None` while nobody knows.
     unproved_ms: Option<MonoMs>,
 }
@@ -76,7 +76,7 @@
     }
 
     /// Adds a loss; returns whether the target has to be looked at.
-    pub(crate) fn add(&mut self, place: &Place, loss: Loss) -> bool {
+    pub(crate) fn add(&mut self, place: &TargetIncarnation, loss: LostRequest) -> bool {
         if self.by_target.len() >= MOST_TARGETS && !self.by_target.contains_key(&place.target) {
             self.by_target.swap_remove_index(0);
         }
@@ -103,7 +103,7 @@
     }
 
     /// The target has ended: gives the losses there.
-    pub(crate) fn take(&mut self, name: &str) -> Vec<Loss> {
+    pub(crate) fn take(&mut self, name: &str) -> Vec<LostRequest> {
         let lost = self.by_target.swap_remove(name);
         lost.map(|lost| lost.losses).unwrap_or_default()
     }
@@ -124,7 +124,10 @@
     }
 
     /// The losses at targets at whose address a younger one is listed.
-    pub(crate) fn superseded(&mut self, usable: &[Place]) -> Vec<(Arc<str>, Vec<Loss>)> {
+    pub(crate) fn superseded(
+        &mut self,
+        usable: &[TargetIncarnation],
+    ) -> Vec<(Arc<str>, Vec<LostRequest>)> {
         let is_superseded = |lost: &Lost| {
             let former = &lost.place;
             let mut here = usable.iter().filter(|it| it.address == former.address);
--- a/crates/quarantine/src/messages.rs
+++ b/crates/quarantine/src/messages.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use berylhook_core::digest::RequestDigest;
-use berylhook_core::quarantine::{End, Facts, Outlived, Suspect};
+use berylhook_core::quarantine::{Facts, SurvivedRun, Suspect, TargetExit};
 use berylhook_core::time::MonoMs;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 /// Facts, with their age at the time of telling.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct QuarantineUpdate {
     ends: Vec<EndNews>,
     outlived: Vec<OutlivedNews>,
     /// Whether the teller wants all that the other knows.
@@ -40,7 +40,7 @@
 /// Bytes that are no news.
 #[derive(Debug, Error)]
 #[error("these bytes are no news ({0}); send them as a process of this version does")]
-pub struct MalformedNews(#[from] postcard::Error);
+pub struct MalformedUpdate(#[from] postcard::Error);
 
 impl From<&Suspect> for SuspectNews {
     fn from(suspect: &Suspect) -> Self {
@@ -60,13 +60,13 @@
     }
 }
 
-impl News {
+impl QuarantineUpdate {
     /// Reads what a peer has sent.
     ///
     /// # Errors
     ///
     /// If the bytes are no news.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, MalformedNews> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, MalformedUpdate> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
@@ -81,12 +81,12 @@
     }
 
     pub(crate) fn of(facts: &Facts, wants_all: bool) -> Self {
-        let ends = facts.ends.iter().map(|end| EndNews {
+        let ends = facts.exits.iter().map(|end| EndNews {
             target: Arc::clone(&end.target),
             age_ms: facts.now_ms.since(end.at_ms),
             suspects: end.suspects.iter().map(SuspectNews::from).collect(),
         });
-        let outlived = facts.outlived.iter().map(|it| OutlivedNews {
+        let outlived = facts.survived_runs.iter().map(|it| OutlivedNews {
             digest: *it.digest.as_bytes(),
             run: Arc::clone(&it.run),
             age_ms: facts.now_ms.since(it.at_ms),
@@ -101,12 +101,12 @@
     /// The facts by a clock that reads `now_ms`.
     pub(crate) fn into_facts(self, now_ms: MonoMs) -> Facts {
         let at_ms = |age_ms: u64| MonoMs(now_ms.0.saturating_sub(age_ms));
-        let ends = self.ends.into_iter().map(|it| End {
+        let ends = self.ends.into_iter().map(|it| TargetExit {
             target: it.target,
             at_ms: at_ms(it.age_ms),
             suspects: it.suspects.into_iter().map(Suspect::from).collect(),
         });
-        let outlived = self.outlived.into_iter().map(|it| Outlived {
+        let outlived = self.outlived.into_iter().map(|it| SurvivedRun {
             digest: RequestDigest::from_bytes(it.digest),
             run: it.run,
             at_ms: at_ms(it.age_ms),
--- a/crates/quarantine/src/look.rs
+++ b/crates/quarantine/src/probe.rs
@@ -6,21 +6,21 @@
 use berylhook_target::probe::{self, Listening};
 
 /// What a look shows.
-pub type Looking<'a> = Pin<Box<dyn Future<Output = Listening> + Send + 'a>>;
+pub type ProbeFuture<'a> = Pin<Box<dyn Future<Output = Listening> + Send + 'a>>;
 
 /// Finds out who listens at a target's address.
 ///
 /// [`Listening::Accepted`] also stands for a listener that does not tell who it is.
-pub trait Look: Send + Sync {
+pub trait Probe: Send + Sync {
     /// Asks the target once.
-    fn look(&self) -> Looking<'_>;
+    fn probe(&self) -> ProbeFuture<'_>;
 }
 
 /// Takes any listener at the address for the target.
 pub struct AnyListener(pub SocketAddr);
 
-impl Look for AnyListener {
-    fn look(&self) -> Looking<'_> {
+impl Probe for AnyListener {
+    fn probe(&self) -> ProbeFuture<'_> {
         Box::pin(probe::probe(self.0))
     }
 }
--- a/crates/quarantine/src/keeper.rs
+++ b/crates/quarantine/src/replicator.rs
@@ -16,7 +16,7 @@
 
 use berylhook_core::digest::RequestDigest;
 use berylhook_core::position::Position;
-use berylhook_core::quarantine::{End, FACTS_FADE_MS, Facts, Hold, Outlived};
+use berylhook_core::quarantine::{FACT_TTL_MS, Facts, Hold, SurvivedRun, TargetExit};
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_platform::store::{Lease, Put, Store, StoreError};
 use futures_util::future::join_all;
@@ -25,10 +25,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use crate::Surroundings;
-use crate::kept::{self, EndDocument, OutlivedDocument, SuspectDocument};
-use crate::messages::News;
-use crate::suspects::{Suspects, locked};
+use crate::ClusterAccess;
+use crate::messages::QuarantineUpdate;
+use crate::stored::{self, ExitDocument, SurvivedRunDocument, SuspectDocument};
+use crate::suspects::{SuspectTracker, locked};
 
 /// Time for a peer's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
@@ -84,22 +84,22 @@
 }
 
 /// Keeps what is known of requests under which targets end.
-pub struct Keeper {
-    suspects: Arc<Suspects>,
-    surroundings: Arc<dyn Surroundings>,
+pub struct Replicator {
+    suspects: Arc<SuspectTracker>,
+    surroundings: Arc<dyn ClusterAccess>,
 }
 
-impl Keeper {
+impl Replicator {
     /// A keeper of what is known in `suspects`.
     #[must_use]
-    pub fn new(suspects: Arc<Suspects>, surroundings: Arc<dyn Surroundings>) -> Self {
+    pub fn new(suspects: Arc<SuspectTracker>, surroundings: Arc<dyn ClusterAccess>) -> Self {
         Self {
             suspects,
             surroundings,
         }
     }
 
-    fn suspects(&self) -> &Arc<Suspects> {
+    fn suspects(&self) -> &Arc<SuspectTracker> {
         &self.suspects
     }
 
@@ -166,7 +166,7 @@
 
     /// Takes a peer's news; the answer tells all that is known here if the peer wants it.
     #[must_use]
-    pub fn take_news(&self, news: News) -> News {
+    pub fn apply_update(&self, news: QuarantineUpdate) -> QuarantineUpdate {
         let suspects = self.suspects();
         let wants_all = news.wants_all;
         suspects.take_facts(&news.into_facts(suspects.now_ms()), "peer");
@@ -175,13 +175,13 @@
         } else {
             Facts::default()
         };
-        News::of(&told, false)
+        QuarantineUpdate::of(&told, false)
     }
 
     /// Exchanges all facts with a peer.
     async fn compare(&self, address: SocketAddr) {
         let suspects = self.suspects();
-        let news = News::of(&suspects.facts(), true);
+        let news = QuarantineUpdate::of(&suspects.facts(), true);
         match self.ask(address, news).await {
             Ok(told) => {
                 suspects.take_facts(&told.into_facts(suspects.now_ms()), "peer");
@@ -191,8 +191,12 @@
         }
     }
 
-    async fn ask(&self, address: SocketAddr, news: News) -> Result<News, String> {
-        let telling = self.surroundings.tell(address, news);
+    async fn ask(
+        &self,
+        address: SocketAddr,
+        news: QuarantineUpdate,
+    ) -> Result<QuarantineUpdate, String> {
+        let telling = self.surroundings.send_update(address, news);
         match timeout(ANSWER_TIMEOUT, telling).await {
             Ok(told) => told,
             Err(_) => Err(format!("no answer within {ANSWER_TIMEOUT:?}")),
@@ -219,7 +223,7 @@
                 now_ms: self.suspects().now_ms(),
                 ..facts.clone()
             };
-            let news = News::of(&facts, false);
+            let news = QuarantineUpdate::of(&facts, false);
             let told = addresses.into_iter().map(|address| {
                 let news = news.clone();
                 async move {
@@ -235,7 +239,7 @@
             }
         }
         // Runs that targets outlived are told often, and are no call for anybody to act.
-        for end in &facts.ends {
+        for end in &facts.exits {
             let missed = addresses.len();
             log::info!(target = &*end.target, peers, missed; "peers were told of a target that ended");
         }
@@ -244,18 +248,18 @@
     /// Leaves facts in the store, for entries that start later.
     async fn keep(&self, facts: &Facts) -> bool {
         let mut are_kept = true;
-        for end in &facts.ends {
+        for end in &facts.exits {
             if let Err(error) = self.keep_end(end, facts.now_ms).await {
                 log::warn!(target = &*end.target, reason:% = error; "an end is not kept in the store");
                 are_kept = false;
             }
         }
-        for outlived in &facts.outlived {
+        for outlived in &facts.survived_runs {
             if let Err(error) = self.keep_outlived(outlived, facts.now_ms).await {
                 log::info!(digest:% = outlived.digest, reason:% = error; "an outlived run is not kept in the store");
             }
         }
-        if !facts.ends.is_empty() {
+        if !facts.exits.is_empty() {
             self.keep_holds().await;
         }
         are_kept
@@ -264,19 +268,23 @@
     /// Leaves in the store that a target outlived a suspect. An entry that starts later
     /// and read of the ends alone would hold back what all others have cleared. One end
     /// holds nothing back, so its many suspects are not written.
-    async fn keep_outlived(&self, outlived: &Outlived, now_ms: MonoMs) -> Result<(), StoreError> {
-        let ends = self.suspects().ends_of(outlived.digest);
+    async fn keep_outlived(
+        &self,
+        outlived: &SurvivedRun,
+        now_ms: MonoMs,
+    ) -> Result<(), StoreError> {
+        let ends = self.suspects().exits_of(outlived.digest);
         if ends < ENDS_TO_KEEP_OUTLIVED {
             return Ok(());
         }
         let age_ms = now_ms.since(outlived.at_ms);
-        let document = OutlivedDocument {
+        let document = SurvivedRunDocument {
             digest: outlived.digest.to_string(),
             run: Arc::clone(&outlived.run),
             at_unix_ms: WallMs::now().0.saturating_sub(age_ms),
         };
         let (digest, run) = (outlived.digest, &outlived.run);
-        let key = format!("{}{digest}/{run}", kept::OUTLIVED_PREFIX);
+        let key = format!("{}{digest}/{run}", stored::SURVIVED_RUN_PREFIX);
         let value = serde_json::to_vec(&document).expect("plain structures serialize");
         self.keep_fact(key, value).await
     }
@@ -284,7 +292,7 @@
     /// Writes a fact, which ends with its lease.
     async fn keep_fact(&self, key: String, value: Vec<u8>) -> Result<(), StoreError> {
         let mut store = self.store();
-        let lease = store.grant(FACTS_FADE_MS).await?;
+        let lease = store.grant(FACT_TTL_MS).await?;
         let put = Put {
             key: key.into(),
             value,
@@ -294,16 +302,16 @@
         store.commit(&[put]).await.map(drop)
     }
 
-    async fn keep_end(&self, end: &End, now_ms: MonoMs) -> Result<(), StoreError> {
+    async fn keep_end(&self, end: &TargetExit, now_ms: MonoMs) -> Result<(), StoreError> {
         let age_ms = now_ms.since(end.at_ms);
-        let document = EndDocument {
+        let document = ExitDocument {
             target: Arc::clone(&end.target),
             at_unix_ms: WallMs::now().0.saturating_sub(age_ms),
             suspects: end.suspects.iter().map(SuspectDocument::from).collect(),
         };
         // Each telling has a key of its own: what is told later of the same end adds to it.
         let telling: u64 = rand::random();
-        let key = format!("{}{}/{telling:016x}", kept::END_PREFIX, end.target);
+        let key = format!("{}{}/{telling:016x}", stored::EXIT_PREFIX, end.target);
         let value = serde_json::to_vec(&document).expect("plain structures serialize");
         self.keep_fact(key, value).await
     }
@@ -311,13 +319,13 @@
     /// Keeps in the store which requests are held back, and how often their trials failed.
     async fn keep_holds(&self) {
         let suspects = self.suspects();
-        let unrecorded = {
+        let unrecorded_holds = {
             let state = suspects.lock();
             state
                 .quarantine
-                .unrecorded(suspects.now_ms(), WallMs::now())
+                .unrecorded_holds(suspects.now_ms(), WallMs::now())
         };
-        for (digest, hold) in suspects.lost_holds().into_iter().chain(unrecorded) {
+        for (digest, hold) in suspects.lost_holds().into_iter().chain(unrecorded_holds) {
             match self.keep_hold(digest, &hold).await {
                 Ok(written) => {
                     log::warn!(digest:% = digest, failed_trials = hold.failed_trials; "a request is held back");
@@ -334,8 +342,8 @@
 
     async fn keep_hold(&self, digest: RequestDigest, hold: &Hold) -> Result<Position, StoreError> {
         let put = Put {
-            key: kept::hold_key(digest),
-            value: kept::hold_value(hold),
+            key: stored::hold_key(digest),
+            value: stored::hold_value(hold),
             expected: self.suspects().hold_written(digest),
             lease: None,
         };
@@ -364,7 +372,7 @@
         let mut store = self.store();
         let keys = names
             .iter()
-            .map(|name| format!("{}{name}", kept::LOCK_PREFIX).into());
+            .map(|name| format!("{}{name}", stored::LOCK_PREFIX).into());
         let keys: Vec<Arc<str>> = keys.collect();
         for key in &keys {
             if store.item(key).await?.is_some() {
@@ -373,7 +381,7 @@
         }
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let lease = store
-            .grant(ttl_ms.clamp(LEAST_LEASE_MS, FACTS_FADE_MS))
+            .grant(ttl_ms.clamp(LEAST_LEASE_MS, FACT_TTL_MS))
             .await?;
         let puts = keys.into_iter().map(|key| Put {
             key,
@@ -383,12 +391,12 @@
         });
         let puts: Vec<Put> = puts.collect();
         let locked = match store.commit(&puts).await {
-            Ok(_) => store.own_items(kept::PREFIX).await,
+            Ok(_) => store.own_items(stored::PREFIX).await,
             Err(error) => Err(error),
         };
         match locked {
             Ok((items, position)) => {
-                self.suspects().take_items(&items, position);
+                self.suspects().apply_items(&items, position);
                 Ok(Some(lease))
             }
             Err(error) => {
@@ -423,17 +431,21 @@
     }
 
     async fn tidy(&self) {
-        self.suspects().fade();
+        self.suspects().expire_facts();
         self.keep_holds().await;
-        let forgettable = self.suspects().lock().quarantine.forgettable(WallMs::now());
-        for digest in forgettable {
+        let expired_holds = self
+            .suspects()
+            .lock()
+            .quarantine
+            .expired_holds(WallMs::now());
+        for digest in expired_holds {
             self.forget(digest).await;
         }
     }
 
     async fn forget(&self, digest: RequestDigest) {
         let suspects = self.suspects();
-        let key = kept::hold_key(digest);
+        let key = stored::hold_key(digest);
         let Some(written) = suspects.hold_written(digest) else {
             suspects.learn_hold(digest, None, Position::default());
             return;
@@ -465,8 +477,8 @@
         match task {
             Task::Tell(more) => {
                 facts.now_ms = facts.now_ms.max(more.now_ms);
-                facts.ends.extend(more.ends);
-                facts.outlived.extend(more.outlived);
+                facts.exits.extend(more.exits);
+                facts.survived_runs.extend(more.survived_runs);
             }
             other => return (facts, Some(other)),
         }
--- a/crates/quarantine/src/kept.rs
+++ b/crates/quarantine/src/stored.rs
@@ -2,8 +2,8 @@
 //!
 //! | Key | Value | Ends |
 //! |---|---|---|
-//! | `berylhook/quarantine/end/TARGET/PROCESS` | an [`EndDocument`] | with its lease, after ten minutes |
-//! | `berylhook/quarantine/outlived/DIGEST/RUN` | an [`OutlivedDocument`] | the same |
+//! | `berylhook/quarantine/end/TARGET/PROCESS` | an [`ExitDocument`] | with its lease, after ten minutes |
+//! | `berylhook/quarantine/outlived/DIGEST/RUN` | an [`SurvivedRunDocument`] | the same |
 //! | `berylhook/quarantine/hold/DIGEST` | a [`HoldDocument`] | when it is lifted, or nobody has asked for long |
 //! | `berylhook/quarantine-lock/NAME` | who has the lock | with the run, or its lease |
 //!
@@ -21,10 +21,10 @@
 pub const PREFIX: &str = "berylhook/quarantine/";
 
 /// Keys of ended targets.
-pub const END_PREFIX: &str = "berylhook/quarantine/end/";
+pub const EXIT_PREFIX: &str = "berylhook/quarantine/end/";
 
 /// Keys of runs that targets outlived.
-pub const OUTLIVED_PREFIX: &str = "berylhook/quarantine/outlived/";
+pub const SURVIVED_RUN_PREFIX: &str = "berylhook/quarantine/outlived/";
 
 /// Keys of holds.
 pub const HOLD_PREFIX: &str = "berylhook/quarantine/hold/";
@@ -34,7 +34,7 @@
 
 /// A target that ended, and the requests that one entry had there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndDocument {
+pub struct ExitDocument {
     /// The target's incarnation.
     pub target: Arc<str>,
     /// When it was noticed, Unix time in milliseconds.
@@ -45,7 +45,7 @@
 
 /// A run of a suspect that its target outlived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutlivedDocument {
+pub struct SurvivedRunDocument {
     /// The request's digest.
     pub digest: String,
     /// The run.
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldDocument {
     /// `held`, `pinned` or `lifted`.
-    pub hold: KeptKind,
+    pub hold: StoredHoldKind,
     /// Since when, Unix time in milliseconds.
     pub since_unix_ms: u64,
     /// Trials that ended a target.
@@ -101,7 +101,7 @@
 /// What a hold says, as it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum KeptKind {
+pub enum StoredHoldKind {
     /// Until its next trial.
     Held,
     /// Until an operator lifts it.
@@ -112,7 +112,7 @@
 
 /// An item that cannot be read.
 #[derive(Debug, Error)]
-pub enum KeptError {
+pub enum StoredItemError {
     /// Its value is no such document.
     #[error("the value is malformed ({0}); remove the key, entries write it anew")]
     Malformed(#[from] serde_json::Error),
@@ -123,9 +123,9 @@
 
 /// An item of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum StoredItem {
     /// A target ended with these requests.
-    End {
+    Exit {
         /// The target's incarnation.
         target: Arc<str>,
         /// When it was noticed.
@@ -134,7 +134,7 @@
         suspects: Vec<Suspect>,
     },
     /// A target outlived a run of this request.
-    Outlived {
+    SurvivedRun {
         /// The request.
         digest: RequestDigest,
         /// The run.
@@ -150,7 +150,7 @@
         hold: Option<Hold>,
     },
     /// Nothing that matters: an end whose lease is over, or a key of another version.
-    Nothing,
+    Irrelevant,
 }
 
 /// Reads an item; one without a value was removed.
@@ -158,41 +158,41 @@
 /// # Errors
 ///
 /// If the item cannot be read.
-pub fn read(key: &str, value: Option<&[u8]>) -> Result<Kept, KeptError> {
+pub fn read(key: &str, value: Option<&[u8]>) -> Result<StoredItem, StoredItemError> {
     let hold_of = key.strip_prefix(HOLD_PREFIX);
     match (hold_of, value) {
-        (Some(digest), value) => Ok(Kept::Hold {
+        (Some(digest), value) => Ok(StoredItem::Hold {
             digest: digest.parse()?,
             hold: value.map(read_hold).transpose()?,
         }),
-        (None, Some(value)) if key.starts_with(END_PREFIX) => {
-            let document: EndDocument = serde_json::from_slice(value)?;
+        (None, Some(value)) if key.starts_with(EXIT_PREFIX) => {
+            let document: ExitDocument = serde_json::from_slice(value)?;
             let suspects = document.suspects.iter().map(Suspect::try_from);
-            Ok(Kept::End {
+            Ok(StoredItem::Exit {
                 target: document.target,
                 at: WallMs(document.at_unix_ms),
                 suspects: suspects.collect::<Result<_, _>>()?,
             })
         }
-        (None, Some(value)) if key.starts_with(OUTLIVED_PREFIX) => {
-            let document: OutlivedDocument = serde_json::from_slice(value)?;
-            Ok(Kept::Outlived {
+        (None, Some(value)) if key.starts_with(SURVIVED_RUN_PREFIX) => {
+            let document: SurvivedRunDocument = serde_json::from_slice(value)?;
+            Ok(StoredItem::SurvivedRun {
                 digest: document.digest.parse()?,
                 run: document.run,
                 at: WallMs(document.at_unix_ms),
             })
         }
-        (None, _) => Ok(Kept::Nothing),
+        (None, _) => Ok(StoredItem::Irrelevant),
     }
 }
 
-fn read_hold(value: &[u8]) -> Result<Hold, KeptError> {
+fn read_hold(value: &[u8]) -> Result<Hold, StoredItemError> {
     let document: HoldDocument = serde_json::from_slice(value)?;
     Ok(Hold {
         kind: match document.hold {
-            KeptKind::Held => HoldKind::Held,
-            KeptKind::Pinned => HoldKind::Pinned,
-            KeptKind::Lifted => HoldKind::Lifted,
+            StoredHoldKind::Held => HoldKind::Held,
+            StoredHoldKind::Pinned => HoldKind::Pinned,
+            StoredHoldKind::Lifted => HoldKind::Lifted,
         },
         since: WallMs(document.since_unix_ms),
         failed_trials: document.failed_trials,
@@ -209,9 +209,9 @@
 pub fn hold_value(hold: &Hold) -> Vec<u8> {
     let document = HoldDocument {
         hold: match hold.kind {
-            HoldKind::Held => KeptKind::Held,
-            HoldKind::Pinned => KeptKind::Pinned,
-            HoldKind::Lifted => KeptKind::Lifted,
+            HoldKind::Held => StoredHoldKind::Held,
+            HoldKind::Pinned => StoredHoldKind::Pinned,
+            HoldKind::Lifted => StoredHoldKind::Lifted,
         },
         since_unix_ms: hold.since.0,
         failed_trials: hold.failed_trials,
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -7,7 +7,7 @@
 
 use berylhook_core::digest::RequestDigest;
 use berylhook_core::quarantine::{
-    End, FACTS_FADE_MS, Facts, Hold, HoldKind, Outlived, Quarantine, Standing,
+    FACT_TTL_MS, Facts, Hold, HoldKind, Quarantine, QuarantineStatus, SurvivedRun, TargetExit,
 };
 use berylhook_core::time::{MonoMs, WallMs};
 use berylhook_target::probe::{self, Listening};
@@ -15,13 +15,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-use crate::Gauges;
+use crate::QuarantineMetrics;
+use crate::abandoned_runs::Left;
 use crate::informed::Informed;
-use crate::keeper::Task;
-use crate::kept_holds::KeptHolds;
-use crate::left::Left;
-use crate::look::{AnyListener, Look};
-use crate::losses::{Loss, Losses, Place};
+use crate::lost_requests::{Losses, LostRequest, TargetIncarnation};
+use crate::probe::{AnyListener, Probe};
+use crate::replicator::Task;
+use crate::stored_holds::KeptHolds;
 
 /// Digests in one line of the log: a target runs about as many requests.
 const MOST_LISTED: usize = 16;
@@ -35,7 +35,7 @@
 }
 
 /// What this process knows of requests under which targets end.
-pub struct Suspects {
+pub struct SuspectTracker {
     /// Names this process in the names of its runs.
     process: u64,
     runs: AtomicU64,
@@ -50,7 +50,7 @@
     /// Whether any request needs a digest.
     pub(crate) is_active: AtomicBool,
     /// Whether targets have to be looked at, since callers left runs there.
-    awaits_looks: AtomicBool,
+    awaits_probes: AtomicBool,
     /// What the store has of holds.
     pub(crate) kept_holds: Mutex<KeptHolds>,
     /// Rises with each change, for requests that wait for one.
@@ -58,13 +58,13 @@
     tasks: mpsc::UnboundedSender<Task>,
     /// Until the keeper takes it.
     pub(crate) waiting_tasks: Mutex<Option<mpsc::UnboundedReceiver<Task>>>,
-    gauges: Arc<dyn Gauges>,
+    gauges: Arc<dyn QuarantineMetrics>,
 }
 
-impl Suspects {
+impl SuspectTracker {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(gauges: Arc<dyn Gauges>) -> Self {
+    pub fn new(gauges: Arc<dyn QuarantineMetrics>) -> Self {
         let (tasks, waiting_tasks) = mpsc::unbounded_channel();
         Self {
             process: rand::random(),
@@ -80,7 +80,7 @@
             is_informed: AtomicBool::new(false),
             is_store_away: AtomicBool::new(false),
             is_active: AtomicBool::new(false),
-            awaits_looks: AtomicBool::new(false),
+            awaits_probes: AtomicBool::new(false),
             kept_holds: Mutex::default(),
             changes: watch::Sender::new(0),
             tasks,
@@ -99,7 +99,7 @@
     /// is older than the process would look new, and each restart would renew it.
     #[must_use]
     pub fn now_ms(&self) -> MonoMs {
-        MonoMs(self.since_start_ms()) + FACTS_FADE_MS
+        MonoMs(self.since_start_ms()) + FACT_TTL_MS
     }
 
     fn since_start_ms(&self) -> u64 {
@@ -110,7 +110,7 @@
         let is_active = !state.quarantine.is_empty() || !state.losses.is_empty();
         self.is_active.store(is_active, Ordering::Relaxed);
         let (suspected, held) = state.quarantine.counts(self.now_ms(), WallMs::now());
-        self.gauges.set_standings(suspected, held);
+        self.gauges.set_request_counts(suspected, held);
         self.changes.send_modify(|count| *count += 1);
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// What may be done with the request now.
-    pub(crate) fn standing(&self, digest: RequestDigest, stops_group: bool) -> Standing {
+    pub(crate) fn standing(&self, digest: RequestDigest, stops_group: bool) -> QuarantineStatus {
         let state = self.lock();
         let (now_ms, wall_ms) = (self.now_ms(), WallMs::now());
         if stops_group {
-            state.quarantine.standing_in_group(digest, now_ms, wall_ms)
+            state.quarantine.status_in_group(digest, now_ms, wall_ms)
         } else {
-            state.quarantine.standing(digest, now_ms, wall_ms)
+            state.quarantine.status(digest, now_ms, wall_ms)
         }
     }
 
@@ -134,14 +134,19 @@
     ///
     /// Whether its target has ended is found out by a connection to it; until that is
     /// known the request is not sent again. Whoever listens at its address is taken for it.
-    pub fn on_loss(self: &Arc<Self>, place: &Place, loss: Loss) {
-        self.on_loss_at(place, loss, Arc::new(AnyListener(place.address)));
+    pub fn on_lost_response(self: &Arc<Self>, place: &TargetIncarnation, loss: LostRequest) {
+        self.on_lost_response_with_probe(place, loss, Arc::new(AnyListener(place.address)));
     }
 
     /// The same at a target that can be asked who it is.
-    pub fn on_loss_at(self: &Arc<Self>, place: &Place, loss: Loss, asked: Arc<dyn Look>) {
+    pub fn on_lost_response_with_probe(
+        self: &Arc<Self>,
+        place: &TargetIncarnation,
+        loss: LostRequest,
+        asked: Arc<dyn Probe>,
+    ) {
         let mut state = self.lock();
-        if state.quarantine.has_ended(&place.target) {
+        if state.quarantine.has_exited(&place.target) {
             self.take_end(&mut state, &place.target, &[loss]);
             return;
         }
@@ -153,7 +158,7 @@
             let place = place.clone();
             tokio::spawn(async move {
                 let has_ended = probe::has_ended(place.address).await
-                    || matches!(asked.look().await, Listening::Refused | Listening::Another);
+                    || matches!(asked.probe().await, Listening::Refused | Listening::Another);
                 suspects.settle(&place.target, has_ended);
             });
         }
@@ -163,14 +168,19 @@
     ///
     /// Its target may end all the same, so it is looked at until it has outlived the run.
     /// Whoever listens at its address is taken for it.
-    pub fn on_left(self: &Arc<Self>, place: &Place, loss: Loss) {
-        self.on_left_at(place, loss, Arc::new(AnyListener(place.address)));
+    pub fn on_abandoned_run(self: &Arc<Self>, place: &TargetIncarnation, loss: LostRequest) {
+        self.on_abandoned_run_with_probe(place, loss, Arc::new(AnyListener(place.address)));
     }
 
     /// The same at a target that can be asked who it is.
-    pub fn on_left_at(self: &Arc<Self>, place: &Place, loss: Loss, asked: Arc<dyn Look>) {
+    pub fn on_abandoned_run_with_probe(
+        self: &Arc<Self>,
+        place: &TargetIncarnation,
+        loss: LostRequest,
+        asked: Arc<dyn Probe>,
+    ) {
         let is_new = self.lock().left.add(place, loss, self.now_ms());
-        self.awaits_looks.store(true, Ordering::Relaxed);
+        self.awaits_probes.store(true, Ordering::Relaxed);
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
@@ -180,7 +190,7 @@
     }
 
     /// Looks at a target until it has outlived the runs that callers left there.
-    async fn look_at(self: Arc<Self>, place: Place, asked: Arc<dyn Look>) {
+    async fn look_at(self: Arc<Self>, place: TargetIncarnation, asked: Arc<dyn Probe>) {
         while let Some(wait) = self.next_look(&place.target) {
             if !wait.is_zero() {
                 // Other sends may tell meanwhile, and then there is nothing to look at.
@@ -188,9 +198,11 @@
                 continue;
             }
             let asked_ms = self.now_ms();
-            match asked.look().await {
-                Listening::Accepted => self.on_listening(&place.target, asked_ms),
-                Listening::Refused | Listening::Another => self.on_refused(&place.target),
+            match asked.probe().await {
+                Listening::Accepted => self.on_connection_accepted(&place.target, asked_ms),
+                Listening::Refused | Listening::Another => {
+                    self.on_connection_refused(&place.target);
+                }
                 // No request is blamed for a VM that is cut off or has lost its power.
                 Listening::Silent => {
                     self.lock().left.take(&place.target);
@@ -198,7 +210,7 @@
             }
         }
         let state = self.lock();
-        self.awaits_looks
+        self.awaits_probes
             .store(!state.left.is_empty(), Ordering::Relaxed);
         // Locks are given back once this is known.
         self.changed(&state);
@@ -209,24 +221,24 @@
         Some(Duration::from_millis(due_ms.since(self.now_ms())))
     }
 
-    /// Whether what sends show of their targets has to be told to [`Self::on_listening`].
+    /// Whether what sends show of their targets has to be told to [`Self::on_connection_accepted`].
     #[must_use]
-    pub fn awaits_looks(&self) -> bool {
-        self.awaits_looks.load(Ordering::Relaxed)
+    pub fn awaits_probes(&self) -> bool {
+        self.awaits_probes.load(Ordering::Relaxed)
     }
 
     /// A target took a connection that was asked for at `asked_ms` of this clock.
-    pub fn on_listening(&self, target: &str, asked_ms: MonoMs) {
-        self.lock().left.on_listening(target, asked_ms);
+    pub fn on_connection_accepted(&self, target: &str, asked_ms: MonoMs) {
+        self.lock().left.on_connection_accepted(target, asked_ms);
     }
 
     /// A target has ended, and these requests ran there.
-    pub fn on_ended(&self, target: &Arc<str>, lost: &[Loss]) {
+    pub fn on_target_exit(&self, target: &Arc<str>, lost: &[LostRequest]) {
         self.take_end(&mut self.lock(), target, lost);
     }
 
     /// Nobody listens at a target's address: it has ended, if only now.
-    pub fn on_refused(&self, target: &Arc<str>) {
+    pub fn on_connection_refused(&self, target: &Arc<str>) {
         let mut state = self.lock();
         let mut lost = state.losses.take(target);
         lost.extend(state.left.take(target));
@@ -248,36 +260,36 @@
 
     /// Takes over which targets may get requests. A younger one at the address of one
     /// that lost answers proves that the former has ended.
-    pub fn on_listing(&self, usable: impl Iterator<Item = Place>) {
+    pub fn on_target_list(&self, usable: impl Iterator<Item = TargetIncarnation>) {
         let mut state = self.lock();
         if state.losses.is_empty() {
             return;
         }
-        let usable: Vec<Place> = usable.collect();
+        let usable: Vec<TargetIncarnation> = usable.collect();
         for (name, lost) in state.losses.superseded(&usable) {
             self.take_end(&mut state, &name, &lost);
         }
         self.changed(&state);
     }
 
-    fn take_end(&self, state: &mut State, name: &Arc<str>, lost: &[Loss]) {
+    fn take_end(&self, state: &mut State, name: &Arc<str>, lost: &[LostRequest]) {
         if lost.is_empty() {
             return;
         }
-        let end = End {
+        let end = TargetExit {
             target: Arc::clone(name),
             at_ms: self.now_ms(),
-            suspects: lost.iter().map(Loss::suspect).collect(),
+            suspects: lost.iter().map(LostRequest::suspect).collect(),
         };
-        let fresh = state.quarantine.on_end(&end);
-        self.gauges.add_ended(fresh.len());
+        let fresh = state.quarantine.on_exit(&end);
+        self.gauges.add_requests_at_exit(fresh.len());
         for loss in lost {
             let standing = state
                 .quarantine
-                .standing(loss.digest, self.now_ms(), WallMs::now());
+                .status(loss.digest, self.now_ms(), WallMs::now());
             log::warn!(
                 target = &**name,
-                request = &*loss.request,
+                request = &*loss.attempt_id,
                 account = &*loss.account,
                 digest:% = loss.digest,
                 standing = standing.name();
@@ -289,21 +301,21 @@
     }
 
     /// A target has outlived a run of the request.
-    pub fn on_outlived(&self, digest: RequestDigest) {
+    pub fn on_survived_run(&self, digest: RequestDigest) {
         let mut state = self.lock();
         let standing = state
             .quarantine
-            .standing(digest, self.now_ms(), WallMs::now());
-        if standing == Standing::Clear {
+            .status(digest, self.now_ms(), WallMs::now());
+        if standing == QuarantineStatus::Clear {
             return;
         }
         let run = self.runs.fetch_add(1, Ordering::Relaxed);
-        let outlived = Outlived {
+        let outlived = SurvivedRun {
             digest,
             run: format!("{:016x}/{run}", self.process).into(),
             at_ms: self.now_ms(),
         };
-        state.quarantine.on_outlived(&outlived);
+        state.quarantine.on_survived_run(&outlived);
         let hold = state.quarantine.hold(digest).map(|hold| hold.kind);
         if hold == Some(HoldKind::Held) {
             state.quarantine.on_hold(digest, None, self.now_ms());
@@ -322,15 +334,15 @@
         }
         let mut state = self.lock();
         let mut is_news = false;
-        for end in &facts.ends {
-            let fresh = state.quarantine.on_end(end);
+        for end in &facts.exits {
+            let fresh = state.quarantine.on_exit(end);
             is_news |= !fresh.is_empty();
             log_learnt(source, &end.target, &fresh);
         }
-        let outlived = facts.outlived.iter();
-        let cleared = outlived.filter(|it| state.quarantine.on_outlived(it));
+        let outlived = facts.survived_runs.iter();
+        let cleared = outlived.filter(|it| state.quarantine.on_survived_run(it));
         let cleared: Vec<RequestDigest> = cleared.map(|it| it.digest).collect();
-        state.quarantine.fade(self.now_ms());
+        state.quarantine.expire_facts(self.now_ms());
         if !cleared.is_empty() {
             let digests = listed(&cleared);
             log::info!(source, runs = cleared.len(), digests = &*digests; "runs learnt that targets outlived");
@@ -348,15 +360,15 @@
         }
         let kind = hold
             .as_ref()
-            .map_or("none", |hold| crate::kept::kind_name(hold.kind));
+            .map_or("none", |hold| crate::stored::kind_name(hold.kind));
         log::warn!(digest:% = digest, hold = kind; "what is kept of a request has changed");
         state.quarantine.on_hold(digest, hold, self.now_ms());
         self.changed(&state);
     }
 
     /// How many targets ended with the request.
-    pub(crate) fn ends_of(&self, digest: RequestDigest) -> usize {
-        self.lock().quarantine.ends_of(digest).count()
+    pub(crate) fn exits_of(&self, digest: RequestDigest) -> usize {
+        self.lock().quarantine.exits_of(digest).count()
     }
 
     /// A summary of the facts, to be compared with that of a peer.
@@ -368,12 +380,12 @@
     /// The summary for a peer; `None` while this process may still be about to learn what
     /// others know.
     #[must_use]
-    pub fn told_summary(&self) -> Option<u64> {
-        (!self.is_ignorant()).then(|| self.summary())
+    pub fn summary_for_peers(&self) -> Option<u64> {
+        (!self.is_uninformed()).then(|| self.summary())
     }
 
     /// Has all facts exchanged with a peer whose summary differs.
-    pub fn on_summary(&self, address: SocketAddr, summary: u64) {
+    pub fn on_peer_summary(&self, address: SocketAddr, summary: u64) {
         if summary == self.summary() {
             self.on_peer_told();
         } else {
@@ -383,7 +395,7 @@
 
     /// The process follows the store: it waits for what is read there before it serves.
     #[must_use]
-    pub fn following_store(self) -> Self {
+    pub fn with_store_follower(self) -> Self {
         locked(&self.informed).follow_store();
         self
     }
@@ -409,7 +421,7 @@
             return;
         }
         heard(&mut locked(&self.informed));
-        if !self.is_ignorant() {
+        if !self.is_uninformed() {
             self.changes.send_modify(|count| *count += 1);
         }
     }
@@ -417,7 +429,7 @@
     /// Whether this process may still be about to hear of what is held back. It should get
     /// no requests then.
     #[must_use]
-    pub fn is_ignorant(&self) -> bool {
+    pub fn is_uninformed(&self) -> bool {
         if self.is_informed.load(Ordering::Relaxed) {
             return false;
         }
@@ -431,15 +443,15 @@
     }
 
     /// Forgets what is too old to count.
-    pub(crate) fn fade(&self) {
+    pub(crate) fn expire_facts(&self) {
         let mut state = self.lock();
-        state.quarantine.fade(self.now_ms());
+        state.quarantine.expire_facts(self.now_ms());
         state.losses.forget_old(self.now_ms());
         self.changed(&state);
     }
 
     pub(crate) fn facts(&self) -> Facts {
-        self.fade();
+        self.expire_facts();
         self.lock().quarantine.facts(self.now_ms())
     }
 
--- a/crates/quarantine/tests/left.rs
+++ b/crates/quarantine/tests/abandoned_runs.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
-use berylhook_quarantine::{Gauges, Look, Looking, Loss, Place, Suspects};
+use berylhook_quarantine::{
+    LostRequest, Probe, ProbeFuture, QuarantineMetrics, SuspectTracker, TargetIncarnation,
+};
 use berylhook_target::probe::Listening;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
@@ -23,10 +25,10 @@
     ended: AtomicUsize,
 }
 
-impl Gauges for Counts {
-    fn set_standings(&self, _suspected: usize, _held: usize) {}
+impl QuarantineMetrics for Counts {
+    fn set_request_counts(&self, _suspected: usize, _held: usize) {}
 
-    fn add_ended(&self, requests: usize) {
+    fn add_requests_at_exit(&self, requests: usize) {
         self.ended.fetch_add(requests, Ordering::SeqCst);
     }
 }
@@ -60,8 +62,8 @@
         self.accepting.abort();
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn place(&self) -> TargetIncarnation {
+        TargetIncarnation {
             target: "i-1".into(),
             address: self.address,
             listed_revision: 1,
@@ -69,8 +71,8 @@
     }
 }
 
-fn loss(body: &str) -> Loss {
-    Loss {
+fn loss(body: &str) -> LostRequest {
+    LostRequest {
         digest: RequestDigest::of(&RequestContent {
             method: "POST",
             path: "/draft",
@@ -78,14 +80,14 @@
             body: body.as_bytes(),
         }),
         ran_alone: false,
-        request: "attempt".into(),
+        attempt_id: "attempt".into(),
         account: "harbour".into(),
     }
 }
 
-fn suspects() -> (Arc<Suspects>, Arc<Counts>) {
+fn suspects() -> (Arc<SuspectTracker>, Arc<Counts>) {
     let counts = Arc::new(Counts::default());
-    let suspects = Suspects::new(Arc::clone(&counts) as Arc<dyn Gauges>);
+    let suspects = SuspectTracker::new(Arc::clone(&counts) as Arc<dyn QuarantineMetrics>);
     (Arc::new(suspects), counts)
 }
 
@@ -96,8 +98,8 @@
     let target = Target::start().await;
     let (suspects, counts) = suspects();
 
-    suspects.on_left(&target.place(), loss("first"));
-    suspects.on_left(&target.place(), loss("second"));
+    suspects.on_abandoned_run(&target.place(), loss("first"));
+    suspects.on_abandoned_run(&target.place(), loss("second"));
     sleep(Duration::from_millis(300)).await;
     target.end();
 
@@ -118,10 +120,10 @@
     let (suspects, counts) = suspects();
 
     for body in ["first", "second", "third"] {
-        suspects.on_left(&target.place(), loss(body));
+        suspects.on_abandoned_run(&target.place(), loss(body));
         sleep(Duration::from_millis(3)).await;
     }
-    while suspects.awaits_looks() {
+    while suspects.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(ALL_LOOKS).await;
@@ -138,21 +140,21 @@
     let target = Target::start().await;
     let (suspects, counts) = suspects();
 
-    suspects.on_left(&target.place(), loss("first"));
+    suspects.on_abandoned_run(&target.place(), loss("first"));
     let much_later_ms = suspects.now_ms() + 2_000;
-    suspects.on_listening("i-1", much_later_ms);
+    suspects.on_connection_accepted("i-1", much_later_ms);
     sleep(ALL_LOOKS).await;
 
     assert_eq!(target.connections.load(Ordering::SeqCst), 0);
     assert_eq!(counts.ended.load(Ordering::SeqCst), 0);
-    assert!(!suspects.awaits_looks());
+    assert!(!suspects.awaits_probes());
 }
 
 /// The answer of another incarnation at a target's address.
 struct AnotherAnswers;
 
-impl Look for AnotherAnswers {
-    fn look(&self) -> Looking<'_> {
+impl Probe for AnotherAnswers {
+    fn probe(&self) -> ProbeFuture<'_> {
         Box::pin(async { Listening::Another })
     }
 }
@@ -163,8 +165,12 @@
     let successor = Target::start().await;
     let (suspects, counts) = suspects();
 
-    suspects.on_left_at(&successor.place(), loss("first"), Arc::new(AnotherAnswers));
-    while suspects.awaits_looks() {
+    suspects.on_abandoned_run_with_probe(
+        &successor.place(),
+        loss("first"),
+        Arc::new(AnotherAnswers),
+    );
+    while suspects.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
 
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -10,15 +10,16 @@
 use berylhook_core::digest::{RequestContent, RequestDigest};
 use berylhook_platform::store::Store;
 use berylhook_quarantine::{
-    Asking, Gauges, Keeper, Loss, News, Patience, Surroundings, Suspects, Telling,
+    ClusterAccess, LostRequest, QuarantineMetrics, QuarantineUpdate, Replicator, RequestIdentity,
+    SuspectTracker, UpdateReply, WaitLimits,
 };
 
 pub struct NoGauges;
 
-impl Gauges for NoGauges {
-    fn set_standings(&self, _suspected: usize, _held: usize) {}
+impl QuarantineMetrics for NoGauges {
+    fn set_request_counts(&self, _suspected: usize, _held: usize) {}
 
-    fn add_ended(&self, _requests: usize) {}
+    fn add_requests_at_exit(&self, _requests: usize) {}
 }
 
 /// A process without peers.
@@ -27,7 +28,7 @@
     pub store: SocketAddr,
 }
 
-impl Surroundings for Alone {
+impl ClusterAccess for Alone {
     fn name(&self) -> Arc<str> {
         "entry-1".into()
     }
@@ -40,7 +41,7 @@
         Vec::new()
     }
 
-    fn tell(&self, _peer: SocketAddr, _news: News) -> Telling<'_> {
+    fn send_update(&self, _peer: SocketAddr, _news: QuarantineUpdate) -> UpdateReply<'_> {
         Box::pin(async { Err("there is no peer".to_owned()) })
     }
 }
@@ -48,7 +49,7 @@
 /// A request to a service.
 pub struct Draft(pub Arc<str>);
 
-impl Asking for Draft {
+impl RequestIdentity for Draft {
     fn digest(&self) -> RequestDigest {
         RequestDigest::of(&RequestContent {
             method: "POST",
@@ -63,25 +64,25 @@
     }
 }
 
-pub const PATIENCE: Patience = Patience {
-    turn: Duration::from_millis(1_500),
-    answer: Duration::from_secs(3),
+pub const PATIENCE: WaitLimits = WaitLimits {
+    lock_wait: Duration::from_millis(1_500),
+    response_wait: Duration::from_secs(3),
 };
 
 /// A process whose store is there.
-pub fn process(store: SocketAddr) -> Arc<Suspects> {
-    let suspects = Arc::new(Suspects::new(Arc::new(NoGauges)));
-    let keeper = Keeper::new(Arc::clone(&suspects), Arc::new(Alone { store }));
+pub fn process(store: SocketAddr) -> Arc<SuspectTracker> {
+    let suspects = Arc::new(SuspectTracker::new(Arc::new(NoGauges)));
+    let keeper = Replicator::new(Arc::clone(&suspects), Arc::new(Alone { store }));
     tokio::spawn(Arc::new(keeper).run());
     suspects
 }
 
 /// A loss of that request.
-pub fn loss_of(draft: &Draft) -> Loss {
-    Loss {
+pub fn loss_of(draft: &Draft) -> LostRequest {
+    LostRequest {
         digest: draft.digest(),
         ran_alone: false,
-        request: "attempt".into(),
+        attempt_id: "attempt".into(),
         account: "harbour".into(),
     }
 }
--- a/crates/quarantine/tests/slow_store.rs
+++ b/crates/quarantine/tests/slow_store.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use berylhook_core::position::Position;
-use berylhook_quarantine::{Clearance, Patience};
+use berylhook_quarantine::{RunClearance, WaitLimits};
 use berylhook_test_support::KeyValueStandIn;
 
 use crate::common::{Draft, PATIENCE, loss_of, process};
 
 /// Patience of a request with a goal of 400 ms and three seconds to its deadline.
-const USUAL: Patience = Patience {
-    turn: Duration::from_millis(160),
+const USUAL: WaitLimits = WaitLimits {
+    lock_wait: Duration::from_millis(160),
     ..PATIENCE
 };
 
@@ -24,18 +24,18 @@
     let draft = Draft("drafts".into());
     let processes = [process(store.address()), process(store.address())];
     for suspects in &processes {
-        suspects.take_items(&[], Position::default());
-        suspects.on_ended(&"i-1".into(), &[loss_of(&draft)]);
+        suspects.apply_items(&[], Position::default());
+        suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
     }
     store.hold_reads_of("berylhook/quarantine-lock/");
 
-    let (mut first, mut second) = (Clearance::default(), Clearance::default());
+    let (mut first, mut second) = (RunClearance::default(), RunClearance::default());
     let (first, second) = tokio::join!(
-        processes[0].clear(&draft, &mut first, USUAL),
-        processes[1].clear(&draft, &mut second, USUAL),
+        processes[0].acquire_clearance(&draft, &mut first, USUAL),
+        processes[1].acquire_clearance(&draft, &mut second, USUAL),
     );
 
-    let why = [first, second].map(|cleared| cleared.err().map(|held| held.why));
+    let why = [first, second].map(|cleared| cleared.err().map(|held| held.reason));
     assert_eq!(why, [Some("lock-late"); 2]);
 }
 
@@ -45,14 +45,14 @@
     let store = KeyValueStandIn::start().await;
     let draft = Draft("drafts".into());
     let suspects = process(store.address());
-    suspects.take_items(&[], Position::default());
-    suspects.on_ended(&"i-1".into(), &[loss_of(&draft)]);
+    suspects.apply_items(&[], Position::default());
+    suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
     store.hold_reads_of("berylhook/quarantine-lock/");
 
-    let mut clearance = Clearance::default();
-    let clearing = suspects.clear(&draft, &mut clearance, USUAL);
+    let mut clearance = RunClearance::default();
+    let clearing = suspects.acquire_clearance(&draft, &mut clearance, USUAL);
     let releasing = async {
-        tokio::time::sleep(USUAL.turn * 2).await;
+        tokio::time::sleep(USUAL.lock_wait * 2).await;
         store.release_reads();
     };
     let (cleared, ()) = tokio::join!(clearing, releasing);
--- a/crates/quarantine/tests/store_away.rs
+++ b/crates/quarantine/tests/store_away.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use berylhook_quarantine::{Clearance, Patience};
+use berylhook_quarantine::{RunClearance, WaitLimits};
 
 use crate::common::{Draft, PATIENCE, loss_of, process};
 
@@ -18,16 +18,20 @@
 async fn a_run_under_a_lock_of_this_process_alone_is_not_the_only_one_of_its_kind() {
     let suspects = process(SocketAddr::from(NO_STORE));
     let draft = Draft("drafts".into());
-    suspects.on_ended(&"i-1".into(), &[loss_of(&draft)]);
-
-    let mut clearance = Clearance::default();
-    let cleared = suspects.clear(&draft, &mut clearance, PATIENCE).await;
-    let mut other = Clearance::default();
-    let at_once = Patience {
-        turn: Duration::from_millis(200),
+    suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
+
+    let mut clearance = RunClearance::default();
+    let cleared = suspects
+        .acquire_clearance(&draft, &mut clearance, PATIENCE)
+        .await;
+    let mut other = RunClearance::default();
+    let at_once = WaitLimits {
+        lock_wait: Duration::from_millis(200),
         ..PATIENCE
     };
-    let second = suspects.clear(&draft, &mut other, at_once).await;
+    let second = suspects
+        .acquire_clearance(&draft, &mut other, at_once)
+        .await;
 
     assert!(cleared.is_ok(), "a suspect runs while the store is away");
     assert!(second.is_err(), "once at a time in this process");
