--- a/crates/entry/src/answers.rs
+++ b/crates/entry/src/answers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use berylhook_platform::headers;
-use berylhook_traffic::retry_after::{Back, retry_after_ms};
+use berylhook_traffic::retry_after::{RetryReason, retry_after_ms};
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -135,7 +135,7 @@
     why: Own,
     attempt_id: Option<&HeaderValue>,
     left: Duration,
-    back: Back,
+    back: RetryReason,
 ) -> Response<Body> {
     let mut response = explained(why, attempt_id);
     if why.tells_when() {
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -15,8 +15,8 @@
 use berylhook_platform::store::{OwnItem, Store, StoreEvent, Watched};
 use berylhook_quarantine::stored;
 use berylhook_traffic::configuration::Service;
-use berylhook_traffic::directory::{Change, Directory, Listing, Unusable};
-use berylhook_traffic::unusable::{UnusableEntries, unusable};
+use berylhook_traffic::directory::{Directory, InvalidEntry, Listing, ListingChange};
+use berylhook_traffic::invalid_entries::{InvalidEntryTracker, invalid_entries};
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
 
 struct State {
     directory: Directory,
-    unusable: UnusableEntries,
+    unusable: InvalidEntryTracker,
     document: Option<Arc<[u8]>>,
     version: u64,
 }
@@ -98,7 +98,7 @@
             shared,
             state: Mutex::new(State {
                 directory: Directory::default(),
-                unusable: UnusableEntries::default(),
+                unusable: InvalidEntryTracker::default(),
                 document: None,
                 version: 0,
             }),
@@ -220,7 +220,7 @@
                     self.take_document(&mut state, document, "store");
                 }
                 StoreEvent::Target(change) => {
-                    if !matches!(change, Change::Unusable(_)) {
+                    if !matches!(change, ListingChange::Invalid(_)) {
                         log::info!(revision = revised.position.revision, change:? = change; "target changed");
                     }
                     state.directory.apply(change, revised.position, now_ms);
@@ -254,8 +254,8 @@
 
     fn publish(&self, state: &mut State) {
         let configuration = self.shared.configuration();
-        let unusable = unusable(state.directory.listing(), configuration.as_deref());
-        self.tell_unusable(&state.unusable.news(unusable));
+        let unusable = invalid_entries(state.directory.listing(), configuration.as_deref());
+        self.tell_unusable(&state.unusable.unreported(unusable));
         self.shared.set_targets(state.directory.usable());
         self.changes.send_modify(|count| *count += 1);
         let members = self.members(state);
@@ -266,7 +266,7 @@
         });
     }
 
-    fn tell_unusable(&self, news: &[Unusable]) {
+    fn tell_unusable(&self, news: &[InvalidEntry]) {
         let count = news.len();
         self.shared.metrics.count_unusable_entries(count);
         for entry in news.iter().take(MOST_UNUSABLE_LINES) {
@@ -311,7 +311,7 @@
 
     pub(crate) fn store_returned(&self) {
         let now_ms = self.shared.clock.now_ms();
-        self.lock().directory.store_returned(now_ms);
+        self.lock().directory.on_store_recovered(now_ms);
     }
 
     fn next_expiry(&self) -> Option<Duration> {
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -12,8 +12,8 @@
     AnyListener, LostRequest, Probe, QuarantineRejection, RequestIdentity, RunClearance,
     WaitLimits as TurnPatience,
 };
-use berylhook_traffic::configuration::{ClientAccount, Repeat, Route};
-use berylhook_traffic::retry_after::Back;
+use berylhook_traffic::configuration::{ClientAccount, RetryPolicy, Route};
+use berylhook_traffic::retry_after::RetryReason;
 use berylhook_traffic::stream::EventId;
 use berylhook_traffic::target::Target;
 use bytes::Bytes;
@@ -130,7 +130,7 @@
     }
 
     fn is_stream(&self) -> bool {
-        matches!(self.route.repeat, Repeat::Stream { .. })
+        matches!(self.route.retry_policy, RetryPolicy::Stream { .. })
     }
 
     /// Waits for a place, as long as that serves the caller.
@@ -140,7 +140,7 @@
             .as_ref()
             .and_then(|account| account.urgency)
             .unwrap_or(self.route.urgency);
-        let goal = Duration::from_millis(self.route.goal_ms);
+        let goal = Duration::from_millis(self.route.objective_ms);
         let share = if self.is_stream() {
             STREAM_PATIENCE_SHARE
         } else {
@@ -217,7 +217,7 @@
                 .suspects
                 .acquire_clearance(self, clearance, self.turn_patience());
         clearing.await.map_err(CallError::HeldBack)?;
-        let least = Duration::from_millis(self.route.goal_ms).mul_f64(LEAST_SHARE);
+        let least = Duration::from_millis(self.route.objective_ms).mul_f64(LEAST_SHARE);
         let has_waited = began.elapsed() >= least;
         if has_waited && self.left() < least {
             return Err(CallError::HeldBack(QuarantineRejection::OUT_OF_TIME));
@@ -232,7 +232,7 @@
     }
 
     fn turn_patience(&self) -> TurnPatience {
-        let goal = Duration::from_millis(self.route.goal_ms);
+        let goal = Duration::from_millis(self.route.objective_ms);
         TurnPatience {
             lock_wait: goal.mul_f64(STREAM_PATIENCE_SHARE).min(self.left()),
             response_wait: self.left(),
@@ -290,9 +290,11 @@
     pub(crate) fn own(&self, why: Own) -> Response<Body> {
         let is_refusal = matches!(why, Own::NoPlace | Own::NotRun);
         let (why, back) = match self.queue.takes_again_ms() {
-            _ if self.queue.is_down() => (why, Back::Down),
-            Some(again_ms) if is_refusal => (Own::Withheld, Back::Withheld { again_ms }),
-            Some(_) | None => (why, Back::Busy),
+            _ if self.queue.is_down() => (why, RetryReason::Down),
+            Some(until_accepting_ms) if is_refusal => {
+                (Own::Withheld, RetryReason::Withheld { until_accepting_ms })
+            }
+            Some(_) | None => (why, RetryReason::Busy),
         };
         self.finish(why.name(), None);
         own(why, self.head.attempt_id.as_ref(), self.left(), back)
@@ -340,8 +342,8 @@
             waited_ms = self.record.times.waited_ms.load(Ordering::Relaxed),
             first_ms = self.record.times.first_ms.load(Ordering::Relaxed),
             longest_pause_ms = self.record.times.longest_pause_ms.load(Ordering::Relaxed),
-            goal_ms = self.route.goal_ms,
-            pause_goal_ms = self.route.pause_goal_ms.unwrap_or_default(),
+            goal_ms = self.route.objective_ms,
+            pause_goal_ms = self.route.pause_objective_ms.unwrap_or_default(),
             running,
             waiting,
             targets,
--- a/crates/entry/src/peers/notices.rs
+++ b/crates/entry/src/peers/notices.rs
@@ -7,7 +7,7 @@
 use berylhook_calls::{Call, CallError, Connection, serve};
 use berylhook_core::time::MonoMs;
 use berylhook_groups::handover::{LeadershipTransfer, Successors, TransferResult};
-use berylhook_traffic::pace::EngineNews;
+use berylhook_traffic::engine_update::EngineUpdate;
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use futures_util::{StreamExt, stream};
@@ -37,7 +37,7 @@
 
 impl Peers {
     pub(super) async fn take_notice(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let Some(news) = serve::read_json::<EngineNews>(request).await else {
+        let Some(news) = serve::read_json::<EngineUpdate>(request).await else {
             return serve::plain(StatusCode::BAD_REQUEST, "send a notice in JSON");
         };
         self.set_engine_news(news);
@@ -57,8 +57,8 @@
         serve::plain(StatusCode::OK, "")
     }
 
-    fn set_engine_news(&self, news: EngineNews) {
-        let slow_engines = news.paces.len();
+    fn set_engine_news(&self, news: EngineUpdate) {
+        let slow_engines = news.slowdowns.len();
         let closed_groups = news.groups.iter().filter(|group| !group.is_open).count();
         log::info!(slow_engines, closed_groups; "a leader's word on the engines");
         let now_ms = self.shared.clock.now_ms();
@@ -70,7 +70,7 @@
     /// forgets what a former leader told.
     pub(crate) async fn share_engine_news(
         self: Arc<Self>,
-        mut news: watch::Receiver<Option<EngineNews>>,
+        mut news: watch::Receiver<Option<EngineUpdate>>,
     ) {
         loop {
             let known = news.borrow_and_update().clone();
@@ -85,7 +85,7 @@
 
     /// Tells all peers at once: one that does not answer must not keep the others from
     /// hearing that a group has closed.
-    async fn tell_all(&self, news: EngineNews) {
+    async fn tell_all(&self, news: EngineUpdate) {
         self.set_engine_news(news.clone());
         let news = &news;
         let told = self.candidates().into_iter().map(|address| async move {
@@ -104,7 +104,7 @@
         let heard_ms = MonoMs(self.engines_heard_ms.load(Ordering::Relaxed));
         let silent_ms = self.shared.clock.now_ms().since(heard_ms);
         if silent_ms > NEWS_VALID_MS {
-            self.shared.set_engine_news(EngineNews::default());
+            self.shared.set_engine_news(EngineUpdate::default());
         }
     }
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use berylhook_quarantine::{QuarantineRejection, RunClearance};
-use berylhook_traffic::health::Evidence;
+use berylhook_traffic::health::HealthSample;
 use berylhook_traffic::target::Incarnation;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -81,7 +81,7 @@
     let mut sofar = Sofar::default();
     let mut clearance = RunClearance::default();
     loop {
-        let may_repeat = job.route.repeat.allows_second_run();
+        let may_repeat = job.route.retry_policy.allows_second_run();
         let is_last = sofar.sends + 1 >= job.route.max_targets;
         let bound = if may_repeat && !is_last {
             job.left().mul_f64(FIRST_TARGET_SHARE)
@@ -188,11 +188,11 @@
 
 /// What the result says of the target. A failure is common where requests are at
 /// fault themselves, so it says little of it.
-fn evidence(result: SendResult) -> Option<Evidence> {
+fn evidence(result: SendResult) -> Option<HealthSample> {
     match result {
         SendResult::HeldBack | SendResult::Withheld | SendResult::AsksForRest => None,
-        SendResult::Answered | SendResult::Failed => Some(Evidence::Good),
-        _ => Some(Evidence::Bad),
+        SendResult::Answered | SendResult::Failed => Some(HealthSample::Success),
+        _ => Some(HealthSample::Failure),
     }
 }
 
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -11,10 +11,10 @@
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::concurrency::FirstEvent;
 use berylhook_traffic::configuration::EngineModel;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Load, Ticket, Wish};
-use berylhook_traffic::health::Evidence;
+use berylhook_traffic::dispatch::{Dispatcher, Load, PlacementRequest, SubmitOutcome, Ticket};
+use berylhook_traffic::engine_update::EngineUpdate;
+use berylhook_traffic::health::HealthSample;
 use berylhook_traffic::ownership::Membership;
-use berylhook_traffic::pace::EngineNews;
 use berylhook_traffic::target::{Incarnation, Target};
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
@@ -105,14 +105,14 @@
     }
 
     /// Gives the place back, with what the request showed of the target.
-    pub(crate) fn close(mut self, evidence: Option<Evidence>) {
+    pub(crate) fn close(mut self, evidence: Option<HealthSample>) {
         self.is_open = false;
         self.give_back(evidence);
     }
 }
 
 impl Hold {
-    fn give_back(&self, evidence: Option<Evidence>) {
+    fn give_back(&self, evidence: Option<HealthSample>) {
         if !self.is_settled {
             self.queue.leave_unsent(&self.target.incarnation);
         }
@@ -139,7 +139,7 @@
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         let mut state = self.queue.lock();
-        state.dispatcher.leave(self.ticket);
+        state.dispatcher.cancel(self.ticket);
         state.waiters.swap_remove(&self.ticket);
     }
 }
@@ -152,7 +152,7 @@
         engine: Option<&EngineModel>,
     ) -> Self {
         let mut dispatcher = Dispatcher::new(membership, engine);
-        dispatcher.on_start(clock.now_ms());
+        dispatcher.on_process_start(clock.now_ms());
         Self {
             service,
             stops_group: engine.is_some_and(|engine| engine.experts.is_some()),
@@ -205,13 +205,13 @@
 
     /// The bound on what runs, if there is one.
     pub(crate) fn bound(&self) -> Option<f64> {
-        self.lock().dispatcher.bound()
+        self.lock().dispatcher.concurrency_limit()
     }
 
     /// Takes over a leader's word on the targets.
-    pub(crate) fn set_engine_news(self: &Arc<Self>, news: &EngineNews) {
+    pub(crate) fn set_engine_news(self: &Arc<Self>, news: &EngineUpdate) {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.set_engine_news(news, now_ms);
+        self.lock().dispatcher.set_engine_update(news, now_ms);
         self.place_waiting();
     }
 
@@ -228,19 +228,19 @@
             state.tickets += 1;
             let ticket = Ticket(state.tickets);
             let dispatcher = &mut state.dispatcher;
-            let wish = Wish {
+            let wish = PlacementRequest {
                 urgency,
-                patience_ms,
-                late_patience_ms: whole_ms(patience.late),
-                timely_until_ms: now_ms + patience_ms,
+                wait_limit_ms: patience_ms,
+                late_wait_limit_ms: whole_ms(patience.late),
+                on_time_until_ms: now_ms + patience_ms,
             };
-            let arrival = dispatcher.arrive(ticket, wish, rand::random(), now_ms);
-            let stopped = dispatcher.take_stopped();
+            let arrival = dispatcher.submit(ticket, wish, rand::random(), now_ms);
+            let stopped = dispatcher.take_stalled_groups();
             self.log_stopped(&stopped);
             match arrival {
-                Arrival::Placed(target) => return Ok(self.hold(target)),
-                Arrival::Refused => return Err(Refused::NoPlace),
-                Arrival::Waits => {}
+                SubmitOutcome::Placed(target) => return Ok(self.hold(target)),
+                SubmitOutcome::Refused => return Err(Refused::NoPlace),
+                SubmitOutcome::Queued => {}
             }
             let (sender, placed) = oneshot::channel();
             state.waiters.insert(ticket, sender);
@@ -268,8 +268,8 @@
             let now_ms = self.clock.now_ms();
             let (serves_late, all_rest_ms) = {
                 let dispatcher = &mut self.lock().dispatcher;
-                let serves_late = dispatcher.serves_late(late_ms, now_ms);
-                (serves_late, dispatcher.all_rest_ms(now_ms))
+                let serves_late = dispatcher.can_serve_late(late_ms, now_ms);
+                (serves_late, dispatcher.min_backoff_left_ms(now_ms))
             };
             let whole = if serves_late {
                 patience.late
@@ -336,7 +336,7 @@
         let mut state = self.lock();
         let target = state
             .dispatcher
-            .place_again(exclude, rand::random(), now_ms)?;
+            .place_additional(exclude, rand::random(), now_ms)?;
         Some(self.hold(target))
     }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    fn release(self: &Arc<Self>, of: &Incarnation, evidence: Option<Evidence>) {
+    fn release(self: &Arc<Self>, of: &Incarnation, evidence: Option<HealthSample>) {
         let now_ms = self.clock.now_ms();
         self.lock().dispatcher.release(of, evidence, now_ms);
         self.place_waiting();
@@ -372,7 +372,7 @@
     fn next_waiter(&self) -> Option<(Option<oneshot::Sender<Hold>>, Target)> {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
-        let (ticket, target) = state.dispatcher.next(rand::random(), now_ms)?;
+        let (ticket, target) = state.dispatcher.place_next(rand::random(), now_ms)?;
         Some((state.waiters.swap_remove(&ticket), target))
     }
 
@@ -396,13 +396,13 @@
 
     /// How many targets name a limit.
     pub(crate) fn limited(&self) -> usize {
-        self.lock().dispatcher.limited()
+        self.lock().dispatcher.limited_target_count()
     }
 
     /// A target accepted a request; returns whether it was on trial after a rest until now.
     pub(crate) fn on_rest_over(self: &Arc<Self>, of: &Incarnation) -> bool {
         let now_ms = self.clock.now_ms();
-        let is_over = self.lock().dispatcher.on_rest_over(of, now_ms);
+        let is_over = self.lock().dispatcher.end_backoff_trial(of, now_ms);
         if is_over {
             self.place_waiting();
         }
@@ -412,7 +412,7 @@
     /// How much longer a target wants nothing from this entry.
     pub(crate) fn rest_left_ms(&self, of: &Incarnation) -> u64 {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.rest_left_ms(of, now_ms)
+        self.lock().dispatcher.backoff_left_ms(of, now_ms)
     }
 
     fn admit(&self, of: &Incarnation) -> Result<(), WithheldReason> {
@@ -421,7 +421,7 @@
     }
 
     fn leave_unsent(&self, of: &Incarnation) {
-        self.lock().dispatcher.leave_unsent(of);
+        self.lock().dispatcher.cancel_unsent(of);
     }
 
     /// A peer told of a target's limit; returns what is new.
@@ -461,7 +461,7 @@
     /// Requests that did not go to the target chosen first, by why, since this was last
     /// called.
     pub(crate) fn take_kept_back(&self) -> IndexMap<WithheldReason, u32> {
-        self.lock().dispatcher.take_kept_back()
+        self.lock().dispatcher.take_withheld_counts()
     }
 
     /// What peers should know of the targets that name a limit, or did of late.
@@ -479,18 +479,18 @@
     /// When a target takes a request again, by what they say; `None` if one does now.
     pub(crate) fn takes_again_ms(&self) -> Option<u64> {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.takes_again_ms(now_ms)
+        self.lock().dispatcher.until_accepting_ms(now_ms)
     }
 
     /// The limit that a target names.
     pub(crate) fn limit(&self, of: &Incarnation) -> Option<RequestRate> {
-        self.lock().dispatcher.limit(of)
+        self.lock().dispatcher.rate_limit(of)
     }
 
     /// A stream from the target got an event.
     pub(crate) fn on_progress(self: &Arc<Self>, of: &Incarnation) {
         let now_ms = self.clock.now_ms();
-        let goes_on = self.lock().dispatcher.on_progress(of, now_ms);
+        let goes_on = self.lock().dispatcher.on_stream_event(of, now_ms);
         if goes_on {
             log::info!(service = &*self.service, target = &*of.id; "a group goes on");
             self.place_waiting();
@@ -519,7 +519,7 @@
         // share the passes.
         state.pause_goal_ms = state.pause_goal_ms.min(pause_goal_ms);
         let goal_ms = state.pause_goal_ms;
-        state.dispatcher.on_gap(gap_ms, goal_ms, now_ms);
+        state.dispatcher.on_event_gap(gap_ms, goal_ms, now_ms);
         drop(state);
         self.place_waiting();
     }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use berylhook_platform::headers::RequestHead;
-use berylhook_traffic::configuration::Repeat;
-use berylhook_traffic::retry_after::Back;
+use berylhook_traffic::configuration::RetryPolicy;
+use berylhook_traffic::retry_after::RetryReason;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -34,7 +34,12 @@
         Err(refusal) => {
             log_own(attempt_id.as_ref(), &refusal);
             shared.metrics.count_request(refusal.why.name());
-            own(refusal.why, attempt_id.as_ref(), refusal.left, Back::Busy)
+            own(
+                refusal.why,
+                attempt_id.as_ref(),
+                refusal.left,
+                RetryReason::Busy,
+            )
         }
     }
 }
@@ -137,8 +142,8 @@
 async fn run(job: Job) -> Response<Body> {
     job.queue.note_request();
     job.shared.arrivals.fetch_add(1, Ordering::Relaxed);
-    match job.route.repeat {
-        Repeat::Stream { .. } => streaming::run(job).await,
-        Repeat::Safe | Repeat::Unsafe => plain::run(job).await,
+    match job.route.retry_policy {
+        RetryPolicy::Stream { .. } => streaming::run(job).await,
+        RetryPolicy::Safe | RetryPolicy::Unsafe => plain::run(job).await,
     }
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -6,8 +6,8 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use berylhook_quarantine::SuspectTracker;
 use berylhook_traffic::configuration::Configuration;
+use berylhook_traffic::engine_update::EngineUpdate;
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::pace::EngineNews;
 use berylhook_traffic::target::Target;
 use indexmap::IndexMap;
 use tokio::sync::{Notify, watch};
@@ -74,7 +74,7 @@
     is_listening: AtomicBool,
     pub(crate) connections: Connections,
     /// A leader's last word on the engines.
-    engine_news: watch::Sender<EngineNews>,
+    engine_news: watch::Sender<EngineUpdate>,
     /// The entries that share the targets.
     membership: Mutex<Membership>,
     /// Requests that have arrived since the start.
@@ -111,7 +111,7 @@
             stage: watch::Sender::new(Stage::Serving),
             is_listening: AtomicBool::new(false),
             connections: Connections(watch::Sender::new(0)),
-            engine_news: watch::Sender::new(EngineNews::default()),
+            engine_news: watch::Sender::new(EngineUpdate::default()),
             is_stopping: watch::Sender::new(false),
             has_larger_peer: watch::Sender::new(false),
             limits_changed: Notify::new(),
@@ -190,7 +190,7 @@
     }
 
     /// Takes over a leader's word on the engines.
-    pub(crate) fn set_engine_news(&self, news: EngineNews) {
+    pub(crate) fn set_engine_news(&self, news: EngineUpdate) {
         let queues = self.queues.lock().expect("no holder panics").clone();
         for queue in queues.values() {
             queue.set_engine_news(&news);
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -16,8 +16,8 @@
 use berylhook_target::EventSplitter;
 use berylhook_traffic::concurrency::FirstEvent;
 use berylhook_traffic::dispatch::Load;
-use berylhook_traffic::health::Evidence;
-use berylhook_traffic::stream::{Delivery, Progress, event_id};
+use berylhook_traffic::health::HealthSample;
+use berylhook_traffic::stream::{Delivery, StreamProgress, event_id};
 use berylhook_traffic::target::{Incarnation, Target};
 use bytes::Bytes;
 use futures_util::stream::unfold;
@@ -86,7 +86,7 @@
 /// A request that is being served.
 struct Session {
     job: Job,
-    progress: Progress,
+    progress: StreamProgress,
     tried: Vec<Incarnation>,
     sends: u32,
     may_have_run: bool,
@@ -104,7 +104,7 @@
         return job.own(Own::NoPlace);
     };
     let mut session = Session {
-        progress: Progress::new(job.head.last_event_id),
+        progress: StreamProgress::new(job.head.last_event_id),
         job,
         tried: Vec::new(),
         sends: 0,
@@ -150,7 +150,7 @@
         let send = self.job.send(&mut hold, resume_after, &mut clearance);
         let exchange = timeout(self.job.left(), send);
         // A target that may be asked once only is waited for.
-        let may_leave = self.job.route.repeat.allows_second_run();
+        let may_leave = self.job.route.retry_policy.allows_second_run();
         let answered = tokio::select! {
             answered = exchange => answered,
             () = self.silence(&target.incarnation), if may_leave => Ok(Err(CallError::Unknown)),
@@ -225,7 +225,7 @@
     /// Starts another run, if that may and can be done while the caller waits. One that
     /// follows a target which was sent nothing is no second send.
     async fn start_again(&mut self, is_second_send: bool) -> Option<Started> {
-        let is_allowed = self.job.route.repeat.allows_second_run() || !self.may_have_run;
+        let is_allowed = self.job.route.retry_policy.allows_second_run() || !self.may_have_run;
         let waited = self.gap_began.elapsed();
         let patience = LONGEST_GAP.saturating_sub(waited).min(self.job.left());
         let has_sends = self.sends < self.job.route.max_targets;
@@ -301,14 +301,14 @@
             Some(last) => self.note_gap(millis(now.duration_since(last))),
             None => self.job.queue.on_first_event(FirstEvent {
                 load: run.load,
-                after_ms: millis(now.duration_since(run.sent)),
+                latency_ms: millis(now.duration_since(run.sent)),
             }),
         }
     }
 
     fn note_gap(&self, gap_ms: f64) {
         self.job.observe_pause(gap_ms);
-        let goal_ms = self.job.route.pause_goal_ms;
+        let goal_ms = self.job.route.pause_objective_ms;
         #[allow(clippy::cast_precision_loss)] // milliseconds of a pause
         let goal_ms = goal_ms.map_or(f64::INFINITY, |ms| ms as f64);
         self.job.queue.on_gap(gap_ms, goal_ms);
@@ -318,8 +318,8 @@
     fn pass(&mut self, events: &Bytes) -> Option<Bytes> {
         let mut passed = VecDeque::new();
         for event in split_events(events) {
-            match self.progress.judge(event_id(&event)) {
-                Delivery::Pass => passed.push_back(event),
+            match self.progress.classify(event_id(&event)) {
+                Delivery::Forward => passed.push_back(event),
                 Delivery::Duplicate => {}
                 Delivery::Gap => return None,
             }
@@ -335,7 +335,7 @@
         self.may_have_run = true;
         self.tried.push(run.hold.target().incarnation.clone());
         self.job.log_send(run.hold.target(), SendResult::BrokeOff);
-        run.hold.close(Some(Evidence::Bad));
+        run.hold.close(Some(HealthSample::Failure));
     }
 
     fn give_up(self) -> Response<Body> {
@@ -405,7 +405,7 @@
                 return Some((Ok(Frame::data(events)), Position::Wait(session, run)));
             }
             Next::End => {
-                run.hold.close(Some(Evidence::Good));
+                run.hold.close(Some(HealthSample::Success));
                 session.job.note_outlived();
                 session
                     .job
--- a/crates/entry/src/streaming/head.rs
+++ b/crates/entry/src/streaming/head.rs
@@ -1,7 +1,7 @@
 //! What the head of a target's answer to a stream means.
 
 use berylhook_traffic::dispatch::Load;
-use berylhook_traffic::health::Evidence;
+use berylhook_traffic::health::HealthSample;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::CONTENT_LENGTH;
@@ -49,9 +49,9 @@
 
     /// What it says of the target. A refusal is common where a whole group
     /// refuses, and says nothing of one rank.
-    pub(super) fn evidence(&self) -> Option<Evidence> {
+    pub(super) fn evidence(&self) -> Option<HealthSample> {
         let is_refusal = matches!(self.result, SendResult::NotRun | SendResult::AsksForRest);
-        (!is_refusal).then_some(Evidence::Bad)
+        (!is_refusal).then_some(HealthSample::Failure)
     }
 }
 
--- a/crates/groups/src/group_loop.rs
+++ b/crates/groups/src/group_loop.rs
@@ -10,7 +10,7 @@
 use berylhook_experts::switching::{Epoch, Map, Pass, RankReport, Step, Version, next_step};
 use berylhook_relay::{Answer, Question};
 use berylhook_traffic::configuration::ExpertModel;
-use berylhook_traffic::pace::Pace;
+use berylhook_traffic::engine_update::Slowdown;
 use tokio::time::sleep;
 
 use crate::counted::CountedRanks;
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RankEngine {
     address: SocketAddr,
-    pace: Pace,
+    pace: Slowdown,
 }
 
 /// What is known of a group's present life, from its forming to its break.
@@ -85,7 +85,7 @@
 impl GroupLoop {
     pub(crate) fn new(leadership: Arc<Leadership>, name: Arc<str>) -> Self {
         let model = leadership.members().map(|members| members.model);
-        let numbers = model.map_or(0, |model| model.sets * model.experts);
+        let numbers = model.map_or(0, |model| model.layer_sets * model.experts);
         let ports = Ports::new(leadership.agent_port(), Some(CountedRanks::new(numbers)));
         Self {
             leadership,
@@ -158,7 +158,7 @@
         self.take_ranks(ranks);
         let tracker = self
             .tracker
-            .get_or_insert_with(|| DemandTracker::new(model.sets, model.experts));
+            .get_or_insert_with(|| DemandTracker::new(model.layer_sets, model.experts));
         tracker.observe(counts);
         reports
     }
@@ -308,7 +308,12 @@
             expert_mb: model.expert_mb,
             copy_ms: model.copy_ms(),
         };
-        let limits = Limits::for_group(model.places, model.new_in_set, cost, self.ranks.len());
+        let limits = Limits::for_group(
+            model.slots_per_rank,
+            model.max_new_per_set,
+            cost,
+            self.ranks.len(),
+        );
         let paces: Vec<f64> = self.ranks.iter().map(|rank| rank.pace.factor).collect();
         let load = Load {
             demand,
@@ -338,7 +343,7 @@
 fn rank_engine(address: SocketAddr, report: &RankReport) -> RankEngine {
     RankEngine {
         address,
-        pace: Pace {
+        pace: Slowdown {
             factor: report.pace,
             started_unix_ms: report.started_unix_ms,
         },
--- a/crates/groups/src/leadership.rs
+++ b/crates/groups/src/leadership.rs
@@ -7,7 +7,7 @@
 
 use berylhook_experts::switching::{Version, VersionSource};
 use berylhook_relay::Answer;
-use berylhook_traffic::pace::{EngineNews, GroupNews, Paces};
+use berylhook_traffic::engine_update::{EngineUpdate, GroupUpdate, Slowdowns};
 use indexmap::{IndexMap, IndexSet};
 
 use crate::{Candidate, Members};
@@ -15,7 +15,7 @@
 /// What is told of one group.
 #[derive(Clone, Debug, PartialEq)]
 struct ToldGroup {
-    slow: Paces,
+    slow: Slowdowns,
     engines: Vec<SocketAddr>,
     is_open: bool,
 }
@@ -138,7 +138,7 @@
 
     /// Tells this entry and, through it, its peers which engines of a group are
     /// slow.
-    pub(crate) fn publish_paces(&self, group: &Arc<str>, slow: Paces) {
+    pub(crate) fn publish_paces(&self, group: &Arc<str>, slow: Slowdowns) {
         self.publish(group, |told| told.slow = slow);
     }
 
@@ -155,7 +155,7 @@
         let mut told = self.told.lock().expect("no holder panics");
         let before = told.get(group).cloned();
         let mut now = before.clone().unwrap_or_else(|| ToldGroup {
-            slow: Paces::new(),
+            slow: Slowdowns::new(),
             engines: Vec::new(),
             is_open: true,
         });
@@ -176,13 +176,13 @@
 
     fn tell(&self, told: &IndexMap<Arc<str>, ToldGroup>) {
         let slow = told.values().flat_map(|group| &group.slow);
-        let groups = told.iter().map(|(name, group)| GroupNews {
+        let groups = told.iter().map(|(name, group)| GroupUpdate {
             name: Arc::clone(name),
             engines: group.engines.clone(),
             is_open: group.is_open,
         });
-        let news = EngineNews {
-            paces: slow.map(|(at, pace)| (*at, *pace)).collect(),
+        let news = EngineUpdate {
+            slowdowns: slow.map(|(at, pace)| (*at, *pace)).collect(),
             groups: groups.collect(),
         };
         self.candidate.engine_news.send_if_modified(|current| {
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -24,7 +24,7 @@
 
 use berylhook_platform::store::EraObserver;
 use berylhook_traffic::configuration::ExpertModel;
-use berylhook_traffic::pace::EngineNews;
+use berylhook_traffic::engine_update::EngineUpdate;
 use tokio::sync::watch;
 
 use crate::handover::{LeadershipTransfer, Successors};
@@ -56,7 +56,7 @@
     pub members: watch::Receiver<Vec<Members>>,
     /// What the leader learns of the engines; `None` where this process
     /// does not lead.
-    pub engine_news: watch::Sender<Option<EngineNews>>,
+    pub engine_news: watch::Sender<Option<EngineUpdate>>,
     /// Whether the process is about to end.
     pub is_stopping: watch::Receiver<bool>,
     /// Rises whenever a key of this project's own changes in the store.
--- a/crates/test-support/src/group_model.rs
+++ b/crates/test-support/src/group_model.rs
@@ -18,7 +18,7 @@
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::concurrency::FirstEvent;
 use berylhook_traffic::configuration::EngineModel;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Load, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, Load, PlacementRequest, SubmitOutcome, Ticket};
 use berylhook_traffic::ownership::{DemandMeter, Member, Membership};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 use indexmap::IndexMap;
@@ -316,7 +316,7 @@
     /// Events of one answer: between a third and five thirds of the usual number.
     fn answer_events(&mut self) -> u32 {
         let engine = &self.scenario.engine;
-        let usual = engine.usual_answer_tokens / f64::from(engine.steps_per_pass);
+        let usual = engine.typical_response_tokens / f64::from(engine.steps_per_pass);
         let events = usual * self.random.random_range(0.33..1.67);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // some dozens
         let events = events.max(1.0) as u32;
@@ -327,22 +327,22 @@
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
         let patience_ms = self.patience_ms();
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms,
-            late_patience_ms: patience_ms,
-            timely_until_ms: MonoMs(now_ms + patience_ms),
+            wait_limit_ms: patience_ms,
+            late_wait_limit_ms: patience_ms,
+            on_time_until_ms: MonoMs(now_ms + patience_ms),
         };
         let random = self.random.random();
         let entry = &mut self.entries[request.entry];
         entry.arrivals += 1;
         match entry
             .dispatcher
-            .arrive(ticket, wish, random, MonoMs(now_ms))
+            .submit(ticket, wish, random, MonoMs(now_ms))
         {
-            Arrival::Placed(target) => self.send(&target, request, now_ms),
-            Arrival::Refused => self.refuse(request, now_ms),
-            Arrival::Waits => {
+            SubmitOutcome::Placed(target) => self.send(&target, request, now_ms),
+            SubmitOutcome::Refused => self.refuse(request, now_ms),
+            SubmitOutcome::Queued => {
                 entry.waiting.insert(ticket, (now_ms, request));
             }
         }
@@ -393,7 +393,7 @@
             let over = waiting.filter(|(_, (since_ms, _))| now_ms - since_ms > patience_ms);
             let over: Vec<Ticket> = over.map(|(ticket, _)| *ticket).collect();
             for ticket in over {
-                entry.dispatcher.leave(ticket);
+                entry.dispatcher.cancel(ticket);
                 let left = entry.waiting.shift_remove(&ticket);
                 refused.extend(left.map(|(_, request)| request));
             }
@@ -427,20 +427,20 @@
     fn event(&mut self, rank: usize, stream: &mut Stream, load: Load, now_ms: u64) {
         let target = &self.targets[rank].incarnation;
         let dispatcher = &mut self.entries[stream.request.entry].dispatcher;
-        dispatcher.on_progress(target, MonoMs(now_ms));
+        dispatcher.on_stream_event(target, MonoMs(now_ms));
         match stream.last_event_ms.replace(now_ms) {
             None => {
                 let first_ms = now_ms - stream.request.arrived_ms;
                 stream.is_late |= first_ms > self.scenario.goal_ms;
                 dispatcher.on_first_event(FirstEvent {
                     load: self.scenario.tells_load.then_some(load),
-                    after_ms: (now_ms - stream.sent_ms) as f64,
+                    latency_ms: (now_ms - stream.sent_ms) as f64,
                 });
             }
             Some(last_ms) => {
                 let pause_ms = (now_ms - last_ms) as f64;
                 stream.is_late |= pause_ms > self.scenario.pause_goal_ms;
-                dispatcher.on_gap(pause_ms, self.scenario.pause_goal_ms, MonoMs(now_ms));
+                dispatcher.on_event_gap(pause_ms, self.scenario.pause_goal_ms, MonoMs(now_ms));
             }
         }
         stream.request.events_left -= 1;
@@ -483,7 +483,7 @@
                 waiting,
                 ..
             } = &mut self.entries[entry];
-            let Some((ticket, target)) = dispatcher.next(random, MonoMs(now_ms)) else {
+            let Some((ticket, target)) = dispatcher.place_next(random, MonoMs(now_ms)) else {
                 return;
             };
             if let Some((_, request)) = waiting.shift_remove(&ticket) {
--- a/crates/traffic/examples/placing.rs
+++ b/crates/traffic/examples/placing.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use berylhook_core::time::MonoMs;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, PlacementRequest, SubmitOutcome, Ticket};
 use berylhook_traffic::ownership::{Member, Membership};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
@@ -76,14 +76,16 @@
     let began = Instant::now();
     for number in 0..PLACED {
         let now_ms = MonoMs(number);
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms: 200,
-            late_patience_ms: 200,
-            timely_until_ms: now_ms + 200,
+            wait_limit_ms: 200,
+            late_wait_limit_ms: 200,
+            on_time_until_ms: now_ms + 200,
         };
         let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        if let Arrival::Placed(target) = dispatcher.arrive(Ticket(number), wish, random, now_ms) {
+        if let SubmitOutcome::Placed(target) =
+            dispatcher.submit(Ticket(number), wish, random, now_ms)
+        {
             running.push_back(target.incarnation);
         }
         if running.len() > RUNNING {
--- a/crates/traffic/src/concurrency.rs
+++ b/crates/traffic/src/concurrency.rs
@@ -114,7 +114,7 @@
     /// Generations that an engine runs at once.
     pub slots: f64,
     /// Passes that a usual answer takes.
-    pub passes_per_answer: f64,
+    pub passes_per_response: f64,
 }
 
 impl PassModel {
@@ -122,14 +122,14 @@
     #[must_use]
     pub fn for_engine(engine: &EngineModel) -> Self {
         let steps = f64::from(engine.steps_per_pass.max(1));
-        let tokens = engine.usual_prompt_tokens + engine.usual_answer_tokens;
+        let tokens = engine.typical_prompt_tokens + engine.typical_response_tokens;
         let context_ms = engine.context_per_1000_ms * tokens / 1_000.0;
         let per_sequence_ms = (engine.per_sequence_ms + context_ms).max(LEAST_WORK_MS);
         Self {
             empty_pass_ms: engine.step_ms * steps,
             per_generation_ms: per_sequence_ms * steps,
             slots: f64::from(engine.slots.max(1)),
-            passes_per_answer: (engine.usual_answer_tokens / steps).max(1.0),
+            passes_per_response: (engine.typical_response_tokens / steps).max(1.0),
         }
     }
 
@@ -150,12 +150,12 @@
     /// What the target told of its load, if it does.
     pub load: Option<Load>,
     /// Time since the request was sent there.
-    pub after_ms: f64,
+    pub latency_ms: f64,
 }
 
 /// The bound of one entry on one service.
 #[derive(Clone, Debug)]
-pub struct Concurrency {
+pub struct ConcurrencyLimiter {
     model: PassModel,
     first_per_engine: f64,
     bound: f64,
@@ -178,14 +178,14 @@
 
 /// What passes should take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PassGoal {
+pub struct PassObjective {
     /// The longest pause between two events that callers find acceptable.
     pub pause_ms: f64,
     /// The time of a pass without any generation at the slowest engine.
-    pub least_pass_ms: f64,
+    pub min_pass_ms: f64,
 }
 
-impl PassGoal {
+impl PassObjective {
     /// The pass time to steer for.
     ///
     /// With a slow engine in the group even an empty pass can miss the goal.
@@ -193,17 +193,17 @@
     /// late instead, as long as passes do not get much longer for it.
     fn target_ms(&self) -> f64 {
         let timely_ms = self.pause_ms * TARGET_SHARE;
-        if self.least_pass_ms < timely_ms {
+        if self.min_pass_ms < timely_ms {
             timely_ms
         } else {
-            self.least_pass_ms * LATE_FACTOR
+            self.min_pass_ms * LATE_FACTOR
         }
     }
 }
 
 /// The engines of a service and who shares them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Size {
+pub struct SharedCapacity {
     /// Engines in use.
     pub engines: usize,
     /// Generations that all of them run at once.
@@ -212,7 +212,7 @@
     pub share: f64,
 }
 
-impl Concurrency {
+impl ConcurrencyLimiter {
     /// Starts with the number of generations at which a pass should take a
     /// part of a usual pause goal.
     #[must_use]
@@ -245,7 +245,7 @@
     /// that go and come back change nothing: the time of passes tells better what the
     /// others leave.
     #[allow(clippy::cast_precision_loss)] // small counts
-    pub fn resize(&mut self, size: Size) {
+    pub fn set_capacity(&mut self, size: SharedCapacity) {
         let engines = size.engines as f64;
         let met_more = (size.share / self.least_share).min(1.0);
         self.bound = match self.adjusted_ms {
@@ -268,7 +268,7 @@
     }
 
     /// The time between two events of one stream.
-    pub fn on_gap(&mut self, gap_ms: f64) {
+    pub fn on_event_gap(&mut self, gap_ms: f64) {
         if gap_ms < STALL_MS {
             self.gaps_ms.push(gap_ms);
         } else {
@@ -287,13 +287,13 @@
 
     /// The bound in force.
     #[must_use]
-    pub fn bound(&self) -> f64 {
+    pub fn limit(&self) -> f64 {
         self.bound
     }
 
     /// Adjusts the bound to passes seen since the last time, with that many
     /// generations running.
-    pub fn adjust(&mut self, goal: PassGoal, running: usize, now_ms: MonoMs) {
+    pub fn adjust(&mut self, goal: PassObjective, running: usize, now_ms: MonoMs) {
         let is_due = self
             .adjusted_ms
             .is_none_or(|adjusted_ms| now_ms.since(adjusted_ms) >= ADJUST_EVERY_MS);
@@ -340,8 +340,8 @@
             Some(load) => f64::from(load.waiting) / f64::from(load.running.max(1)),
             None if is_stalled => 0.0,
             None => {
-                let passes = first.after_ms / pass_ms.max(1.0) - USUAL_FIRST_PASSES;
-                passes.max(0.0) / self.model.passes_per_answer
+                let passes = first.latency_ms / pass_ms.max(1.0) - USUAL_FIRST_PASSES;
+                passes.max(0.0) / self.model.passes_per_response
             }
         };
         let mut queues: Vec<f64> = self.first_events.iter().map(of_first).collect();
--- a/crates/traffic/src/configuration.rs
+++ b/crates/traffic/src/configuration.rs
@@ -10,7 +10,7 @@
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// May run any number of times.
     Safe,
     /// May run once at most.
@@ -23,7 +23,7 @@
     },
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether a request that may have run may be sent again.
     #[must_use]
     pub fn allows_second_run(self) -> bool {
@@ -50,14 +50,14 @@
     /// The beginning of its paths; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The longest time a request is kept without its final answer.
     pub timeout_ms: u64,
     /// Time within which an answer (a stream's first event) has its full
     /// worth to the caller.
-    pub goal_ms: u64,
+    pub objective_ms: u64,
     /// The longest pause between two events of a stream that is on time.
-    pub pause_goal_ms: Option<u64>,
+    pub pause_objective_ms: Option<u64>,
     /// How urgent its requests are; 0 is first.
     pub urgency: u32,
     /// The services and their shares; never empty.
@@ -107,11 +107,11 @@
     /// Token steps of one pass.
     pub steps_per_pass: u32,
     /// Prompt tokens read in a second.
-    pub read_per_s: f64,
+    pub prefill_tokens_per_s: f64,
     /// Tokens of a usual prompt.
-    pub usual_prompt_tokens: f64,
+    pub typical_prompt_tokens: f64,
     /// Tokens of a usual answer.
-    pub usual_answer_tokens: f64,
+    pub typical_response_tokens: f64,
     /// Its experts, if it is a rank of an expert-parallel group.
     pub experts: Option<ExpertModel>,
 }
@@ -120,13 +120,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExpertModel {
     /// Sets of layers whose experts are placed apart.
-    pub sets: usize,
+    pub layer_sets: usize,
     /// Experts of one set.
     pub experts: usize,
     /// Experts on one rank in one set, at most.
-    pub places: usize,
+    pub slots_per_rank: usize,
     /// New experts on one rank in one set, at most, for one change of maps.
-    pub new_in_set: usize,
+    pub max_new_per_set: usize,
     /// Megabytes of one expert.
     pub expert_mb: f64,
     /// Megabits per second at which a rank copies experts.
@@ -180,7 +180,7 @@
 
 /// What a configuration is built from.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct ConfigurationParts {
     /// Its version; versions only rise.
     pub version: u64,
     /// All routes.
@@ -218,7 +218,7 @@
 impl Configuration {
     /// Builds the lookup tables.
     #[must_use]
-    pub fn new(parts: Parts) -> Self {
+    pub fn new(parts: ConfigurationParts) -> Self {
         let mut hosts: IndexMap<Arc<str>, Vec<Arc<Route>>> = IndexMap::new();
         for route in parts.routes {
             let host = Arc::clone(&route.host);
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -12,13 +12,13 @@
 //!
 //! - A *missing* target stays in use for the same time as after an outage.
 //! - One that was *leaving* stays so until it writes again.
-//! - One that has *left* stays out of use for [`REVIVAL_MS`]; if it is still
+//! - One that has *left* stays out of use for [`RESTORED_ENTRY_EXCLUSION_MS`]; if it is still
 //!   listed then, somebody renews its entry, and it lives.
 //!
 //! A target that stops sending heartbeats is dropped from the list, and so is
 //! every target whose heartbeats could not reach the store during an outage.
 //! Dropping those at once would empty the list just as the store comes back.
-//! A target that is missing within [`RETURN_GRACE_MS`] of the store's return
+//! A target that is missing within [`STORE_RECOVERY_GRACE_MS`] of the store's return
 //! therefore stays in use until that time is over.
 //!
 //! Anyone who can write to the store can write under a target's key. An entry
@@ -47,13 +47,13 @@
 ///
 /// The platform promises that targets which live are listed again within about
 /// two seconds of its return.
-pub const RETURN_GRACE_MS: u64 = 2_200;
+pub const STORE_RECOVERY_GRACE_MS: u64 = 2_200;
 
 /// How long a target that has left is not used although a restored store lists it.
 ///
 /// The platform drops an entry that nobody renews after three heartbeats, some four
 /// seconds.
-pub const REVIVAL_MS: u64 = 5_000;
+pub const RESTORED_ENTRY_EXCLUSION_MS: u64 = 5_000;
 
 /// How long it is known that a target has left: longer than a copy of the store is old.
 const LEFT_KNOWN_MS: u64 = 60_000;
@@ -69,7 +69,7 @@
 
 /// An entry that names no target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unusable {
+pub struct InvalidEntry {
     /// The id under which it is listed.
     pub id: Arc<str>,
     /// What is wrong with it, and the remedy.
@@ -78,13 +78,13 @@
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ListingChange {
     /// A target was added, or its description changed.
     Set(Target),
     /// A target is no longer listed.
     Removed(Arc<str>),
     /// What is listed under an id names no target.
-    Unusable(Unusable),
+    Invalid(InvalidEntry),
 }
 
 /// The list at one revision.
@@ -96,14 +96,14 @@
     /// All targets, by id.
     pub targets: IndexMap<Arc<str>, Target>,
     /// Why the other entries name no target, by id.
-    #[serde(default)]
-    pub unusable: IndexMap<Arc<str>, Arc<str>>,
+    #[serde(default, rename = "unusable")]
+    pub invalid: IndexMap<Arc<str>, Arc<str>>,
 }
 
 impl Listing {
     /// A list that was read as a whole.
     #[must_use]
-    pub fn from_entries(position: Position, entries: Vec<Result<Target, Unusable>>) -> Self {
+    pub fn from_entries(position: Position, entries: Vec<Result<Target, InvalidEntry>>) -> Self {
         let mut listing = Self {
             position,
             ..Self::default()
@@ -114,16 +114,16 @@
                     listing.targets.insert(Arc::clone(target.id()), target);
                 }
                 Err(unusable) => {
-                    listing.unusable.insert(unusable.id, unusable.reason);
+                    listing.invalid.insert(unusable.id, unusable.reason);
                 }
             }
         }
         listing
     }
 
-    fn set_unusable(&mut self, unusable: Unusable) {
+    fn set_unusable(&mut self, unusable: InvalidEntry) {
         self.targets.shift_remove(&unusable.id);
-        self.unusable.insert(unusable.id, unusable.reason);
+        self.invalid.insert(unusable.id, unusable.reason);
     }
 }
 
@@ -167,8 +167,8 @@
     /// The store answers again after it was away.
     ///
     /// The list read next may lack targets that live.
-    pub fn store_returned(&mut self, now_ms: MonoMs) {
-        self.grace_until_ms = now_ms + RETURN_GRACE_MS;
+    pub fn on_store_recovered(&mut self, now_ms: MonoMs) {
+        self.grace_until_ms = now_ms + STORE_RECOVERY_GRACE_MS;
     }
 
     /// Takes a whole list over if it is not older than the one in force.
@@ -181,7 +181,7 @@
         }
         let is_restored = listing.position.era > known.era && known != Position::default();
         if is_restored {
-            self.store_returned(now_ms);
+            self.on_store_recovered(now_ms);
         }
         self.reconcile(&mut listing);
         if is_restored {
@@ -191,23 +191,22 @@
         let before = std::mem::replace(&mut self.listing, listing);
         for (id, target) in before.targets {
             let is_listed = self.listing.targets.contains_key(&id);
-            if !is_listed && !self.listing.unusable.contains_key(&id) {
+            if !is_listed && !self.listing.invalid.contains_key(&id) {
                 self.keep_for_a_while(target, now_ms);
             }
         }
         let Self {
             listing, missing, ..
         } = self;
-        missing.retain(|id, _| {
-            !listing.targets.contains_key(id) && !listing.unusable.contains_key(id)
-        });
+        missing
+            .retain(|id, _| !listing.targets.contains_key(id) && !listing.invalid.contains_key(id));
         true
     }
 
     /// Replaces the entries of a new list that their targets cannot have written.
     fn reconcile(&mut self, listing: &mut Listing) {
         self.starts_unix_ms
-            .retain(|id, _| listing.targets.contains_key(id) || listing.unusable.contains_key(id));
+            .retain(|id, _| listing.targets.contains_key(id) || listing.invalid.contains_key(id));
         for target in std::mem::take(&mut listing.targets).into_values() {
             let id = Arc::clone(target.id());
             match self.writer_of(&target) {
@@ -246,7 +245,8 @@
         for (id, target) in &listing.targets {
             let left = self.left.get(id);
             if left.is_some_and(|left| left.listed_revision == target.listed_revision) {
-                self.revived.insert(Arc::clone(id), now_ms + REVIVAL_MS);
+                self.revived
+                    .insert(Arc::clone(id), now_ms + RESTORED_ENTRY_EXCLUSION_MS);
             }
         }
     }
@@ -296,22 +296,22 @@
     }
 
     /// Applies the change made at `position`; an older one changes nothing.
-    pub fn apply(&mut self, change: Change, position: Position, now_ms: MonoMs) {
+    pub fn apply(&mut self, change: ListingChange, position: Position, now_ms: MonoMs) {
         if position <= self.listing.position {
             return;
         }
         self.listing.position = position;
         match change {
-            Change::Set(target) => self.set(target),
-            Change::Removed(id) => {
+            ListingChange::Set(target) => self.set(target),
+            ListingChange::Removed(id) => {
                 self.starts_unix_ms.shift_remove(&id);
-                self.listing.unusable.shift_remove(&id);
+                self.listing.invalid.shift_remove(&id);
                 self.revived.shift_remove(&id);
                 if let Some(target) = self.listing.targets.shift_remove(&id) {
                     self.keep_for_a_while(target, now_ms);
                 }
             }
-            Change::Unusable(unusable) => self.set_unusable(unusable),
+            ListingChange::Invalid(unusable) => self.set_unusable(unusable),
         }
     }
 
@@ -323,7 +323,7 @@
                 self.missing.shift_remove(&id);
                 self.left.shift_remove(&id);
                 self.revived.shift_remove(&id);
-                self.listing.unusable.shift_remove(&id);
+                self.listing.invalid.shift_remove(&id);
                 self.listing.targets.insert(id, target);
             }
             Writer::FormerIncarnation => {}
@@ -331,7 +331,7 @@
         }
     }
 
-    fn set_unusable(&mut self, unusable: Unusable) {
+    fn set_unusable(&mut self, unusable: InvalidEntry) {
         self.missing.shift_remove(&unusable.id);
         self.listing.set_unusable(unusable);
     }
@@ -380,8 +380,8 @@
     }
 }
 
-fn refused(id: Arc<str>, reason: &str) -> Unusable {
-    Unusable {
+fn refused(id: Arc<str>, reason: &str) -> InvalidEntry {
+    InvalidEntry {
         id,
         reason: reason.into(),
     }
--- a/crates/traffic/src/dispatch.rs
+++ b/crates/traffic/src/dispatch.rs
@@ -35,11 +35,13 @@
 use self::places::Places;
 use self::standstill::Standstills;
 use self::waiting::{WaitQueue, Waiting};
-use crate::concurrency::{Concurrency, FirstEvent, PassGoal, PassModel, Size};
+use crate::concurrency::{
+    ConcurrencyLimiter, FirstEvent, PassModel, PassObjective, SharedCapacity,
+};
 use crate::configuration::EngineModel;
-use crate::health::Evidence;
+use crate::engine_update::EngineUpdate;
+use crate::health::HealthSample;
 use crate::ownership::Membership;
-use crate::pace::EngineNews;
 use crate::target::{Incarnation, Target};
 
 /// Weight of a newly measured interval between two freed places.
@@ -67,26 +69,26 @@
 
 /// What becomes of a request that arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum SubmitOutcome {
     /// Send it to this target.
     Placed(Target),
     /// It waits; [`Dispatcher::next`] places it.
-    Waits,
+    Queued,
     /// It would not be placed in time.
     Refused,
 }
 
 /// What a request asks of the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct PlacementRequest {
     /// How urgent it is; 0 is first.
     pub urgency: u32,
     /// How long it is willing to wait while the service runs.
-    pub patience_ms: u64,
+    pub wait_limit_ms: u64,
     /// How long it is willing to wait for a late answer.
-    pub late_patience_ms: u64,
+    pub late_wait_limit_ms: u64,
     /// Placed up to this moment, it can still be answered within its goal.
-    pub timely_until_ms: MonoMs,
+    pub on_time_until_ms: MonoMs,
 }
 
 /// The waiting, placed and refused requests of one service.
@@ -98,7 +100,7 @@
     /// Groups that came to stand still since this was last taken.
     stopped: Vec<GroupName>,
     outlook: Outlook,
-    concurrency: Option<Concurrency>,
+    concurrency: Option<ConcurrencyLimiter>,
     /// Time of a pass in which nothing runs.
     empty_pass_ms: f64,
     running: usize,
@@ -121,7 +123,7 @@
             stopped: Vec::new(),
             outlook: Outlook::default(),
             empty_pass_ms: model.map_or(0.0, |it| it.empty_pass_ms),
-            concurrency: model.map(Concurrency::new),
+            concurrency: model.map(ConcurrencyLimiter::new),
             running: 0,
             freed_every_ms: 0.0,
             freed_ms: MonoMs(0),
@@ -139,7 +141,7 @@
 
     /// This process has just started, and may do so together with all others: the service
     /// may have been down until now.
-    pub fn on_start(&mut self, now_ms: MonoMs) {
+    pub fn on_process_start(&mut self, now_ms: MonoMs) {
         self.outlook.on_outage(now_ms);
     }
 
@@ -156,8 +158,8 @@
     }
 
     /// Takes over a leader's word on the targets.
-    pub fn set_engine_news(&mut self, news: &EngineNews, now_ms: MonoMs) {
-        self.places.set_paces(&news.paces);
+    pub fn set_engine_update(&mut self, news: &EngineUpdate, now_ms: MonoMs) {
+        self.places.set_paces(&news.slowdowns);
         self.places.set_groups(&news.groups);
         if self.outages.on_news(&news.groups, now_ms) {
             self.outlook.on_outage(now_ms);
@@ -174,26 +176,26 @@
             0 => self.places.carried_by(|_| true),
             engines => (engines, slots),
         };
-        let size = Size {
+        let size = SharedCapacity {
             engines,
             slots,
             share: self.places.equal_share(),
         };
         if let Some(concurrency) = &mut self.concurrency {
-            concurrency.resize(size);
-            self.places.expect_running(concurrency.bound());
+            concurrency.set_capacity(size);
+            self.places.expect_running(concurrency.limit());
         }
     }
 
     /// The bound on what runs, if there is one.
     #[must_use]
-    pub fn bound(&self) -> Option<f64> {
-        self.concurrency.as_ref().map(Concurrency::bound)
+    pub fn concurrency_limit(&self) -> Option<f64> {
+        self.concurrency.as_ref().map(ConcurrencyLimiter::limit)
     }
 
     /// A stream from the target got an event; returns whether its group stood still until
     /// now.
-    pub fn on_progress(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
+    pub fn on_stream_event(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
         self.outages.on_progress(now_ms);
         self.places.on_progress(of, now_ms);
         let group = self.places.group_of(of);
@@ -201,7 +203,7 @@
     }
 
     /// Groups that came to stand still since this was last called, by name where it is known.
-    pub fn take_stopped(&mut self) -> Vec<Option<Arc<str>>> {
+    pub fn take_stalled_groups(&mut self) -> Vec<Option<Arc<str>>> {
         std::mem::take(&mut self.stopped)
     }
 
@@ -241,13 +243,13 @@
 
     /// A stream got an event `gap_ms` after the one before it; callers find a
     /// pause of `pause_goal_ms` acceptable.
-    pub fn on_gap(&mut self, gap_ms: f64, pause_goal_ms: f64, now_ms: MonoMs) {
-        let goal = PassGoal {
+    pub fn on_event_gap(&mut self, gap_ms: f64, pause_goal_ms: f64, now_ms: MonoMs) {
+        let goal = PassObjective {
             pause_ms: pause_goal_ms,
-            least_pass_ms: self.empty_pass_ms * self.places.slowest(),
+            min_pass_ms: self.empty_pass_ms * self.places.slowest(),
         };
         if let Some(concurrency) = &mut self.concurrency {
-            concurrency.on_gap(gap_ms);
+            concurrency.on_event_gap(gap_ms);
             concurrency.adjust(goal, self.running, now_ms);
         }
     }
@@ -286,7 +288,7 @@
 
     /// Whether those who wait can be expected to be served within `late_patience_ms`,
     /// although late.
-    pub fn serves_late(&mut self, late_patience_ms: u64, now_ms: MonoMs) -> bool {
+    pub fn can_serve_late(&mut self, late_patience_ms: u64, now_ms: MonoMs) -> bool {
         let waiting = self.queue.len();
         self.is_down() || self.outlook.serves(waiting, late_patience_ms, now_ms)
     }
@@ -302,40 +304,46 @@
     }
 
     /// A request arrives that is willing to wait for `patience_ms`.
-    pub fn arrive(&mut self, ticket: Ticket, wish: Wish, random: u64, now_ms: MonoMs) -> Arrival {
+    pub fn submit(
+        &mut self,
+        ticket: Ticket,
+        wish: PlacementRequest,
+        random: u64,
+        now_ms: MonoMs,
+    ) -> SubmitOutcome {
         self.outlook.on_arrival(now_ms);
         self.look_for_standstills(now_ms);
         let ahead = self.queue.ahead_of(wish.urgency);
         if ahead == 0
             && let Some(target) = self.place(random, now_ms, true)
         {
-            return Arrival::Placed(target);
+            return SubmitOutcome::Placed(target);
         }
         #[allow(clippy::cast_precision_loss)] // short queues and waits
         let needed_ms = (ahead as f64 + 1.0) * self.freed_every_ms;
         #[allow(clippy::cast_precision_loss)]
-        let is_timely = needed_ms <= wish.patience_ms as f64;
-        if !is_timely && !self.serves_late(wish.late_patience_ms, now_ms) {
-            return Arrival::Refused;
+        let is_timely = needed_ms <= wish.wait_limit_ms as f64;
+        if !is_timely && !self.can_serve_late(wish.late_wait_limit_ms, now_ms) {
+            return SubmitOutcome::Refused;
         }
-        if self.all_rest_ms(now_ms) > wish.patience_ms.max(wish.late_patience_ms) {
-            return Arrival::Refused;
+        if self.min_backoff_left_ms(now_ms) > wish.wait_limit_ms.max(wish.late_wait_limit_ms) {
+            return SubmitOutcome::Refused;
         }
         self.queue.push(Waiting {
             ticket,
             urgency: wish.urgency,
-            timely_until_ms: wish.timely_until_ms,
+            timely_until_ms: wish.on_time_until_ms,
         });
-        Arrival::Waits
+        SubmitOutcome::Queued
     }
 
     /// A waiting request gives up.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
 
     /// Places the first waiting request if there is room now.
-    pub fn next(&mut self, random: u64, now_ms: MonoMs) -> Option<(Ticket, Target)> {
+    pub fn place_next(&mut self, random: u64, now_ms: MonoMs) -> Option<(Ticket, Target)> {
         let ticket = self.queue.first(now_ms)?;
         self.look_for_standstills(now_ms);
         let target = self.place(random, now_ms, false)?;
@@ -346,7 +354,7 @@
     /// Places a request that runs already at one more target, none of
     /// `exclude`. It holds its place in the bound until
     /// [`release`](Self::release).
-    pub fn place_again(
+    pub fn place_additional(
         &mut self,
         exclude: &[Incarnation],
         random: u64,
@@ -417,19 +425,19 @@
     }
 
     /// A target accepted a request; returns whether it was on trial after a rest until now.
-    pub fn on_rest_over(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
+    pub fn end_backoff_trial(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
         self.places.on_accepted(of, now_ms)
     }
 
     /// For how long all targets rest that do not leave; 0 if one does not, or there is none.
     #[must_use]
-    pub fn all_rest_ms(&self, now_ms: MonoMs) -> u64 {
+    pub fn min_backoff_left_ms(&self, now_ms: MonoMs) -> u64 {
         self.places.all_rest_ms(now_ms)
     }
 
     /// How much longer a target wants nothing from this entry.
     #[must_use]
-    pub fn rest_left_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
+    pub fn backoff_left_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
         self.places.rest_left_ms(of, now_ms)
     }
 
@@ -450,7 +458,7 @@
 
     /// Requests that did not go to the target chosen first, by why, since this was last
     /// called.
-    pub fn take_kept_back(&mut self) -> IndexMap<WithheldReason, u32> {
+    pub fn take_withheld_counts(&mut self) -> IndexMap<WithheldReason, u32> {
         self.places.take_kept_back()
     }
 
@@ -475,32 +483,32 @@
     }
 
     /// A placed request goes away unsent; [`release`](Self::release) follows.
-    pub fn leave_unsent(&mut self, of: &Incarnation) {
+    pub fn cancel_unsent(&mut self, of: &Incarnation) {
         self.places.leave_unsent(of);
     }
 
     /// When a target takes a request again, by what they say; `None` if one does now, or all
     /// are about to leave.
     #[must_use]
-    pub fn takes_again_ms(&self, now_ms: MonoMs) -> Option<u64> {
+    pub fn until_accepting_ms(&self, now_ms: MonoMs) -> Option<u64> {
         self.places.takes_again_ms(now_ms)
     }
 
     /// The limit that a target names.
     #[must_use]
-    pub fn limit(&self, of: &Incarnation) -> Option<RequestRate> {
+    pub fn rate_limit(&self, of: &Incarnation) -> Option<RequestRate> {
         self.places.limit(of)
     }
 
     /// How many targets name a limit.
     #[must_use]
-    pub fn limited(&self) -> usize {
+    pub fn limited_target_count(&self) -> usize {
         self.places.limited()
     }
 
     /// A request at the target ended; `evidence` is what it says of the target,
     /// if anything.
-    pub fn release(&mut self, of: &Incarnation, evidence: Option<Evidence>, now_ms: MonoMs) {
+    pub fn release(&mut self, of: &Incarnation, evidence: Option<HealthSample>, now_ms: MonoMs) {
         self.running = self.running.saturating_sub(1);
         self.note_freed(now_ms);
         self.places.release(of, evidence, now_ms);
--- a/crates/traffic/src/dispatch/outage.rs
+++ b/crates/traffic/src/dispatch/outage.rs
@@ -13,7 +13,7 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
-use crate::pace::GroupNews;
+use crate::engine_update::GroupUpdate;
 
 /// Time between two tries of a group that refuses everything. All entries try, and a group
 /// takes over half a second to form anew.
@@ -64,7 +64,7 @@
     }
 
     /// The leader tells of the groups; returns whether one has closed.
-    pub(super) fn on_news(&mut self, groups: &[GroupNews], now_ms: MonoMs) -> bool {
+    pub(super) fn on_news(&mut self, groups: &[GroupUpdate], now_ms: MonoMs) -> bool {
         let mut is_changed = false;
         for group in groups {
             let name = Some(Arc::clone(&group.name));
--- a/crates/traffic/src/dispatch/places.rs
+++ b/crates/traffic/src/dispatch/places.rs
@@ -12,9 +12,9 @@
 
 use super::Load;
 use super::outage::GroupName;
-use crate::health::{Evidence, Health};
+use crate::engine_update::{GroupUpdate, Slowdowns};
+use crate::health::{Health, HealthSample};
 use crate::ownership::{Membership, Preference};
-use crate::pace::{GroupNews, Paces};
 use crate::target::{Incarnation, Target};
 
 /// A report of another process's load on a target is taken as current for
@@ -52,7 +52,7 @@
             pace: 1.0,
             others: None,
             preference: Preference {
-                is_own: true,
+                is_owned: true,
                 penalty: 0.0,
             },
             progressed_ms: MonoMs(0),
@@ -71,7 +71,7 @@
             .filter(|(_, at_ms)| now_ms.since(*at_ms) < LOAD_VALID_MS);
         let others = match told {
             Some((count, _)) => f64::from(count),
-            None if self.preference.is_own => of_others.at_own,
+            None if self.preference.is_owned => of_others.at_own,
             None => of_others.elsewhere,
         };
         f64::from(self.running) + others
@@ -185,12 +185,12 @@
         }
         let by_index = &preferences.targets;
         self.order = (0..by_index.len()).collect();
-        let key = |index: &usize| (!by_index[*index].is_own, by_index[*index].penalty);
+        let key = |index: &usize| (!by_index[*index].is_owned, by_index[*index].penalty);
         self.order.sort_by(|a, b| {
             let ((a_other, a_penalty), (b_other, b_penalty)) = (key(a), key(b));
             a_other.cmp(&b_other).then(a_penalty.total_cmp(&b_penalty))
         });
-        self.own_count = by_index.iter().filter(|it| it.is_own).count();
+        self.own_count = by_index.iter().filter(|it| it.is_owned).count();
         self.share = preferences.share;
         self.overlap = preferences.overlap;
         #[allow(clippy::cast_precision_loss)] // ten thousand at most
@@ -221,17 +221,17 @@
     }
 
     /// The targets' paces, by address; all others have the usual one.
-    pub(super) fn set_paces(&mut self, paces: &Paces) {
+    pub(super) fn set_paces(&mut self, paces: &Slowdowns) {
         for place in self.places.values_mut() {
             let target = &place.target;
             let pace = paces.get(&target.address);
-            let of_target = pace.filter(|pace| pace.is_of(&target.incarnation));
+            let of_target = pace.filter(|pace| pace.applies_to(&target.incarnation));
             place.pace = of_target.map_or(1.0, |pace| pace.factor).max(1.0);
         }
     }
 
     /// Takes over which targets form which groups.
-    pub(super) fn set_groups(&mut self, groups: &[GroupNews]) {
+    pub(super) fn set_groups(&mut self, groups: &[GroupUpdate]) {
         let engines = groups.iter().flat_map(|group| {
             let engines = group.engines.iter();
             engines.map(move |engine| (*engine, &group.name))
@@ -494,7 +494,12 @@
 
     /// A request at the target ended; `evidence` is what it says of the target,
     /// if anything.
-    pub(super) fn release(&mut self, of: &Incarnation, evidence: Option<Evidence>, now_ms: MonoMs) {
+    pub(super) fn release(
+        &mut self,
+        of: &Incarnation,
+        evidence: Option<HealthSample>,
+        now_ms: MonoMs,
+    ) {
         self.running = self.running.saturating_sub(1);
         let Some(place) = self.places.get_mut(of) else {
             return;
@@ -514,11 +519,11 @@
     ) -> Choice {
         let sound = self.best(exclude, random, now_ms, |place| {
             let is_busy_trial = place.health.is_on_trial() && place.running > 0;
-            !place.health.is_avoided(now_ms) && !is_busy_trial && may_send(&place.group)
+            !place.health.is_ejected(now_ms) && !is_busy_trial && may_send(&place.group)
         });
         let sound_exists = self.places.values().any(|place| {
             let is_excluded = exclude.contains(&place.target.incarnation);
-            !place.health.is_avoided(now_ms) && !is_excluded && may_send(&place.group)
+            !place.health.is_ejected(now_ms) && !is_excluded && may_send(&place.group)
         });
         match sound.target {
             None if !sound_exists => {
@@ -549,7 +554,7 @@
             // Work is never less than one request at a target of usual pace, and
             // penalties only rise from here on.
             let least = self.base_load + 1.0 + place.preference.penalty;
-            if !place.preference.is_own && best.is_some_and(|(score, _)| score <= least) {
+            if !place.preference.is_owned && best.is_some_and(|(score, _)| score <= least) {
                 break;
             }
             let is_full = place.running >= place.target.slots;
--- a/crates/traffic/src/pace.rs
+++ b/crates/traffic/src/engine_update.rs
@@ -11,17 +11,18 @@
 
 /// What a leader tells of the engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     /// Paces of slow engines.
-    pub paces: Paces,
+    #[serde(rename = "paces")]
+    pub slowdowns: Slowdowns,
     /// The groups; a leader of an older version tells none.
     #[serde(default)]
-    pub groups: Vec<GroupNews>,
+    pub groups: Vec<GroupUpdate>,
 }
 
 /// Engines that run each pass together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupNews {
+pub struct GroupUpdate {
     /// The group's name.
     pub name: Arc<str>,
     /// Its engines.
@@ -31,24 +32,24 @@
 }
 
 /// Paces by the engine's address; engines of the usual pace are left out.
-pub type Paces = IndexMap<SocketAddr, Pace>;
+pub type Slowdowns = IndexMap<SocketAddr, Slowdown>;
 
 /// How slow an engine is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct Slowdown {
     /// Time of its work as a multiple of the usual one.
     pub factor: f64,
     /// Unix time of the engine's start in milliseconds, if it tells it.
     pub started_unix_ms: Option<u64>,
 }
 
-impl Pace {
+impl Slowdown {
     /// Whether it was read of that incarnation, as far as both tell their start.
     ///
     /// An engine that was slow and has started anew is taken to be as fast as
     /// any until it is read again.
     #[must_use]
-    pub fn is_of(&self, incarnation: &Incarnation) -> bool {
+    pub fn applies_to(&self, incarnation: &Incarnation) -> bool {
         let starts = self.started_unix_ms.zip(incarnation.started_unix_ms);
         starts.is_none_or(|(read, known)| read == known)
     }
--- a/crates/traffic/src/health.rs
+++ b/crates/traffic/src/health.rs
@@ -24,11 +24,11 @@
 
 /// What one request says of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum HealthSample {
     /// It was answered.
-    Good,
+    Success,
     /// It was not answered, or the answer was broken.
-    Bad,
+    Failure,
 }
 
 /// What is known of one target.
@@ -40,10 +40,10 @@
 
 impl Health {
     /// A request to the target ended.
-    pub fn record(&mut self, evidence: Evidence, now_ms: MonoMs) {
+    pub fn record(&mut self, evidence: HealthSample, now_ms: MonoMs) {
         match evidence {
-            Evidence::Good => *self = Self::default(),
-            Evidence::Bad => {
+            HealthSample::Success => *self = Self::default(),
+            HealthSample::Failure => {
                 self.failures = self.failures.saturating_add(1);
                 self.avoid_until_ms = now_ms + self.avoid_ms();
             }
@@ -59,7 +59,7 @@
 
     /// Whether the target is better left alone now.
     #[must_use]
-    pub fn is_avoided(&self, now_ms: MonoMs) -> bool {
+    pub fn is_ejected(&self, now_ms: MonoMs) -> bool {
         now_ms < self.avoid_until_ms
     }
 
--- a/crates/traffic/src/unusable.rs
+++ b/crates/traffic/src/invalid_entries.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 
 use crate::configuration::Configuration;
-use crate::directory::{Listing, Unusable};
+use crate::directory::{InvalidEntry, Listing};
 
 /// Why an entry of a service that no configuration names is not used.
 const UNKNOWN_SERVICE: &str = "the configuration has no service of that name; \
@@ -17,19 +17,19 @@
 
 /// The entries that have been told.
 #[derive(Debug, Default)]
-pub struct UnusableEntries {
+pub struct InvalidEntryTracker {
     told: IndexMap<Arc<str>, Arc<str>>,
 }
 
-impl UnusableEntries {
+impl InvalidEntryTracker {
     /// Of the entries that name no target now, those that were not told before.
-    pub fn news(&mut self, current: Vec<Unusable>) -> Vec<Unusable> {
+    pub fn unreported(&mut self, current: Vec<InvalidEntry>) -> Vec<InvalidEntry> {
         let told = std::mem::take(&mut self.told);
         let pairs = current.iter().map(|it| (&it.id, &it.reason));
         self.told = pairs
             .map(|(id, reason)| (Arc::clone(id), Arc::clone(reason)))
             .collect();
-        let is_news = |it: &Unusable| told.get(&it.id) != Some(&it.reason);
+        let is_news = |it: &InvalidEntry| told.get(&it.id) != Some(&it.reason);
         current.into_iter().filter(is_news).collect()
     }
 }
@@ -37,8 +37,11 @@
 /// All entries of a list that name no target to use, under a configuration if
 /// one is known.
 #[must_use]
-pub fn unusable(listing: &Listing, configuration: Option<&Configuration>) -> Vec<Unusable> {
-    let malformed = listing.unusable.iter().map(|(id, reason)| Unusable {
+pub fn invalid_entries(
+    listing: &Listing,
+    configuration: Option<&Configuration>,
+) -> Vec<InvalidEntry> {
+    let malformed = listing.invalid.iter().map(|(id, reason)| InvalidEntry {
         id: Arc::clone(id),
         reason: Arc::clone(reason),
     });
@@ -47,7 +50,7 @@
         .targets
         .values()
         .filter(|target| unknown(&target.service));
-    let of_unknown = of_unknown.map(|target| Unusable {
+    let of_unknown = of_unknown.map(|target| InvalidEntry {
         id: Arc::clone(target.id()),
         reason: UNKNOWN_SERVICE.into(),
     });
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -9,20 +9,20 @@
 //! | [`dispatch`] | who waits, who is placed where, who is refused |
 //! | [`health`] | which targets are avoided because of what came of their requests |
 //! | [`ownership`] | which targets an entry uses first where many entries share them |
-//! | [`pace`] | how slow engines are |
+//! | [`engine_update`] | how slow engines are |
 //! | [`retry_after`] | when refused callers should come back |
 //! | [`stream`] | which events of a stream have been delivered, and where to go on |
 //! | [`target`] | what a target and an incarnation of it are |
-//! | [`unusable`] | which entries of the list name no target |
+//! | [`invalid_entries`] | which entries of the list name no target |
 
 pub mod concurrency;
 pub mod configuration;
 pub mod directory;
 pub mod dispatch;
+pub mod engine_update;
 pub mod health;
+pub mod invalid_entries;
 pub mod ownership;
-pub mod pace;
 pub mod retry_after;
 pub mod stream;
 pub mod target;
-pub mod unusable;
--- a/crates/traffic/src/ownership.rs
+++ b/crates/traffic/src/ownership.rs
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Preference {
     /// Whether the entry owns it.
-    pub is_own: bool,
+    pub is_owned: bool,
     /// By how many requests another target may be fuller before this one is used.
     pub penalty: f64,
 }
@@ -246,7 +246,7 @@
             widened(&arcs, &supplies, home, overlap)
         };
         let last = Preference {
-            is_own: false,
+            is_owned: false,
             penalty: OTHER_DATA_CENTRE + FOREIGN + MOST_DISTANCE,
         };
         let mut preferences = vec![last; targets.len()];
@@ -426,14 +426,14 @@
         let width = slots(targets[index]);
         let distance = arc.distance((before + width / 2.0) / total) * count;
         before += width;
-        let is_own = distance <= 0.0 && arc.width > 0.0;
+        let is_owned = distance <= 0.0 && arc.width > 0.0;
         let far = match is_far {
-            true if is_own => OTHER_DATA_CENTRE,
+            true if is_owned => OTHER_DATA_CENTRE,
             true => OTHER_DATA_CENTRE + FOREIGN,
             false => 0.0,
         };
         preferences[index] = Preference {
-            is_own,
+            is_owned,
             penalty: far + (distance * PER_TARGET).min(MOST_DISTANCE),
         };
     }
--- a/crates/traffic/src/retry_after.rs
+++ b/crates/traffic/src/retry_after.rs
@@ -16,7 +16,7 @@
 
 /// Why a caller should come back later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum RetryReason {
     /// There is more work than places.
     Busy,
     /// The service refuses everything; a group that forms anew takes a second
@@ -25,7 +25,7 @@
     /// All targets say that they take no more now.
     Withheld {
         /// When one takes a request again.
-        again_ms: u64,
+        until_accepting_ms: u64,
     },
 }
 
@@ -35,12 +35,14 @@
 /// The times are spread evenly: callers refused in the same moment would
 /// otherwise return in the same moment and be refused again.
 #[must_use]
-pub fn retry_after_ms(left_ms: u64, back: Back, random: u64) -> u64 {
+pub fn retry_after_ms(left_ms: u64, back: RetryReason, random: u64) -> u64 {
     let latest_ms = left_ms / RETRY_AFTER_PART;
     let (from_ms, to_ms) = match back {
-        Back::Busy => (RETRY_AFTER_MIN_MS, latest_ms.min(RETRY_AFTER_MAX_MS)),
-        Back::Down => (latest_ms / 2, latest_ms),
-        Back::Withheld { again_ms } => (again_ms, again_ms.saturating_mul(2)),
+        RetryReason::Busy => (RETRY_AFTER_MIN_MS, latest_ms.min(RETRY_AFTER_MAX_MS)),
+        RetryReason::Down => (latest_ms / 2, latest_ms),
+        RetryReason::Withheld { until_accepting_ms } => {
+            (until_accepting_ms, until_accepting_ms.saturating_mul(2))
+        }
     };
     match to_ms.checked_sub(from_ms) {
         None | Some(0) => from_ms.max(RETRY_AFTER_MIN_MS),
--- a/crates/traffic/src/stream.rs
+++ b/crates/traffic/src/stream.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Pass it on.
-    Pass,
+    Forward,
     /// It was delivered before; drop it.
     Duplicate,
     /// An event before it is missing; end the answer visibly.
@@ -20,12 +20,12 @@
 
 /// The events of one answer delivered so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Progress {
+pub struct StreamProgress {
     last: Option<EventId>,
     delivered: bool,
 }
 
-impl Progress {
+impl StreamProgress {
     /// An answer that begins behind the event the caller has already, if any.
     #[must_use]
     pub fn new(caller_has: Option<EventId>) -> Self {
@@ -39,7 +39,7 @@
     ///
     /// An event without a number cannot be placed; it is passed on in the
     /// order it came.
-    pub fn judge(&mut self, id: Option<EventId>) -> Delivery {
+    pub fn classify(&mut self, id: Option<EventId>) -> Delivery {
         match (id, self.last) {
             (Some(id), Some(last)) if id <= last => return Delivery::Duplicate,
             (Some(id), Some(last)) if id > last + 1 => return Delivery::Gap,
@@ -47,7 +47,7 @@
             (None, _) => {}
         }
         self.delivered = true;
-        Delivery::Pass
+        Delivery::Forward
     }
 
     /// The event behind which another run has to begin.
--- a/crates/traffic/tests/backpressure.rs
+++ b/crates/traffic/tests/backpressure.rs
@@ -6,9 +6,9 @@
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_backpressure::signal::{BackpressureSignal, LimitSignal};
 use berylhook_core::time::MonoMs;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, PlacementRequest, SubmitOutcome, Ticket};
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::retry_after::{Back, retry_after_ms};
+use berylhook_traffic::retry_after::{RetryReason, retry_after_ms};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
 fn target(id: &str, started_unix_ms: Option<u64>) -> Target {
@@ -44,20 +44,20 @@
     }
 }
 
-fn arrive(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> Arrival {
-    let wish = Wish {
+fn arrive(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> SubmitOutcome {
+    let wish = PlacementRequest {
         urgency: 1,
-        patience_ms: 20,
-        late_patience_ms: 20,
-        timely_until_ms: MonoMs(at_ms + 20),
+        wait_limit_ms: 20,
+        late_wait_limit_ms: 20,
+        on_time_until_ms: MonoMs(at_ms + 20),
     };
-    dispatcher.arrive(Ticket(ticket), wish, ticket, MonoMs(at_ms))
+    dispatcher.submit(Ticket(ticket), wish, ticket, MonoMs(at_ms))
 }
 
 fn place(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> Option<Arc<str>> {
     match arrive(dispatcher, ticket, at_ms) {
-        Arrival::Placed(target) => Some(Arc::clone(target.id())),
-        Arrival::Waits | Arrival::Refused => None,
+        SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
+        SubmitOutcome::Queued | SubmitOutcome::Refused => None,
     }
 }
 
@@ -102,13 +102,13 @@
         dispatcher.on_signal(&of.incarnation, limit(1.0), 0, MonoMs(1));
     }
 
-    let again_ms = dispatcher
-        .takes_again_ms(MonoMs(2))
+    let until_accepting_ms = dispatcher
+        .until_accepting_ms(MonoMs(2))
         .expect("none takes one now");
 
-    assert_eq!(again_ms, 500);
+    assert_eq!(until_accepting_ms, 500);
     for random in 0..2_000 {
-        let back_ms = retry_after_ms(8_000, Back::Withheld { again_ms }, random);
+        let back_ms = retry_after_ms(8_000, RetryReason::Withheld { until_accepting_ms }, random);
         assert!((500..1_000).contains(&back_ms));
     }
 }
@@ -123,7 +123,7 @@
 
     dispatcher.set_targets([&next].into_iter());
 
-    assert_eq!(dispatcher.limit(&next.incarnation), None);
+    assert_eq!(dispatcher.rate_limit(&next.incarnation), None);
     assert_eq!(place(&mut dispatcher, 1, 2), Some("a".into()));
 }
 
@@ -171,14 +171,14 @@
 fn who_would_wait_for_nothing_is_refused_at_once_and_told_when_the_first_rest_ends() {
     let targets = [target("a", None), target("b", None)];
     let mut dispatcher = plain(&targets);
-    dispatcher.on_start(MonoMs(0));
+    dispatcher.on_process_start(MonoMs(0));
     dispatcher.on_signal(&targets[0].incarnation, rest(3_000), 0, MonoMs(1));
     dispatcher.on_signal(&targets[1].incarnation, rest(5_000), 0, MonoMs(1));
 
     let arrival = arrive(&mut dispatcher, 1, 1);
 
-    assert_eq!(arrival, Arrival::Refused);
-    assert_eq!(dispatcher.takes_again_ms(MonoMs(1)), Some(3_000));
+    assert_eq!(arrival, SubmitOutcome::Refused);
+    assert_eq!(dispatcher.until_accepting_ms(MonoMs(1)), Some(3_000));
 }
 
 // Guards against a time to come back of zero, or of years, where no limit is named.
@@ -189,11 +189,11 @@
     dispatcher.on_signal(&targets[0].incarnation, rest(100), 0, MonoMs(1));
     place(&mut dispatcher, 1, 200).expect("its rest is over");
 
-    let before_it_is_sent = dispatcher.takes_again_ms(MonoMs(200));
+    let before_it_is_sent = dispatcher.until_accepting_ms(MonoMs(200));
     dispatcher
         .admit(&targets[0].incarnation, MonoMs(200))
         .expect("it may be sent");
-    let after = dispatcher.takes_again_ms(MonoMs(400));
+    let after = dispatcher.until_accepting_ms(MonoMs(400));
 
     assert_eq!((before_it_is_sent, after), (Some(1_000), Some(800)));
 }
@@ -248,12 +248,12 @@
     let targets = [target("a", None), target("b", None)];
     let mut dispatcher = plain(&targets);
     dispatcher.on_signal(&targets[0].incarnation, leaving(), 0, MonoMs(1));
-    let while_one_stays = dispatcher.takes_again_ms(MonoMs(2));
+    let while_one_stays = dispatcher.until_accepting_ms(MonoMs(2));
     dispatcher.on_signal(&targets[1].incarnation, rest(3_000), 0, MonoMs(1));
-    let while_it_rests = dispatcher.takes_again_ms(MonoMs(2));
+    let while_it_rests = dispatcher.until_accepting_ms(MonoMs(2));
     dispatcher.on_signal(&targets[1].incarnation, leaving(), 0, MonoMs(3));
 
-    let while_none_stays = dispatcher.takes_again_ms(MonoMs(4));
+    let while_none_stays = dispatcher.until_accepting_ms(MonoMs(4));
 
     assert_eq!(
         (while_one_stays, while_it_rests, while_none_stays),
--- a/crates/traffic/tests/concurrency.rs
+++ b/crates/traffic/tests/concurrency.rs
@@ -1,23 +1,25 @@
 //! The bound on what runs follows the time of a pass.
 
 use berylhook_core::time::MonoMs;
-use berylhook_traffic::concurrency::{Concurrency, FirstEvent, PassGoal, PassModel, Size};
+use berylhook_traffic::concurrency::{
+    ConcurrencyLimiter, FirstEvent, PassModel, PassObjective, SharedCapacity,
+};
 use berylhook_traffic::dispatch::Load;
 
-const GOAL: PassGoal = PassGoal {
+const GOAL: PassObjective = PassObjective {
     pause_ms: 120.0,
-    least_pass_ms: 18.0,
+    min_pass_ms: 18.0,
 };
 
-fn concurrency(engines: usize, entries: u32) -> Concurrency {
+fn concurrency(engines: usize, entries: u32) -> ConcurrencyLimiter {
     // Eight generations at an engine make a pass of 48 ms.
-    let mut concurrency = Concurrency::new(PassModel {
+    let mut concurrency = ConcurrencyLimiter::new(PassModel {
         empty_pass_ms: 18.0,
         per_generation_ms: 3.75,
         slots: 12.0,
-        passes_per_answer: 24.0,
+        passes_per_response: 24.0,
     });
-    concurrency.resize(Size {
+    concurrency.set_capacity(SharedCapacity {
         engines,
         slots: u32::try_from(engines * 12).expect("few engines"),
         share: 1.0 / f64::from(entries),
@@ -26,11 +28,17 @@
 }
 
 /// Plays passes of that length; callers always want more.
-fn play(concurrency: &mut Concurrency, goal: PassGoal, pass_ms: f64, from_ms: u64, for_ms: u64) {
+fn play(
+    concurrency: &mut ConcurrencyLimiter,
+    goal: PassObjective,
+    pass_ms: f64,
+    from_ms: u64,
+    for_ms: u64,
+) {
     let mut at_ms = from_ms;
     while at_ms < from_ms + for_ms {
         at_ms += 50;
-        concurrency.on_gap(pass_ms);
+        concurrency.on_event_gap(pass_ms);
         concurrency.has_room(usize::MAX);
         concurrency.adjust(goal, usize::MAX, MonoMs(at_ms));
     }
@@ -38,8 +46,8 @@
 
 #[test]
 fn entries_share_the_first_guess() {
-    assert!((concurrency(16, 1).bound() - 128.0).abs() < 0.1);
-    assert!((concurrency(16, 4).bound() - 32.0).abs() < 0.1);
+    assert!((concurrency(16, 1).limit() - 128.0).abs() < 0.1);
+    assert!((concurrency(16, 4).limit() - 32.0).abs() < 0.1);
 }
 
 // Symptom: after all processes lost power every slot is taken and passes take three
@@ -50,32 +58,32 @@
 fn the_bound_shrinks_to_a_part_when_others_are_met() {
     let mut concurrency = concurrency(16, 1);
     play(&mut concurrency, GOAL, 60.0, 0, 500);
-    let alone = concurrency.bound();
+    let alone = concurrency.limit();
 
-    concurrency.resize(Size {
+    concurrency.set_capacity(SharedCapacity {
         engines: 16,
         slots: 16 * 12,
         share: 0.02,
     });
 
     assert!(
-        concurrency.bound() < alone / 40.0,
+        concurrency.limit() < alone / 40.0,
         "{}",
-        concurrency.bound()
+        concurrency.limit()
     );
 }
 
 #[test]
 fn long_passes_lower_the_bound_and_short_ones_raise_it() {
     let mut concurrency = concurrency(16, 4);
-    let first = concurrency.bound();
+    let first = concurrency.limit();
 
     play(&mut concurrency, GOAL, 150.0, 0, 2_000);
-    let lowered = concurrency.bound();
+    let lowered = concurrency.limit();
     play(&mut concurrency, GOAL, 60.0, 2_000, 4_000);
 
     assert!(lowered < first / 2.0, "{lowered} of {first}");
-    assert!(concurrency.bound() > lowered * 2.0);
+    assert!(concurrency.limit() > lowered * 2.0);
 }
 
 #[test]
@@ -83,9 +91,9 @@
     let mut concurrency = concurrency(2, 4);
 
     play(&mut concurrency, GOAL, 500.0, 0, 60_000);
-    assert!((concurrency.bound() - 2.0).abs() < 0.1);
+    assert!((concurrency.limit() - 2.0).abs() < 0.1);
     play(&mut concurrency, GOAL, 20.0, 60_000, 60_000);
-    assert!((concurrency.bound() - 24.0).abs() < 0.1);
+    assert!((concurrency.limit() - 24.0).abs() < 0.1);
 }
 
 // Symptom: callers are refused although hardly anything runs. Sequence: demand
@@ -95,14 +103,14 @@
 #[test]
 fn long_passes_lower_nothing_while_little_of_the_bound_is_in_use() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
+    let before = concurrency.limit();
 
     for at_ms in (0..2_000).step_by(50) {
-        concurrency.on_gap(200.0);
+        concurrency.on_event_gap(200.0);
         concurrency.adjust(GOAL, 10, MonoMs(at_ms));
     }
 
-    assert!((concurrency.bound() - before).abs() < 0.1);
+    assert!((concurrency.limit() - before).abs() < 0.1);
 }
 
 // Symptom: two thirds of the callers are refused and the others are late all
@@ -111,32 +119,32 @@
 #[test]
 fn where_no_pass_can_be_timely_the_bound_does_not_fall() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
-    let hopeless = PassGoal {
-        least_pass_ms: 122.0,
+    let before = concurrency.limit();
+    let hopeless = PassObjective {
+        min_pass_ms: 122.0,
         ..GOAL
     };
 
     play(&mut concurrency, hopeless, 160.0, 0, 2_000);
 
-    assert!(concurrency.bound() >= before);
+    assert!(concurrency.limit() >= before);
 }
 
 #[test]
 fn a_stalled_group_says_nothing_about_load() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
+    let before = concurrency.limit();
 
     play(&mut concurrency, GOAL, 1_500.0, 0, 3_000);
 
-    assert!((concurrency.bound() - before).abs() < 0.1);
+    assert!((concurrency.limit() - before).abs() < 0.1);
 }
 
 /// Plays passes of that length and first events like `first`.
-fn play_first_events(concurrency: &mut Concurrency, pass_ms: f64, first: FirstEvent) {
+fn play_first_events(concurrency: &mut ConcurrencyLimiter, pass_ms: f64, first: FirstEvent) {
     for at_ms in (0..4_000).step_by(50) {
         concurrency.on_first_event(first);
-        concurrency.on_gap(pass_ms);
+        concurrency.on_event_gap(pass_ms);
         concurrency.has_room(usize::MAX);
         concurrency.adjust(GOAL, usize::MAX, MonoMs(at_ms));
     }
@@ -149,18 +157,18 @@
 #[test]
 fn a_queue_at_the_targets_lowers_the_bound_while_passes_are_short() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
+    let before = concurrency.limit();
     let queued = FirstEvent {
         load: Some(Load {
             running: 12,
             waiting: 9,
         }),
-        after_ms: 900.0,
+        latency_ms: 900.0,
     };
 
     play_first_events(&mut concurrency, 60.0, queued);
 
-    assert!(concurrency.bound() < before, "{}", concurrency.bound());
+    assert!(concurrency.limit() < before, "{}", concurrency.limit());
 }
 
 // The same where targets do not tell their load: the first event took fifteen
@@ -168,15 +176,15 @@
 #[test]
 fn a_queue_is_seen_in_the_passes_that_a_first_event_took() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
+    let before = concurrency.limit();
     let queued = FirstEvent {
         load: None,
-        after_ms: 480.0,
+        latency_ms: 480.0,
     };
 
     play_first_events(&mut concurrency, 32.0, queued);
 
-    assert!(concurrency.bound() < before, "{}", concurrency.bound());
+    assert!(concurrency.limit() < before, "{}", concurrency.limit());
 }
 
 // Symptom: callers are refused for seconds after each shift of demand. Sequence:
@@ -185,15 +193,15 @@
 #[test]
 fn long_passes_are_no_queue() {
     let mut concurrency = concurrency(16, 4);
-    let before = concurrency.bound();
+    let before = concurrency.limit();
     let slow = FirstEvent {
         load: None,
-        after_ms: 280.0,
+        latency_ms: 280.0,
     };
 
     play_first_events(&mut concurrency, 90.0, slow);
 
-    assert!(concurrency.bound() >= before, "{}", concurrency.bound());
+    assert!(concurrency.limit() >= before, "{}", concurrency.limit());
 }
 
 // Symptom: callers are refused for three seconds although passes are short.
@@ -204,9 +212,9 @@
 fn the_bound_rises_fast_where_passes_leave_room() {
     let mut concurrency = concurrency(16, 4);
     play(&mut concurrency, GOAL, 150.0, 0, 2_000);
-    let lowered = concurrency.bound();
+    let lowered = concurrency.limit();
 
     play(&mut concurrency, GOAL, 50.0, 2_000, 1_000);
 
-    assert!(concurrency.bound() > lowered * 3.0);
+    assert!(concurrency.limit() > lowered * 3.0);
 }
--- a/crates/traffic/tests/configuration.rs
+++ b/crates/traffic/tests/configuration.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use berylhook_traffic::configuration::{
-    CallerLimits, ClientAccount, Configuration, KeyError, Parts, Repeat, Route, Share,
+    CallerLimits, ClientAccount, Configuration, ConfigurationParts, KeyError, RetryPolicy, Route,
+    Share,
 };
 use indexmap::IndexMap;
 
@@ -12,10 +13,10 @@
         name: name.into(),
         host: "desk.example".into(),
         prefix: prefix.into(),
-        repeat: Repeat::Safe,
+        retry_policy: RetryPolicy::Safe,
         timeout_ms: 1_000,
-        goal_ms: 100,
-        pause_goal_ms: None,
+        objective_ms: 100,
+        pause_objective_ms: None,
         urgency: 1,
         shares: vec![share("plain", 1)],
         max_targets: 2,
@@ -36,7 +37,7 @@
         urgency: Some(0),
     });
     let accounts: IndexMap<Arc<str>, Arc<ClientAccount>> = [("key-1".into(), account)].into();
-    Configuration::new(Parts {
+    Configuration::new(ConfigurationParts {
         version: 3,
         routes,
         services: Vec::new(),
@@ -106,8 +107,8 @@
 
 #[test]
 fn only_safe_requests_and_resumable_streams_may_run_again() {
-    assert!(Repeat::Safe.allows_second_run());
-    assert!(Repeat::Stream { resumable: true }.allows_second_run());
-    assert!(!Repeat::Stream { resumable: false }.allows_second_run());
-    assert!(!Repeat::Unsafe.allows_second_run());
+    assert!(RetryPolicy::Safe.allows_second_run());
+    assert!(RetryPolicy::Stream { resumable: true }.allows_second_run());
+    assert!(!RetryPolicy::Stream { resumable: false }.allows_second_run());
+    assert!(!RetryPolicy::Unsafe.allows_second_run());
 }
--- a/crates/traffic/tests/directory.rs
+++ b/crates/traffic/tests/directory.rs
@@ -5,7 +5,8 @@
 use berylhook_core::position::Position;
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::directory::{
-    Change, Directory, Listing, RETURN_GRACE_MS, REVIVAL_MS, Unusable,
+    Directory, InvalidEntry, Listing, ListingChange, RESTORED_ENTRY_EXCLUSION_MS,
+    STORE_RECOVERY_GRACE_MS,
 };
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
@@ -66,7 +67,7 @@
         ..target("a", 1)
     };
 
-    directory.apply(Change::Set(leaving), at(6), MonoMs(10));
+    directory.apply(ListingChange::Set(leaving), at(6), MonoMs(10));
 
     assert_eq!(usable(&directory), ["b"]);
 }
@@ -78,10 +79,10 @@
 fn an_older_list_or_change_brings_nothing_back() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
-    directory.apply(Change::Removed("a".into()), at(8), MonoMs(10));
+    directory.apply(ListingChange::Removed("a".into()), at(8), MonoMs(10));
 
     let is_taken = directory.replace(listing(7, &[target("a", 1)]), MonoMs(20));
-    directory.apply(Change::Set(target("a", 1)), at(6), MonoMs(30));
+    directory.apply(ListingChange::Set(target("a", 1)), at(6), MonoMs(30));
 
     assert!(!is_taken);
     assert!(usable(&directory).is_empty());
@@ -95,13 +96,13 @@
 fn targets_missing_right_after_the_stores_return_stay_in_use_for_a_while() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1), target("b", 2)]), MonoMs(0));
-    directory.store_returned(MonoMs(1_000));
+    directory.on_store_recovered(MonoMs(1_000));
 
     directory.replace(listing(9, &[target("b", 2)]), MonoMs(1_010));
     assert_eq!(usable(&directory), ["b", "a"]);
 
-    directory.apply(Change::Set(target("a", 1)), at(10), MonoMs(1_500));
-    let after = MonoMs(1_000 + RETURN_GRACE_MS);
+    directory.apply(ListingChange::Set(target("a", 1)), at(10), MonoMs(1_500));
+    let after = MonoMs(1_000 + STORE_RECOVERY_GRACE_MS);
     directory.expire(after);
     assert_eq!(usable(&directory), ["b", "a"]);
 }
@@ -110,7 +111,7 @@
 fn a_target_still_missing_after_the_grace_is_gone() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
-    directory.store_returned(MonoMs(1_000));
+    directory.on_store_recovered(MonoMs(1_000));
     directory.replace(listing(9, &[]), MonoMs(1_010));
     let due = directory.next_expiry_ms().expect("one is missing");
 
@@ -125,7 +126,7 @@
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
 
-    directory.apply(Change::Removed("a".into()), at(6), MonoMs(10_000));
+    directory.apply(ListingChange::Removed("a".into()), at(6), MonoMs(10_000));
 
     assert!(usable(&directory).is_empty());
 }
@@ -139,7 +140,7 @@
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("old", 1), target("b", 2)]), MonoMs(0));
 
-    directory.apply(Change::Set(younger("new", 1)), at(6), MonoMs(10));
+    directory.apply(ListingChange::Set(younger("new", 1)), at(6), MonoMs(10));
     assert_eq!(usable(&directory), ["b", "new"]);
 
     let both = [
@@ -162,8 +163,8 @@
     }
 }
 
-fn unusable(id: &str) -> Unusable {
-    Unusable {
+fn unusable(id: &str) -> InvalidEntry {
+    InvalidEntry {
         id: id.into(),
         reason: "somebody else wrote it".into(),
     }
@@ -186,9 +187,9 @@
         ..started("a", 1_000)
     };
 
-    directory.apply(Change::Set(started("a", 1_000)), at(1), MonoMs(0));
-    directory.apply(Change::Set(started("a", 2_000)), at(2), MonoMs(0));
-    directory.apply(Change::Set(leaving.clone()), at(3), MonoMs(0));
+    directory.apply(ListingChange::Set(started("a", 1_000)), at(1), MonoMs(0));
+    directory.apply(ListingChange::Set(started("a", 2_000)), at(2), MonoMs(0));
+    directory.apply(ListingChange::Set(leaving.clone()), at(3), MonoMs(0));
     let by_watch = only_start(&directory);
     directory.replace(listing(4, &[leaving]), MonoMs(0));
     let by_list = only_start(&directory);
@@ -202,15 +203,15 @@
 #[test]
 fn an_entry_without_the_start_that_was_told_before_names_no_target() {
     let mut directory = Directory::default();
-    directory.apply(Change::Set(started("a", 1_000)), at(1), MonoMs(0));
+    directory.apply(ListingChange::Set(started("a", 1_000)), at(1), MonoMs(0));
 
-    directory.apply(Change::Set(target("a", 9)), at(2), MonoMs(0));
+    directory.apply(ListingChange::Set(target("a", 9)), at(2), MonoMs(0));
     let after_one = usable(&directory);
-    directory.apply(Change::Set(target("a", 9)), at(3), MonoMs(0));
+    directory.apply(ListingChange::Set(target("a", 9)), at(3), MonoMs(0));
     let after_two = usable(&directory);
     directory.replace(listing(4, &[target("a", 9)]), MonoMs(0));
     let after_list = usable(&directory);
-    directory.apply(Change::Set(started("a", 1_000)), at(5), MonoMs(0));
+    directory.apply(ListingChange::Set(started("a", 1_000)), at(5), MonoMs(0));
 
     assert!(after_one.is_empty() && after_two.is_empty() && after_list.is_empty());
     assert_eq!(usable(&directory), ["a"]);
@@ -224,15 +225,15 @@
     let mut directory = Directory::default();
     let targets = [target("a", 1), target("b", 2), target("c", 3)];
     directory.replace(listing(1, &targets), MonoMs(0));
-    directory.store_returned(MonoMs(100));
+    directory.on_store_recovered(MonoMs(100));
 
-    directory.apply(Change::Unusable(unusable("a")), at(2), MonoMs(110));
+    directory.apply(ListingChange::Invalid(unusable("a")), at(2), MonoMs(110));
     let by_watch = usable(&directory);
     let mut read = listing(3, &[target("c", 3)]);
-    read.unusable = [("b".into(), "it has no address".into())].into();
+    read.invalid = [("b".into(), "it has no address".into())].into();
     directory.replace(read, MonoMs(120));
     let by_list = usable(&directory);
-    directory.apply(Change::Set(target("a", 1)), at(4), MonoMs(130));
+    directory.apply(ListingChange::Set(target("a", 1)), at(4), MonoMs(130));
 
     assert_eq!(by_watch, ["b", "c"]);
     // `a` is missing from the list as a whole and could be back within the grace
@@ -263,7 +264,7 @@
         era: 1,
         revision: 41,
     };
-    directory.apply(Change::Set(leaving), position, MonoMs(20));
+    directory.apply(ListingChange::Set(leaving), position, MonoMs(20));
 
     assert!(is_taken);
     assert!(usable(&directory).is_empty());
@@ -290,14 +291,14 @@
 fn a_target_that_had_left_before_a_restore_is_used_once_somebody_renews_its_entry() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1), target("b", 2)]), MonoMs(0));
-    directory.apply(Change::Removed("a".into()), at(50), MonoMs(100));
+    directory.apply(ListingChange::Removed("a".into()), at(50), MonoMs(100));
 
     directory.replace(
         restored(40, &[target("a", 1), target("b", 2)]),
         MonoMs(1_000),
     );
     let at_first = usable(&directory);
-    directory.expire(MonoMs(1_000 + REVIVAL_MS));
+    directory.expire(MonoMs(1_000 + RESTORED_ENTRY_EXCLUSION_MS));
 
     assert_eq!(at_first, ["b"]);
     assert_eq!(usable(&directory), ["a", "b"]);
@@ -312,7 +313,7 @@
 
     directory.replace(restored(40, &[target("b", 2)]), MonoMs(10));
     let at_first = usable(&directory);
-    directory.expire(MonoMs(10 + RETURN_GRACE_MS));
+    directory.expire(MonoMs(10 + STORE_RECOVERY_GRACE_MS));
 
     assert_eq!(at_first, ["b", "a"]);
     assert_eq!(usable(&directory), ["b"]);
--- a/crates/traffic/tests/dispatch.rs
+++ b/crates/traffic/tests/dispatch.rs
@@ -4,10 +4,10 @@
 
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::configuration::EngineModel;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Load, Ticket, Wish};
-use berylhook_traffic::health::Evidence;
+use berylhook_traffic::dispatch::{Dispatcher, Load, PlacementRequest, SubmitOutcome, Ticket};
+use berylhook_traffic::engine_update::{EngineUpdate, Slowdown, Slowdowns};
+use berylhook_traffic::health::HealthSample;
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::pace::{EngineNews, Pace, Paces};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
 fn incarnation(id: &str) -> Incarnation {
@@ -17,9 +17,9 @@
     }
 }
 
-fn news(paces: &Paces) -> EngineNews {
-    EngineNews {
-        paces: paces.clone(),
+fn news(paces: &Slowdowns) -> EngineUpdate {
+    EngineUpdate {
+        slowdowns: paces.clone(),
         groups: Vec::new(),
     }
 }
@@ -43,9 +43,9 @@
         per_sequence_ms: 0.905,
         context_per_1000_ms: 0.0183,
         steps_per_pass: 4,
-        read_per_s: 61_400.0,
-        usual_prompt_tokens: 835.0,
-        usual_answer_tokens: 97.0,
+        prefill_tokens_per_s: 61_400.0,
+        typical_prompt_tokens: 835.0,
+        typical_response_tokens: 97.0,
         experts: None,
     }
 }
@@ -80,19 +80,19 @@
     dispatcher
 }
 
-fn wish(urgency: u32, at_ms: u64) -> Wish {
-    Wish {
+fn wish(urgency: u32, at_ms: u64) -> PlacementRequest {
+    PlacementRequest {
         urgency,
-        patience_ms: 200,
-        late_patience_ms: 200,
-        timely_until_ms: MonoMs(at_ms + 200),
+        wait_limit_ms: 200,
+        late_wait_limit_ms: 200,
+        on_time_until_ms: MonoMs(at_ms + 200),
     }
 }
 
 fn place(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> Option<Arc<str>> {
-    match dispatcher.arrive(Ticket(ticket), wish(1, at_ms), ticket, MonoMs(at_ms)) {
-        Arrival::Placed(target) => Some(Arc::clone(target.id())),
-        Arrival::Waits | Arrival::Refused => None,
+    match dispatcher.submit(Ticket(ticket), wish(1, at_ms), ticket, MonoMs(at_ms)) {
+        SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
+        SubmitOutcome::Queued | SubmitOutcome::Refused => None,
     }
 }
 
@@ -129,12 +129,12 @@
     let mut dispatcher = Dispatcher::new(alone(), Some(&engine()));
     let targets = [target("slow", 1, "here"), target("b", 2, "here")];
     dispatcher.set_targets(targets.iter());
-    let slow = Pace {
+    let slow = Slowdown {
         factor: 2.7,
         started_unix_ms: None,
     };
-    let paces: Paces = [(targets[0].address, slow)].into();
-    dispatcher.set_engine_news(&news(&paces), MonoMs(0));
+    let paces: Slowdowns = [(targets[0].address, slow)].into();
+    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
 
     let placed: Vec<_> = (0..8)
         .map(|ticket| place(&mut dispatcher, ticket, 0))
@@ -149,9 +149,9 @@
     let targets = [target("bad", 1, "here"), target("good", 2, "here")];
     let mut dispatcher = plain(&targets);
     for _ in 0..2 {
-        let again = dispatcher.place_again(&[incarnation("good")], 0, MonoMs(0));
+        let again = dispatcher.place_additional(&[incarnation("good")], 0, MonoMs(0));
         assert!(again.is_some());
-        dispatcher.release(&incarnation("bad"), Some(Evidence::Bad), MonoMs(0));
+        dispatcher.release(&incarnation("bad"), Some(HealthSample::Failure), MonoMs(0));
     }
 
     let soon: Vec<_> = (0..3).map(|_| place(&mut dispatcher, 0, 10)).collect();
@@ -166,8 +166,8 @@
 fn where_every_target_is_avoided_all_are_used() {
     let mut dispatcher = plain(&[target("a", 1, "here")]);
     for _ in 0..3 {
-        dispatcher.place_again(&[], 0, MonoMs(0));
-        dispatcher.release(&incarnation("a"), Some(Evidence::Bad), MonoMs(0));
+        dispatcher.place_additional(&[], 0, MonoMs(0));
+        dispatcher.release(&incarnation("a"), Some(HealthSample::Failure), MonoMs(0));
     }
 
     assert_eq!(place(&mut dispatcher, 0, 1), Some("a".into()));
@@ -177,13 +177,15 @@
 fn more_urgent_requests_are_placed_first() {
     let mut dispatcher = small_group();
     while place(&mut dispatcher, 0, 0).is_some() {}
-    dispatcher.leave(Ticket(0));
-    dispatcher.arrive(Ticket(1), wish(2, 0), 0, MonoMs(0));
-    dispatcher.arrive(Ticket(2), wish(0, 0), 0, MonoMs(0));
+    dispatcher.cancel(Ticket(0));
+    dispatcher.submit(Ticket(1), wish(2, 0), 0, MonoMs(0));
+    dispatcher.submit(Ticket(2), wish(0, 0), 0, MonoMs(0));
 
-    dispatcher.release(&incarnation("a"), Some(Evidence::Good), MonoMs(5));
+    dispatcher.release(&incarnation("a"), Some(HealthSample::Success), MonoMs(5));
 
-    let (ticket, _) = dispatcher.next(0, MonoMs(5)).expect("a place is free");
+    let (ticket, _) = dispatcher
+        .place_next(0, MonoMs(5))
+        .expect("a place is free");
     assert_eq!(ticket, Ticket(2));
 }
 
@@ -195,20 +197,24 @@
     let mut dispatcher = small_group();
     let mut at_ms = 0;
     while place(&mut dispatcher, 0, 0).is_some() {}
-    dispatcher.leave(Ticket(0));
+    dispatcher.cancel(Ticket(0));
     // A place is freed every 100 ms, and taken again.
     for _ in 0..20 {
         at_ms += 100;
-        dispatcher.release(&incarnation("a"), Some(Evidence::Good), MonoMs(at_ms));
+        dispatcher.release(
+            &incarnation("a"),
+            Some(HealthSample::Success),
+            MonoMs(at_ms),
+        );
         place(&mut dispatcher, 0, at_ms);
     }
 
     let arrivals: Vec<_> = (1..=5)
-        .map(|ticket| dispatcher.arrive(Ticket(ticket), wish(1, at_ms), 0, MonoMs(at_ms)))
+        .map(|ticket| dispatcher.submit(Ticket(ticket), wish(1, at_ms), 0, MonoMs(at_ms)))
         .collect();
 
-    assert_eq!(arrivals[0], Arrival::Waits);
-    assert_eq!(arrivals[4], Arrival::Refused);
+    assert_eq!(arrivals[0], SubmitOutcome::Queued);
+    assert_eq!(arrivals[4], SubmitOutcome::Refused);
 }
 
 // Symptom: hundreds of requests are refused in the second in which a group
@@ -223,14 +229,14 @@
     dispatcher.on_refused(&incarnation("a"), MonoMs(1));
 
     let tried = (0..300).filter(|ms| {
-        let arrival = dispatcher.arrive(Ticket(*ms), wish(1, 2 + *ms), 0, MonoMs(2 + *ms));
-        if let Arrival::Placed(target) = &arrival {
+        let arrival = dispatcher.submit(Ticket(*ms), wish(1, 2 + *ms), 0, MonoMs(2 + *ms));
+        if let SubmitOutcome::Placed(target) = &arrival {
             dispatcher.release(&target.incarnation, None, MonoMs(2 + *ms));
             dispatcher.on_refused(&target.incarnation, MonoMs(2 + *ms));
             return true;
         }
-        dispatcher.leave(Ticket(*ms));
-        assert_eq!(arrival, Arrival::Waits);
+        dispatcher.cancel(Ticket(*ms));
+        assert_eq!(arrival, SubmitOutcome::Queued);
         false
     });
 
@@ -250,12 +256,12 @@
     dispatcher.release(&incarnation(&first), None, MonoMs(1));
     dispatcher.on_refused(&incarnation("a"), MonoMs(1));
     for ticket in 1..=20 {
-        dispatcher.arrive(Ticket(ticket), wish(1, 10), 0, MonoMs(10));
+        dispatcher.submit(Ticket(ticket), wish(1, 10), 0, MonoMs(10));
     }
-    dispatcher.arrive(Ticket(99), wish(1, 1_000), 0, MonoMs(1_000));
+    dispatcher.submit(Ticket(99), wish(1, 1_000), 0, MonoMs(1_000));
 
     dispatcher.on_accepted(&incarnation("a"), MonoMs(1_010));
-    let order: Vec<Ticket> = std::iter::from_fn(|| dispatcher.next(0, MonoMs(1_010)))
+    let order: Vec<Ticket> = std::iter::from_fn(|| dispatcher.place_next(0, MonoMs(1_010)))
         .map(|(ticket, _)| ticket)
         .collect();
 
@@ -269,7 +275,7 @@
     place(&mut dispatcher, 1, 0);
 
     dispatcher.set_targets([target("b", 2, "here")].iter());
-    dispatcher.release(&incarnation("a"), Some(Evidence::Good), MonoMs(1));
+    dispatcher.release(&incarnation("a"), Some(HealthSample::Success), MonoMs(1));
 
     assert_eq!(dispatcher.counts(), (1, 0, 1));
     assert_eq!(place(&mut dispatcher, 0, 1), Some("b".into()));
@@ -282,11 +288,11 @@
 #[test]
 fn a_target_that_alone_brings_nothing_is_silent() {
     let mut dispatcher = plain(&[target("a", 1, "here"), target("b", 2, "here")]);
-    dispatcher.on_progress(&incarnation("a"), MonoMs(1_000));
-    dispatcher.on_progress(&incarnation("b"), MonoMs(1_000));
+    dispatcher.on_stream_event(&incarnation("a"), MonoMs(1_000));
+    dispatcher.on_stream_event(&incarnation("b"), MonoMs(1_000));
 
     let at_first = dispatcher.is_silent(&incarnation("a"), MonoMs(1_100));
-    dispatcher.on_progress(&incarnation("b"), MonoMs(1_900));
+    dispatcher.on_stream_event(&incarnation("b"), MonoMs(1_900));
     let alone = dispatcher.is_silent(&incarnation("a"), MonoMs(2_000));
     let with_all_others = dispatcher.is_silent(&incarnation("a"), MonoMs(3_000));
 
@@ -315,7 +321,7 @@
         place(&mut dispatcher, ticket, 0);
     }
     for _ in 0..2 {
-        dispatcher.release(&former.incarnation, Some(Evidence::Bad), MonoMs(10));
+        dispatcher.release(&former.incarnation, Some(HealthSample::Failure), MonoMs(10));
     }
 
     dispatcher.set_targets(std::iter::once(&reborn));
@@ -333,19 +339,19 @@
 #[test]
 fn a_pace_is_that_of_one_incarnation() {
     let (slow, other) = (started("slow", 1_000), target("other", 2, "here"));
-    let pace = Pace {
+    let pace = Slowdown {
         factor: 9.0,
         started_unix_ms: Some(1_000),
     };
-    let paces = Paces::from([(slow.address, pace)]);
+    let paces = Slowdowns::from([(slow.address, pace)]);
     let reborn = started("slow", 2_000);
     let mut dispatcher = Dispatcher::new(alone(), Some(&engine()));
 
     dispatcher.set_targets([&slow, &other].into_iter());
-    dispatcher.set_engine_news(&news(&paces), MonoMs(0));
+    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
     let before = place(&mut dispatcher, 0, 0);
     dispatcher.set_targets([&reborn, &other].into_iter());
-    dispatcher.set_engine_news(&news(&paces), MonoMs(0));
+    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
     let after = place(&mut dispatcher, 0, 0);
 
     assert_eq!(before, Some("other".into()));
--- a/crates/traffic/tests/late.rs
+++ b/crates/traffic/tests/late.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use berylhook_core::time::MonoMs;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, PlacementRequest, SubmitOutcome, Ticket};
 use berylhook_traffic::ownership::{Member, Membership};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
@@ -97,17 +97,17 @@
     fn arrive(&mut self) {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms: PATIENCE_MS,
-            late_patience_ms: LATE_PATIENCE_MS,
-            timely_until_ms: MonoMs(self.now_ms + PATIENCE_MS),
+            wait_limit_ms: PATIENCE_MS,
+            late_wait_limit_ms: LATE_PATIENCE_MS,
+            on_time_until_ms: MonoMs(self.now_ms + PATIENCE_MS),
         };
         let now_ms = MonoMs(self.now_ms);
-        match self.dispatcher.arrive(ticket, wish, self.tickets, now_ms) {
-            Arrival::Placed(target) => self.start(target, 0),
-            Arrival::Waits => self.waiting.push((self.now_ms, ticket)),
-            Arrival::Refused => self.tally.refused += 1,
+        match self.dispatcher.submit(ticket, wish, self.tickets, now_ms) {
+            SubmitOutcome::Placed(target) => self.start(target, 0),
+            SubmitOutcome::Queued => self.waiting.push((self.now_ms, ticket)),
+            SubmitOutcome::Refused => self.tally.refused += 1,
         }
     }
 
@@ -131,7 +131,7 @@
 
     fn leave(&mut self) {
         let now_ms = MonoMs(self.now_ms);
-        let serves_late = self.dispatcher.serves_late(LATE_PATIENCE_MS, now_ms);
+        let serves_late = self.dispatcher.can_serve_late(LATE_PATIENCE_MS, now_ms);
         let patience_ms = if serves_late {
             LATE_PATIENCE_MS
         } else {
@@ -140,7 +140,7 @@
         let now_ms = self.now_ms;
         let is_over = |since_ms: u64| now_ms - since_ms > patience_ms;
         for (since_ms, ticket) in self.waiting.iter().filter(|it| is_over(it.0)) {
-            self.dispatcher.leave(*ticket);
+            self.dispatcher.cancel(*ticket);
             self.tally.refused += 1;
             let in_vain = now_ms - since_ms > PATIENCE_MS + 50;
             self.tally.waited_in_vain += u64::from(in_vain);
@@ -150,7 +150,7 @@
 
     fn place_waiting(&mut self) {
         let now_ms = MonoMs(self.now_ms);
-        while let Some((ticket, target)) = self.dispatcher.next(0, now_ms) {
+        while let Some((ticket, target)) = self.dispatcher.place_next(0, now_ms) {
             let at = self.waiting.iter().position(|(_, it)| *it == ticket);
             let (since_ms, _) = self.waiting.remove(at.expect("it waits"));
             self.start(target, self.now_ms - since_ms);
@@ -166,7 +166,7 @@
     play.run(5_000, CAPACITY_PER_S / 2, true);
     let before = std::mem::take(&mut play.tally);
 
-    play.dispatcher.on_start(MonoMs(play.now_ms));
+    play.dispatcher.on_process_start(MonoMs(play.now_ms));
     play.run(1_200, CAPACITY_PER_S / 2, false);
     play.run(4_000, CAPACITY_PER_S / 2, true);
 
--- a/crates/traffic/tests/lost_group.rs
+++ b/crates/traffic/tests/lost_group.rs
@@ -4,9 +4,9 @@
 
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::configuration::EngineModel;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, PlacementRequest, SubmitOutcome, Ticket};
+use berylhook_traffic::engine_update::{EngineUpdate, GroupUpdate};
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::pace::{EngineNews, GroupNews};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
 const GROUPS: u16 = 3;
@@ -33,15 +33,15 @@
 }
 
 /// A leader's word: all groups run but for that one.
-fn news(closed: Option<u16>) -> EngineNews {
-    let groups = (0..GROUPS).map(|group| GroupNews {
+fn news(closed: Option<u16>) -> EngineUpdate {
+    let groups = (0..GROUPS).map(|group| GroupUpdate {
         name: format!("g{group}").into(),
         engines: (0..RANKS).map(|rank| target(group, rank).address).collect(),
         is_open: closed != Some(group),
     });
-    EngineNews {
+    EngineUpdate {
         groups: groups.collect(),
-        ..EngineNews::default()
+        ..EngineUpdate::default()
     }
 }
 
@@ -57,14 +57,14 @@
         per_sequence_ms: 0.435,
         context_per_1000_ms: 0.0132,
         steps_per_pass: 7,
-        read_per_s: 74_800.0,
-        usual_prompt_tokens: 835.0,
-        usual_answer_tokens: 161.0,
+        prefill_tokens_per_s: 74_800.0,
+        typical_prompt_tokens: 835.0,
+        typical_response_tokens: 161.0,
         experts: None,
     };
     let mut dispatcher = Dispatcher::new(Membership::new(own, []), Some(&engine));
     dispatcher.set_targets(targets().iter());
-    dispatcher.set_engine_news(&news(None), MonoMs(0));
+    dispatcher.set_engine_update(&news(None), MonoMs(0));
     dispatcher
 }
 
@@ -78,26 +78,26 @@
     let (mut served, mut tried) = (0, 0);
     for at_ms in (from_ms..from_ms + length_ms).step_by(10) {
         let now_ms = MonoMs(at_ms);
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms: 160,
-            late_patience_ms: 1_500,
-            timely_until_ms: now_ms + 160,
+            wait_limit_ms: 160,
+            late_wait_limit_ms: 1_500,
+            on_time_until_ms: now_ms + 160,
         };
         let ticket = Ticket(at_ms);
-        match dispatcher.arrive(ticket, wish, at_ms, now_ms) {
-            Arrival::Placed(target) if is_lost(&target) => {
+        match dispatcher.submit(ticket, wish, at_ms, now_ms) {
+            SubmitOutcome::Placed(target) if is_lost(&target) => {
                 tried += 1;
                 dispatcher.release(&target.incarnation, None, now_ms);
                 dispatcher.on_refused(&target.incarnation, now_ms);
             }
-            Arrival::Placed(target) => {
+            SubmitOutcome::Placed(target) => {
                 served += 1;
                 dispatcher.on_accepted(&target.incarnation, now_ms);
                 dispatcher.release(&target.incarnation, None, now_ms);
             }
-            Arrival::Waits => dispatcher.leave(ticket),
-            Arrival::Refused => {}
+            SubmitOutcome::Queued => dispatcher.cancel(ticket),
+            SubmitOutcome::Refused => {}
         }
     }
     (served, tried)
@@ -121,21 +121,21 @@
 #[test]
 fn a_leaders_word_closes_and_opens_a_group() {
     let mut dispatcher = dispatcher();
-    dispatcher.set_engine_news(&news(Some(0)), MonoMs(0));
+    dispatcher.set_engine_update(&news(Some(0)), MonoMs(0));
 
     let while_closed = play(&mut dispatcher, 0, 2_000);
-    dispatcher.set_engine_news(&news(None), MonoMs(2_000));
+    dispatcher.set_engine_update(&news(None), MonoMs(2_000));
     let first: Vec<Arc<str>> = (0..6)
         .filter_map(|number| {
-            let wish = Wish {
+            let wish = PlacementRequest {
                 urgency: 1,
-                patience_ms: 160,
-                late_patience_ms: 1_500,
-                timely_until_ms: MonoMs(2_160),
+                wait_limit_ms: 160,
+                late_wait_limit_ms: 1_500,
+                on_time_until_ms: MonoMs(2_160),
             };
-            match dispatcher.arrive(Ticket(9_000 + number), wish, number, MonoMs(2_000)) {
-                Arrival::Placed(target) => Some(Arc::clone(target.id())),
-                Arrival::Waits | Arrival::Refused => None,
+            match dispatcher.submit(Ticket(9_000 + number), wish, number, MonoMs(2_000)) {
+                SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
+                SubmitOutcome::Queued | SubmitOutcome::Refused => None,
             }
         })
         .collect();
@@ -149,13 +149,13 @@
 #[test]
 fn the_bound_shrinks_with_a_lost_group() {
     let mut dispatcher = dispatcher();
-    let whole = dispatcher.bound().expect("there is one");
+    let whole = dispatcher.concurrency_limit().expect("there is one");
 
-    dispatcher.set_engine_news(&news(Some(0)), MonoMs(10));
-    let left = dispatcher.bound().expect("there is one");
-    dispatcher.set_engine_news(&news(None), MonoMs(20));
+    dispatcher.set_engine_update(&news(Some(0)), MonoMs(10));
+    let left = dispatcher.concurrency_limit().expect("there is one");
+    dispatcher.set_engine_update(&news(None), MonoMs(20));
     dispatcher.on_accepted(&target(0, 0).incarnation, MonoMs(30));
-    let back = dispatcher.bound().expect("there is one");
+    let back = dispatcher.concurrency_limit().expect("there is one");
 
     assert!((left - whole * 2.0 / 3.0).abs() < 0.5, "{whole} {left}");
     assert!((back - whole).abs() < 0.5, "{whole} {back}");
@@ -170,7 +170,7 @@
         group.is_open = false;
     }
 
-    dispatcher.set_engine_news(&all, MonoMs(0));
+    dispatcher.set_engine_update(&all, MonoMs(0));
 
     assert!(dispatcher.is_down());
 }
@@ -184,12 +184,12 @@
     for group in &mut all.groups {
         group.is_open = false;
     }
-    dispatcher.set_engine_news(&all, MonoMs(0));
+    dispatcher.set_engine_update(&all, MonoMs(0));
     all.groups[0].is_open = true;
-    dispatcher.set_engine_news(&all, MonoMs(1_000));
+    dispatcher.set_engine_update(&all, MonoMs(1_000));
 
     let (_, tried_first) = play_without_answers(&mut dispatcher, 1_000, 20);
-    dispatcher.set_engine_news(&news(None), MonoMs(1_020));
+    dispatcher.set_engine_update(&news(None), MonoMs(1_020));
     dispatcher.on_accepted(&target(0, 0).incarnation, MonoMs(1_030));
     let is_down = dispatcher.is_down();
 
@@ -203,16 +203,16 @@
     let (mut elsewhere, mut first) = (0, 0);
     for at_ms in from_ms..from_ms + count {
         let now_ms = MonoMs(at_ms);
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms: 160,
-            late_patience_ms: 1_500,
-            timely_until_ms: now_ms + 160,
+            wait_limit_ms: 160,
+            late_wait_limit_ms: 1_500,
+            on_time_until_ms: now_ms + 160,
         };
-        match dispatcher.arrive(Ticket(at_ms), wish, at_ms, now_ms) {
-            Arrival::Placed(target) if is_lost(&target) => first += 1,
-            Arrival::Placed(_) => elsewhere += 1,
-            Arrival::Waits | Arrival::Refused => {}
+        match dispatcher.submit(Ticket(at_ms), wish, at_ms, now_ms) {
+            SubmitOutcome::Placed(target) if is_lost(&target) => first += 1,
+            SubmitOutcome::Placed(_) => elsewhere += 1,
+            SubmitOutcome::Queued | SubmitOutcome::Refused => {}
         }
     }
     (elsewhere, first)
--- a/crates/traffic/tests/ownership.rs
+++ b/crates/traffic/tests/ownership.rs
@@ -59,7 +59,7 @@
 /// How many entries own each target.
 fn owners(preferences: &[Preferences], targets: usize) -> Vec<usize> {
     let owned_by = |index: usize| {
-        let owners = preferences.iter().filter(|it| it.targets[index].is_own);
+        let owners = preferences.iter().filter(|it| it.targets[index].is_owned);
         owners.count()
     };
     (0..targets).map(owned_by).collect()
@@ -108,7 +108,7 @@
     let preferences = preferences(&members, &targets, 0.0);
     let own = |index: usize| {
         let targets = preferences[index].targets.iter();
-        targets.filter(|it| it.is_own).count()
+        targets.filter(|it| it.is_owned).count()
     };
 
     assert!(own(0) >= 2 * own(5), "{} {}", own(0), own(5));
@@ -125,7 +125,7 @@
     let moved = before[1..].iter().zip(&after).map(|(before, after)| {
         let pairs = before.targets.iter().zip(&after.targets);
         pairs
-            .filter(|(before, after)| !before.is_own && after.is_own)
+            .filter(|(before, after)| !before.is_owned && after.is_owned)
             .count()
     });
 
@@ -177,7 +177,7 @@
     let at_home = targets.iter().zip(&preferences[0].targets);
     let mut at_home = at_home.filter(|(target, _)| &*target.data_centre == "dc-0");
 
-    assert!(at_home.all(|(_, it)| it.is_own && it.penalty <= 0.0));
+    assert!(at_home.all(|(_, it)| it.is_owned && it.penalty <= 0.0));
     assert!((preferences[0].share - 1.0).abs() < 1e-9);
 }
 
--- a/crates/traffic/tests/standstill.rs
+++ b/crates/traffic/tests/standstill.rs
@@ -3,9 +3,9 @@
 
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::configuration::EngineModel;
-use berylhook_traffic::dispatch::{Arrival, Dispatcher, Ticket, Wish};
+use berylhook_traffic::dispatch::{Dispatcher, PlacementRequest, SubmitOutcome, Ticket};
+use berylhook_traffic::engine_update::{EngineUpdate, GroupUpdate};
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::pace::{EngineNews, GroupNews};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
 const GROUPS: u16 = 2;
@@ -55,23 +55,23 @@
         per_sequence_ms: 0.435,
         context_per_1000_ms: 0.0132,
         steps_per_pass: 4,
-        read_per_s: 61_400.0,
-        usual_prompt_tokens: 835.0,
-        usual_answer_tokens: 96.0,
+        prefill_tokens_per_s: 61_400.0,
+        typical_prompt_tokens: 835.0,
+        typical_response_tokens: 96.0,
         experts: None,
     };
-    let news = (0..groups).map(|group| GroupNews {
+    let news = (0..groups).map(|group| GroupUpdate {
         name: format!("g{group}").into(),
         engines: (0..RANKS).map(|rank| target(group, rank).address).collect(),
         is_open: true,
     });
     let mut dispatcher = Dispatcher::new(Membership::new(own, []), Some(&engine));
     dispatcher.set_targets(targets(groups).iter());
-    let news = EngineNews {
+    let news = EngineUpdate {
         groups: news.collect(),
-        ..EngineNews::default()
+        ..EngineUpdate::default()
     };
-    dispatcher.set_engine_news(&news, MonoMs(0));
+    dispatcher.set_engine_update(&news, MonoMs(0));
     dispatcher
 }
 
@@ -117,18 +117,18 @@
     }
 
     fn arrive(&mut self, now_ms: u64) {
-        let wish = Wish {
+        let wish = PlacementRequest {
             urgency: 1,
-            patience_ms: 200,
-            late_patience_ms: 1_500,
-            timely_until_ms: MonoMs(now_ms + 200),
+            wait_limit_ms: 200,
+            late_wait_limit_ms: 1_500,
+            on_time_until_ms: MonoMs(now_ms + 200),
         };
         let ticket = Ticket(now_ms);
-        let arrival = self.dispatcher.arrive(ticket, wish, now_ms, MonoMs(now_ms));
+        let arrival = self.dispatcher.submit(ticket, wish, now_ms, MonoMs(now_ms));
         match arrival {
-            Arrival::Placed(target) => self.begin(target, now_ms),
-            Arrival::Waits => self.dispatcher.leave(ticket),
-            Arrival::Refused => {}
+            SubmitOutcome::Placed(target) => self.begin(target, now_ms),
+            SubmitOutcome::Queued => self.dispatcher.cancel(ticket),
+            SubmitOutcome::Refused => {}
         }
     }
 
@@ -149,7 +149,7 @@
             if !(is_still && is_in_first(&run.target)) {
                 run.events += 1;
                 let of = &run.target.incarnation;
-                self.dispatcher.on_progress(of, MonoMs(now_ms));
+                self.dispatcher.on_stream_event(of, MonoMs(now_ms));
             }
         }
         self.served += self.end(now_ms, |run| run.events >= EVENTS);
@@ -245,7 +245,7 @@
 
     let goes_on = play
         .dispatcher
-        .on_progress(&play.runs[0].target.incarnation, MonoMs(2_600));
+        .on_stream_event(&play.runs[0].target.incarnation, MonoMs(2_600));
 
     assert_eq!((was_down, goes_on), (true, true));
     assert!(!play.dispatcher.is_down());
--- a/crates/traffic/tests/stream.rs
+++ b/crates/traffic/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Events of a stream: none twice, none missing.
 
-use berylhook_traffic::stream::Delivery::{self, Duplicate, Gap, Pass};
-use berylhook_traffic::stream::{Progress, event_id};
+use berylhook_traffic::stream::Delivery::{self, Duplicate, Forward, Gap};
+use berylhook_traffic::stream::{StreamProgress, event_id};
 
 #[test]
 fn the_number_of_an_event_is_read_from_its_text() {
@@ -16,22 +16,25 @@
 // trusting the second target to begin where it was told to.
 #[test]
 fn events_pass_once_and_a_gap_is_found() {
-    let mut progress = Progress::new(None);
+    let mut progress = StreamProgress::new(None);
 
     let judged: Vec<_> = [1, 2, 2, 1, 3, 5]
         .into_iter()
-        .map(|id| progress.judge(Some(id)))
+        .map(|id| progress.classify(Some(id)))
         .collect();
 
-    assert_eq!(judged, [Pass, Pass, Duplicate, Duplicate, Pass, Gap]);
+    assert_eq!(
+        judged,
+        [Forward, Forward, Duplicate, Duplicate, Forward, Gap]
+    );
     assert_eq!(progress.resume_after(), Some(3));
 }
 
 #[test]
 fn a_caller_that_resumes_gets_only_what_it_lacks() {
-    let mut progress = Progress::new(Some(4));
+    let mut progress = StreamProgress::new(Some(4));
 
-    assert_eq!(progress.judge(Some(4)), Delivery::Duplicate);
-    assert_eq!(progress.judge(Some(5)), Delivery::Pass);
+    assert_eq!(progress.classify(Some(4)), Delivery::Duplicate);
+    assert_eq!(progress.classify(Some(5)), Delivery::Forward);
     assert!(progress.has_delivered());
 }
--- a/crates/traffic/tests/unusable.rs
+++ b/crates/traffic/tests/unusable.rs
@@ -1,11 +1,11 @@
 //! Which entries of the list are told to name no target.
 
 use berylhook_core::position::Position;
-use berylhook_traffic::directory::{Listing, Unusable};
-use berylhook_traffic::unusable::{UnusableEntries, unusable};
+use berylhook_traffic::directory::{InvalidEntry, Listing};
+use berylhook_traffic::invalid_entries::{InvalidEntryTracker, invalid_entries};
 
-fn entry(id: &str, reason: &str) -> Unusable {
-    Unusable {
+fn entry(id: &str, reason: &str) -> InvalidEntry {
+    InvalidEntry {
         id: id.into(),
         reason: reason.into(),
     }
@@ -15,13 +15,13 @@
 // the same unreadable entry again and again. Cause: each write was a line.
 #[test]
 fn an_entry_is_news_once_for_each_reason() {
-    let mut entries = UnusableEntries::default();
+    let mut entries = InvalidEntryTracker::default();
 
-    let first = entries.news(vec![entry("a", "no address")]);
-    let again = entries.news(vec![entry("a", "no address")]);
-    let other = entries.news(vec![entry("a", "no service"), entry("b", "no address")]);
-    let mended = entries.news(Vec::new());
-    let broken_again = entries.news(vec![entry("a", "no service")]);
+    let first = entries.unreported(vec![entry("a", "no address")]);
+    let again = entries.unreported(vec![entry("a", "no address")]);
+    let other = entries.unreported(vec![entry("a", "no service"), entry("b", "no address")]);
+    let mended = entries.unreported(Vec::new());
+    let broken_again = entries.unreported(vec![entry("a", "no service")]);
 
     assert_eq!(first, [entry("a", "no address")]);
     assert!(again.is_empty() && mended.is_empty());
@@ -34,7 +34,7 @@
     let listing =
         Listing::from_entries(Position::first_era(1), vec![Err(entry("a", "no address"))]);
 
-    let told = unusable(&listing, None);
+    let told = invalid_entries(&listing, None);
 
     assert_eq!(told, [entry("a", "no address")]);
 }
