--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -10,7 +10,7 @@
 
 use berylhook_core::position::Position;
 use berylhook_core::time::MonoMs;
-use berylhook_groups::Members;
+use berylhook_groups::ExpertService;
 use berylhook_platform::documents;
 use berylhook_platform::store::{OwnItem, Store, StoreEvent, Watched};
 use berylhook_quarantine::stored;
@@ -85,7 +85,7 @@
     /// Rises with each change of a key of this project's own.
     pub(crate) own_keys: watch::Sender<u64>,
     /// The services with expert-parallel groups, and their engines.
-    pub(crate) members: watch::Sender<Vec<Members>>,
+    pub(crate) members: watch::Sender<Vec<ExpertService>>,
     /// Topics for which the store does not answer this process.
     silent: Mutex<IndexSet<Followed>>,
     /// Whether the store answers this process.
@@ -277,7 +277,7 @@
         }
     }
 
-    fn members(&self, state: &State) -> Vec<Members> {
+    fn members(&self, state: &State) -> Vec<ExpertService> {
         let Some(configuration) = self.shared.configuration() else {
             return Vec::new();
         };
@@ -285,8 +285,8 @@
         let services = configuration.services();
         services
             .filter_map(|service| Some((service, experts(service)?)))
-            .map(|(service, model)| Members {
-                service: Arc::clone(&service.name),
+            .map(|(service, model)| ExpertService {
+                name: Arc::clone(&service.name),
                 model,
                 engines: state
                     .directory
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -124,16 +124,16 @@
     let engine_news = watch::Sender::new(None);
     tokio::spawn(Arc::clone(&peers).share_engine_news(engine_news.subscribe()));
     tokio::spawn(berylhook_groups::run(Candidate {
-        engine_news,
+        engine_updates: engine_news,
         name: Arc::clone(&shared.settings().name),
         store: shared.settings().store,
-        eras: Arc::clone(&shared.eras) as _,
+        era_observer: Arc::clone(&shared.eras) as _,
         agent_port: shared.settings().agent_port,
-        members: control.members.subscribe(),
+        services: control.members.subscribe(),
         is_stopping: shared.is_stopping.subscribe(),
-        own_keys: control.own_keys.subscribe(),
-        has_larger_peer: shared.has_larger_peer.subscribe(),
-        transfer: peers.transfers(),
+        own_key_changes: control.own_keys.subscribe(),
+        has_peer_with_more_cpu: shared.has_larger_peer.subscribe(),
+        incoming_transfer: peers.transfers(),
         successors: Arc::clone(&peers) as _,
     }));
     tokio::spawn(limits.run());
--- a/crates/experts/examples/planning.rs
+++ b/crates/experts/examples/planning.rs
@@ -5,8 +5,8 @@
 
 use std::time::Instant;
 
-use berylhook_experts::adapt::{CopyCost, Limits, Load, adapt};
-use berylhook_experts::switching::Map;
+use berylhook_experts::adapt::{CopyCost, CopyLimits, GroupLoad, adapt};
+use berylhook_experts::switching::ExpertMap;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -17,7 +17,7 @@
     ranks: usize,
     sets: usize,
     experts: usize,
-    places: usize,
+    slots_per_rank: usize,
     copy_ms: f64,
 }
 
@@ -26,33 +26,33 @@
         ranks: 24,
         sets: 16,
         experts: 96,
-        places: 5,
+        slots_per_rank: 5,
         copy_ms: 76.0,
     },
     Size {
         ranks: 72,
         sets: 12,
         experts: 144,
-        places: 3,
+        slots_per_rank: 3,
         copy_ms: 16.0,
     },
     Size {
         ranks: 192,
         sets: 10,
         experts: 384,
-        places: 3,
+        slots_per_rank: 3,
         copy_ms: 16.0,
     },
     Size {
         ranks: 256,
         sets: 60,
         experts: 512,
-        places: 3,
+        slots_per_rank: 3,
         copy_ms: 16.0,
     },
 ];
 
-fn in_turn(size: &Size) -> Map {
+fn in_turn(size: &Size) -> ExpertMap {
     let rank = |rank: usize| {
         (0..size.experts)
             .filter(|expert| expert % size.ranks == rank)
@@ -83,14 +83,14 @@
             expert_mb: 400.0,
             copy_ms: size.copy_ms,
         };
-        let limits = Limits::for_group(size.places, 2, cost, size.ranks);
+        let limits = CopyLimits::for_group(size.slots_per_rank, 2, cost, size.ranks);
         let mut took_ms = Vec::new();
         let mut copies = 0;
         for seed in 0..PLANS {
             let demand = demand(size, &mut StdRng::seed_from_u64(seed));
-            let load = Load {
+            let load = GroupLoad {
                 demand: &demand,
-                paces: &paces,
+                slowdowns: &paces,
             };
             let began = Instant::now();
             copies = adapt(&map, &load, &limits).copies;
--- a/crates/experts/examples/policies.rs
+++ b/crates/experts/examples/policies.rs
@@ -8,8 +8,8 @@
 
 use std::time::Instant;
 
-use berylhook_experts::placement::{Demand, Placement, Shape, improve, place_all};
-use berylhook_experts::policy::{Measured, PolicyConfig, Rebalancer};
+use berylhook_experts::placement::{LayerLoad, LayerShape, Placement, improve, place_from_scratch};
+use berylhook_experts::policy::{Measurement, PolicyConfig, Rebalancer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -77,7 +77,7 @@
 }
 
 fn run(policy: Policy, workload: Workload, ranks: usize) -> Result {
-    let shape = Shape {
+    let shape = LayerShape {
         ranks,
         slots_per_rank: (EXPERTS * 5 / 4).div_ceil(ranks).max(2),
         experts: EXPERTS,
@@ -90,9 +90,9 @@
     let mut maps: Vec<Placement> = first
         .iter()
         .map(|loads| {
-            place_all(
+            place_from_scratch(
                 &shape,
-                &Demand {
+                &LayerLoad {
                     loads,
                     speeds: &usual,
                 },
@@ -122,7 +122,7 @@
             Policy::FullEachPeriod => Some(full(&shape, &noisy, &usual)),
             Policy::ThresholdGreedy => Some(greedy(&shape, &maps, &noisy, &usual)),
             Policy::Ours => {
-                ours.observe(&Measured {
+                ours.observe(&Measurement {
                     loads: &noisy,
                     rank_times: &rank_times,
                 });
@@ -133,7 +133,7 @@
             let moved: usize = next
                 .iter()
                 .zip(&maps)
-                .map(|(now, then)| now.moved_from(then))
+                .map(|(now, then)| now.count_moves_from(then))
                 .sum();
             result.moved += moved;
             result.switches += usize::from(moved > 0);
@@ -143,17 +143,22 @@
     result
 }
 
-fn full(shape: &Shape, loads: &[Vec<f64>], speeds: &[f64]) -> Vec<Placement> {
+fn full(shape: &LayerShape, loads: &[Vec<f64>], speeds: &[f64]) -> Vec<Placement> {
     loads
         .iter()
-        .map(|loads| place_all(shape, &Demand { loads, speeds }))
+        .map(|loads| place_from_scratch(shape, &LayerLoad { loads, speeds }))
         .collect()
 }
 
-fn greedy(shape: &Shape, maps: &[Placement], loads: &[Vec<f64>], speeds: &[f64]) -> Vec<Placement> {
+fn greedy(
+    shape: &LayerShape,
+    maps: &[Placement],
+    loads: &[Vec<f64>],
+    speeds: &[f64],
+) -> Vec<Placement> {
     let planned = maps.iter().zip(loads).map(|(map, loads)| {
-        let demand = Demand { loads, speeds };
-        if map.time(shape, &demand) < GREEDY_THRESHOLD * demand.lower_bound() {
+        let demand = LayerLoad { loads, speeds };
+        if map.layer_time(shape, &demand) < GREEDY_THRESHOLD * demand.lower_bound() {
             return map.clone();
         }
         improve(shape, map, &demand, GREEDY_MOVES).placement
@@ -161,12 +166,12 @@
     planned.collect()
 }
 
-fn busy(shape: &Shape, maps: &[Placement], loads: &[Vec<f64>], speeds: &[f64]) -> Vec<f64> {
+fn busy(shape: &LayerShape, maps: &[Placement], loads: &[Vec<f64>], speeds: &[f64]) -> Vec<f64> {
     let mut sum = vec![0.0; shape.ranks];
     for (map, loads) in maps.iter().zip(loads) {
         for (sum, time) in sum
             .iter_mut()
-            .zip(map.rank_times(shape, &Demand { loads, speeds }))
+            .zip(map.rank_times(shape, &LayerLoad { loads, speeds }))
         {
             *sum += time;
         }
@@ -177,7 +182,7 @@
 /// Skew of the step: time of the slowest ranks over the mean, all layers.
 fn record(
     result: &mut Result,
-    shape: &Shape,
+    shape: &LayerShape,
     maps: &[Placement],
     loads: &[Vec<f64>],
     speeds: &[f64],
@@ -186,7 +191,7 @@
     let mut mean = 0.0;
     let mut bound = 0.0;
     for (map, loads) in maps.iter().zip(loads) {
-        let demand = Demand { loads, speeds };
+        let demand = LayerLoad { loads, speeds };
         let times = map.rank_times(shape, &demand);
         slowest += times.iter().copied().fold(0.0, f64::max);
         mean += times.iter().sum::<f64>() / times.len() as f64;
@@ -238,7 +243,7 @@
 
 /// Planning time of the largest group, 60 layers, on one core.
 fn planning_time() {
-    let shape = Shape {
+    let shape = LayerShape {
         ranks: 256,
         slots_per_rank: 2,
         experts: EXPERTS,
@@ -253,16 +258,16 @@
         })
         .collect();
     let uniform = vec![500.0; EXPERTS];
-    let map = place_all(
+    let map = place_from_scratch(
         &shape,
-        &Demand {
+        &LayerLoad {
             loads: &uniform,
             speeds: &speeds,
         },
     );
     let mut rebalancer = Rebalancer::new(shape, PolicyConfig::default(), vec![map; 60]);
     for _ in 0..12 {
-        rebalancer.observe(&Measured {
+        rebalancer.observe(&Measurement {
             loads: &loads,
             rank_times: &[],
         });
--- a/crates/experts/src/adapt.rs
+++ b/crates/experts/src/adapt.rs
@@ -20,10 +20,10 @@
 mod limits;
 mod set_search;
 
-pub use self::limits::{CopyCost, Limits};
+pub use self::limits::{CopyCost, CopyLimits};
 
 use self::set_search::{Candidate, Change, SetSearch};
-use crate::switching::Map;
+use crate::switching::ExpertMap;
 
 /// Moves in one plan, as a bound on the time spent planning. A move costs some
 /// microseconds, and twelve sets of 72 ranks take up to about a thousand.
@@ -31,22 +31,22 @@
 
 /// The demand that a map is made for.
 #[derive(Clone, Copy, Debug)]
-pub struct Load<'a> {
+pub struct GroupLoad<'a> {
     /// Share of each set's choices that each expert has.
     pub demand: &'a [Vec<f64>],
     /// How slow each rank's engine is; 1 is usual, more is slower.
-    pub paces: &'a [f64],
+    pub slowdowns: &'a [f64],
 }
 
 /// A map for the demand it was made for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Adapted {
+pub struct AdaptedMap {
     /// The map.
-    pub map: Map,
+    pub map: ExpertMap,
     /// Experts to copy, over all ranks and sets.
     pub copies: usize,
     /// The most of them that one rank has to copy.
-    pub copies_on_rank: usize,
+    pub max_copies_per_rank: usize,
     /// Time of the sets' parts of a pass with the map in use, as a multiple of
     /// what the best spread would take.
     pub skew_before: f64,
@@ -56,7 +56,7 @@
 
 /// Adapts `map` to a load.
 #[must_use]
-pub fn adapt(map: &Map, load: &Load<'_>, limits: &Limits) -> Adapted {
+pub fn adapt(map: &ExpertMap, load: &GroupLoad<'_>, limits: &CopyLimits) -> AdaptedMap {
     let mut search = Search::new(map, load, limits);
     let skew_before = search.skew();
     let mut best = Stage {
@@ -68,16 +68,16 @@
     while search.moves.len() < MOST_MOVES && search.step() {
         let stage = search.stage();
         #[allow(clippy::cast_precision_loss)] // some thousands at most
-        let price = stage.skew + stage.copies as f64 * limits.copy_price * skew_before;
+        let price = stage.skew + stage.copies as f64 * limits.skew_cost_per_copy * skew_before;
         if price < best_price {
             best_price = price;
             best = stage;
         }
     }
     let adapted = apply_all(map, &search.moves[..best.moves]);
-    Adapted {
+    AdaptedMap {
         copies: best.copies,
-        copies_on_rank: copies_on_rank(map, &adapted),
+        max_copies_per_rank: max_copies_per_rank(map, &adapted),
         map: adapted,
         skew_before,
         skew_after: best.skew,
@@ -87,18 +87,18 @@
 /// The skew of a map for a load: the time of the sets' parts as a multiple of
 /// what the best spread would take.
 #[must_use]
-pub fn skew(map: &Map, load: &Load<'_>) -> f64 {
-    let limits = Limits {
-        places: 0,
-        new_in_set: 0,
-        new_on_rank: 0,
-        copy_price: 0.0,
+pub fn skew(map: &ExpertMap, load: &GroupLoad<'_>) -> f64 {
+    let limits = CopyLimits {
+        slots_per_rank: 0,
+        max_new_per_set: 0,
+        max_new_per_rank: 0,
+        skew_cost_per_copy: 0.0,
     };
     Search::new(map, load, &limits).skew()
 }
 
 /// `map` after some moves, each with the index of its set.
-fn apply_all(map: &Map, moves: &[(usize, Change)]) -> Map {
+fn apply_all(map: &ExpertMap, moves: &[(usize, Change)]) -> ExpertMap {
     let mut map = map.clone();
     for (set, change) in moves {
         change.apply_to(&mut map[*set][change.rank]);
@@ -107,7 +107,7 @@
 }
 
 /// The most experts that one rank has in `after` and not in `before`.
-fn copies_on_rank(before: &Map, after: &Map) -> usize {
+fn max_copies_per_rank(before: &ExpertMap, after: &ExpertMap) -> usize {
     let mut copies = vec![0; before.first().map_or(0, Vec::len)];
     for (before, after) in before.iter().zip(after) {
         for ((copies, held), holds) in copies.iter_mut().zip(before).zip(after) {
@@ -125,7 +125,7 @@
 }
 
 struct Search<'a> {
-    limits: &'a Limits,
+    limits: &'a CopyLimits,
     sets: Vec<SetSearch<'a>>,
     /// The best move of each set. A move changes one set, so the others' stay;
     /// looking through all sets for each move made planning for twelve sets of
@@ -139,13 +139,13 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(map: &'a Map, load: &Load<'a>, limits: &'a Limits) -> Self {
+    fn new(map: &'a ExpertMap, load: &GroupLoad<'a>, limits: &'a CopyLimits) -> Self {
         let ranks = map.first().map_or(0, Vec::len);
         let sets = map.iter().zip(load.demand);
         let sets: Vec<SetSearch<'_>> = sets
-            .map(|(set, demand)| SetSearch::new(set, demand, load.paces))
+            .map(|(set, demand)| SetSearch::new(set, demand, load.slowdowns))
             .collect();
-        let open = vec![limits.new_on_rank > 0; ranks];
+        let open = vec![limits.max_new_per_rank > 0; ranks];
         Self {
             limits,
             candidates: sets.iter().map(|set| set.best(limits, &open)).collect(),
@@ -177,7 +177,7 @@
     fn count_copy(&mut self, rank: usize) {
         self.copies += 1;
         self.new_on_rank[rank] += 1;
-        if self.new_on_rank[rank] < self.limits.new_on_rank {
+        if self.new_on_rank[rank] < self.limits.max_new_per_rank {
             return;
         }
         self.open[rank] = false;
--- a/crates/experts/src/adapt/limits.rs
+++ b/crates/experts/src/adapt/limits.rs
@@ -2,15 +2,15 @@
 
 /// What the engines allow and what a copy costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct CopyLimits {
     /// Experts on one rank in one set.
-    pub places: usize,
+    pub slots_per_rank: usize,
     /// New experts on one rank in one set.
-    pub new_in_set: usize,
+    pub max_new_per_set: usize,
     /// New experts on one rank in all sets: bounds the time to copy.
-    pub new_on_rank: usize,
+    pub max_new_per_rank: usize,
     /// Part of the skew that one copy has to save.
-    pub copy_price: f64,
+    pub skew_cost_per_copy: f64,
 }
 
 /// Skew that each copied megabyte has to save, at a group of one rank. Copies
@@ -36,8 +36,8 @@
     pub copy_ms: f64,
 }
 
-impl Limits {
-    /// The limits of a group: engines name `places` and `new_in_set`, the rest
+impl CopyLimits {
+    /// The limits of a group: engines name `slots_per_rank` and `max_new_per_set`, the rest
     /// follows from the cost of copies.
     ///
     /// One new expert a rank for each change, whatever its size, left groups of
@@ -45,7 +45,12 @@
     /// experts of 16 ms had a skew of 2.6 over 34 s, and 1.4 with as many as the
     /// time allows.
     #[must_use]
-    pub fn for_group(places: usize, new_in_set: usize, cost: CopyCost, ranks: usize) -> Self {
+    pub fn for_group(
+        slots_per_rank: usize,
+        max_new_per_set: usize,
+        cost: CopyCost,
+        ranks: usize,
+    ) -> Self {
         let new_on_rank = COPY_BUDGET_MS / cost.copy_ms.max(1.0);
         #[allow(
             clippy::cast_possible_truncation,
@@ -53,10 +58,10 @@
             clippy::cast_sign_loss
         )] // between 1 and the budget's milliseconds; few ranks
         Self {
-            places,
-            new_in_set,
-            new_on_rank: (new_on_rank as usize).max(1),
-            copy_price: COPY_PRICE_PER_MB * cost.expert_mb / ranks.max(1) as f64,
+            slots_per_rank,
+            max_new_per_set,
+            max_new_per_rank: (new_on_rank as usize).max(1),
+            skew_cost_per_copy: COPY_PRICE_PER_MB * cost.expert_mb / ranks.max(1) as f64,
         }
     }
 }
--- a/crates/experts/src/adapt/set_search.rs
+++ b/crates/experts/src/adapt/set_search.rs
@@ -1,7 +1,7 @@
 //! Moves within one set: how loaded its ranks are, and which move lowers that
 //! most.
 
-use super::limits::Limits;
+use super::limits::CopyLimits;
 
 /// Power of a rank's time in the sum that a move has to lower.
 const POWER: i32 = 8;
@@ -109,7 +109,7 @@
         new.count()
     }
 
-    pub(super) fn best(&self, limits: &Limits, open: &[bool]) -> Option<Candidate> {
+    pub(super) fn best(&self, limits: &CopyLimits, open: &[bool]) -> Option<Candidate> {
         let most = self.most_loaded()?;
         let heavy = self.heavy_experts(most);
         let light = self.light_ranks(limits, open);
@@ -117,7 +117,7 @@
             let ranks = light
                 .iter()
                 .filter(|rank| !self.ranks[**rank].contains(expert));
-            ranks.flat_map(|rank| self.copies_to(*rank, *expert, limits.places))
+            ranks.flat_map(|rank| self.copies_to(*rank, *expert, limits.slots_per_rank))
         });
         let drops = self.ranks[most].iter().filter(|it| self.is_spare(**it));
         let drops = drops.map(|expert| Change {
@@ -149,8 +149,8 @@
     }
 
     /// The least loaded of the ranks that may get one more expert.
-    fn light_ranks(&self, limits: &Limits, open: &[bool]) -> Vec<usize> {
-        let is_open = |rank: &usize| open[*rank] && self.new_count(*rank) < limits.new_in_set;
+    fn light_ranks(&self, limits: &CopyLimits, open: &[bool]) -> Vec<usize> {
+        let is_open = |rank: &usize| open[*rank] && self.new_count(*rank) < limits.max_new_per_set;
         let mut ranks: Vec<usize> = (0..self.ranks.len()).filter(is_open).collect();
         ranks.sort_by(|a, b| self.times[*a].total_cmp(&self.times[*b]));
         ranks.truncate(LIGHT_RANKS);
@@ -158,13 +158,13 @@
     }
 
     /// Ways to put the expert on the rank.
-    fn copies_to(&self, rank: usize, expert: u16, places: usize) -> Vec<Change> {
+    fn copies_to(&self, rank: usize, expert: u16, slots_per_rank: usize) -> Vec<Change> {
         let change = |leaves| Change {
             rank,
             comes: Some(expert),
             leaves,
         };
-        if self.ranks[rank].len() < places {
+        if self.ranks[rank].len() < slots_per_rank {
             return vec![change(None)];
         }
         let spare = self.ranks[rank].iter().filter(|it| self.is_spare(**it));
--- a/crates/experts/src/demand.rs
+++ b/crates/experts/src/demand.rs
@@ -28,7 +28,7 @@
     /// anew, or a group that forms anew, counts from zero; a difference to
     /// what was counted before would tell of choices that nobody made.
     #[must_use]
-    pub fn continues(&self, earlier: &Self) -> bool {
+    pub fn is_continuation_of(&self, earlier: &Self) -> bool {
         self.started_unix_ms == earlier.started_unix_ms && self.epoch == earlier.epoch
     }
 }
@@ -78,7 +78,7 @@
             let Some(now) = now else {
                 continue;
             };
-            if let Some(last) = last.as_ref().filter(|last| now.continues(last)) {
+            if let Some(last) = last.as_ref().filter(|last| now.is_continuation_of(last)) {
                 add_difference(&mut fresh, &last.counts, &now.counts);
             }
             *last = Some(now);
--- a/crates/experts/src/placement.rs
+++ b/crates/experts/src/placement.rs
@@ -8,12 +8,12 @@
 mod full;
 mod incremental;
 
-pub use full::place_all;
+pub use full::place_from_scratch;
 pub use incremental::{Improvement, improve};
 
 /// Size of one layer of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct LayerShape {
     /// Ranks in the group.
     pub ranks: usize,
     /// Expert slots of one rank.
@@ -31,14 +31,14 @@
 
 /// What a layer is planned for.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct LayerLoad<'a> {
     /// Tokens for each expert.
     pub loads: &'a [f64],
     /// Speed of each rank; 1 is usual, a straggler has less.
     pub speeds: &'a [f64],
 }
 
-impl Demand<'_> {
+impl LayerLoad<'_> {
     /// Time of the layer that no placement can beat: the work spread evenly
     /// over all speeds.
     ///
@@ -52,7 +52,7 @@
     }
 }
 
-impl Shape {
+impl LayerShape {
     /// Slots in the layer.
     #[must_use]
     pub fn slots(&self) -> usize {
@@ -69,7 +69,7 @@
 impl Placement {
     /// How often each expert stands.
     #[must_use]
-    pub fn replicas(&self, shape: &Shape) -> Vec<u32> {
+    pub fn replica_counts(&self, shape: &LayerShape) -> Vec<u32> {
         let mut replicas = vec![0; shape.experts];
         for expert in &self.slots {
             replicas[usize::from(*expert)] += 1;
@@ -79,8 +79,8 @@
 
     /// Time each rank takes for its share.
     #[must_use]
-    pub fn rank_times(&self, shape: &Shape, demand: &Demand<'_>) -> Vec<f64> {
-        let replicas = self.replicas(shape);
+    pub fn rank_times(&self, shape: &LayerShape, demand: &LayerLoad<'_>) -> Vec<f64> {
+        let replicas = self.replica_counts(shape);
         let mut times = vec![0.0; shape.ranks];
         for (slot, expert) in self.slots.iter().enumerate() {
             let expert = usize::from(*expert);
@@ -95,7 +95,7 @@
 
     /// Time of the layer: that of its slowest rank.
     #[must_use]
-    pub fn time(&self, shape: &Shape, demand: &Demand<'_>) -> f64 {
+    pub fn layer_time(&self, shape: &LayerShape, demand: &LayerLoad<'_>) -> f64 {
         self.rank_times(shape, demand)
             .into_iter()
             .fold(0.0, f64::max)
@@ -103,7 +103,7 @@
 
     /// Slots whose expert differs from `before`: the weights to load.
     #[must_use]
-    pub fn moved_from(&self, before: &Self) -> usize {
+    pub fn count_moves_from(&self, before: &Self) -> usize {
         let pairs = self.slots.iter().zip(&before.slots);
         pairs.filter(|(now, then)| now != then).count()
     }
--- a/crates/experts/src/placement/full.rs
+++ b/crates/experts/src/placement/full.rs
@@ -1,6 +1,6 @@
 //! Placing a layer from nothing.
 
-use super::{Demand, Placement, Shape};
+use super::{LayerLoad, LayerShape, Placement};
 
 /// Replicates the heaviest experts until all slots are used, then puts the
 /// heaviest copies first on the rank that is least loaded for its speed.
@@ -9,7 +9,7 @@
 ///
 /// If there are fewer slots than experts.
 #[must_use]
-pub fn place_all(shape: &Shape, demand: &Demand<'_>) -> Placement {
+pub fn place_from_scratch(shape: &LayerShape, demand: &LayerLoad<'_>) -> Placement {
     assert!(shape.slots() >= shape.experts, "every expert needs a slot");
     let replicas = replicate(shape, demand.loads);
     let mut copies = Vec::with_capacity(shape.slots());
@@ -27,7 +27,7 @@
 }
 
 /// One copy each, then one more for whichever has the largest share.
-fn replicate(shape: &Shape, loads: &[f64]) -> Vec<u32> {
+fn replicate(shape: &LayerShape, loads: &[f64]) -> Vec<u32> {
     let most = u32::try_from(shape.ranks).unwrap_or(u32::MAX);
     let mut replicas = vec![1; shape.experts];
     for _ in shape.experts..shape.slots() {
@@ -41,7 +41,7 @@
     replicas
 }
 
-fn pack(shape: &Shape, speeds: &[f64], copies: &[Copy]) -> Placement {
+fn pack(shape: &LayerShape, speeds: &[f64], copies: &[Copy]) -> Placement {
     let mut times = vec![0.0; shape.ranks];
     let mut used: Vec<Vec<u16>> = vec![Vec::with_capacity(shape.slots_per_rank); shape.ranks];
     for copy in copies {
--- a/crates/experts/src/placement/incremental.rs
+++ b/crates/experts/src/placement/incremental.rs
@@ -8,7 +8,7 @@
 //! with the plain maximum, a tie between two slow ranks would hide that one
 //! of them was relieved.
 
-use super::{Demand, Placement, Shape};
+use super::{LayerLoad, LayerShape, Placement};
 
 /// Fast ranks looked at for each move.
 const FAST_RANKS: usize = 6;
@@ -38,9 +38,9 @@
 /// Improves `placement` by at most `max_moves` moves.
 #[must_use]
 pub fn improve(
-    shape: &Shape,
+    shape: &LayerShape,
     placement: &Placement,
-    demand: &Demand<'_>,
+    demand: &LayerLoad<'_>,
     max_moves: usize,
 ) -> Improvement {
     let mut search = Search::new(shape, placement, demand);
@@ -51,7 +51,7 @@
             None => break,
         }
     }
-    let moves = search.placement.moved_from(placement);
+    let moves = search.placement.count_moves_from(placement);
     Improvement {
         time_after: search.slowest().time,
         placement: search.placement,
@@ -73,8 +73,8 @@
 }
 
 struct Search<'a> {
-    shape: &'a Shape,
-    demand: &'a Demand<'a>,
+    shape: &'a LayerShape,
+    demand: &'a LayerLoad<'a>,
     placement: Placement,
     replicas: Vec<u32>,
     /// Slots of each expert.
@@ -84,13 +84,13 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(shape: &'a Shape, placement: &Placement, demand: &'a Demand<'a>) -> Self {
+    fn new(shape: &'a LayerShape, placement: &Placement, demand: &'a LayerLoad<'a>) -> Self {
         let mut stands = vec![Vec::new(); shape.experts];
         for (slot, expert) in placement.slots.iter().enumerate() {
             stands[usize::from(*expert)].push(slot);
         }
         Self {
-            replicas: placement.replicas(shape),
+            replicas: placement.replica_counts(shape),
             times: placement.rank_times(shape, demand),
             mean: demand.lower_bound().max(f64::MIN_POSITIVE),
             placement: placement.clone(),
--- a/crates/experts/src/policy.rs
+++ b/crates/experts/src/policy.rs
@@ -11,7 +11,7 @@
 //! longer than its load explains. Its speed is estimated apart from the
 //! loads, and it is given less.
 
-use crate::placement::{Demand, Placement, Shape, improve};
+use crate::placement::{LayerLoad, LayerShape, Placement, improve};
 
 /// What the owner and the platform set.
 #[derive(Clone, Copy, Debug)]
@@ -21,13 +21,13 @@
     /// What a second of rebalancing costs the owner.
     pub cost_weight: f64,
     /// Time over which a found drift is expected to last.
-    pub drift_life_s: f64,
+    pub expected_drift_s: f64,
     /// Time to load one expert's weights at this group's share of the store.
-    pub load_expert_s: f64,
+    pub expert_loading_s: f64,
     /// Time a switch of maps holds the group up.
-    pub pause_s: f64,
+    pub switch_pause_s: f64,
     /// Share of a step that loading weights in the background takes away.
-    pub load_slowdown: f64,
+    pub loading_slowdown: f64,
     /// Moves in all layers together at one time: the ceiling on what is asked
     /// of the weight store.
     pub max_moves: usize,
@@ -40,10 +40,10 @@
         Self {
             skew_weight: 1.0,
             cost_weight: 1.0,
-            drift_life_s: 600.0,
-            load_expert_s: 0.05,
-            pause_s: 0.02,
-            load_slowdown: 0.05,
+            expected_drift_s: 600.0,
+            expert_loading_s: 0.05,
+            switch_pause_s: 0.02,
+            loading_slowdown: 0.05,
             max_moves: 256,
             hysteresis: 1.5,
         }
@@ -76,7 +76,7 @@
 
 /// What was measured over one period.
 #[derive(Clone, Copy, Debug)]
-pub struct Measured<'a> {
+pub struct Measurement<'a> {
     /// Tokens per expert, for each layer.
     pub loads: &'a [Vec<f64>],
     /// Time each rank was busy, in the unit of the loads; empty where it is
@@ -86,7 +86,7 @@
 
 /// A change of maps worth making.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RebalancingPlan {
     /// The new placement of every layer.
     pub layers: Vec<Placement>,
     /// Slots whose weights have to be loaded.
@@ -128,7 +128,7 @@
 
 /// Watches one group and plans its changes.
 pub struct Rebalancer {
-    shape: Shape,
+    shape: LayerShape,
     config: PolicyConfig,
     layers: Vec<Layer>,
     speeds: Vec<f64>,
@@ -140,7 +140,7 @@
 impl Rebalancer {
     /// Starts from the map in use.
     #[must_use]
-    pub fn new(shape: Shape, config: PolicyConfig, placements: Vec<Placement>) -> Self {
+    pub fn new(shape: LayerShape, config: PolicyConfig, placements: Vec<Placement>) -> Self {
         let layers = placements
             .into_iter()
             .map(|placement| Layer {
@@ -177,7 +177,7 @@
     }
 
     /// Takes in one period's measurement.
-    pub fn observe(&mut self, measured: &Measured<'_>) {
+    pub fn observe(&mut self, measured: &Measurement<'_>) {
         self.measurements += 1;
         // The first measurements count fully, later ones by the fixed weight.
         let weight = EWMA_WEIGHT.max(1.0 / f64::from(self.measurements));
@@ -194,11 +194,11 @@
 
     /// A rank's speed is what its load would take at the usual speed, over
     /// what it did take.
-    fn observe_speeds(&mut self, measured: &Measured<'_>, weight: f64) {
+    fn observe_speeds(&mut self, measured: &Measurement<'_>, weight: f64) {
         let usual = vec![1.0; self.shape.ranks];
         let mut expected = vec![0.0; self.shape.ranks];
         for (layer, loads) in self.layers.iter().zip(measured.loads) {
-            let demand = Demand {
+            let demand = LayerLoad {
                 loads,
                 speeds: &usual,
             };
@@ -231,7 +231,7 @@
     }
 
     /// Plans a change, if one is worth its cost, and takes it as made.
-    pub fn plan(&mut self) -> Option<Plan> {
+    pub fn plan(&mut self) -> Option<RebalancingPlan> {
         if self.measurements < WARM_UP {
             return None;
         }
@@ -239,7 +239,7 @@
         let mut step_time = 0.0;
         let mut candidates = Vec::new();
         for (index, layer) in self.layers.iter().enumerate() {
-            let demand = Demand {
+            let demand = LayerLoad {
                 loads: &layer.mean,
                 speeds: &speeds,
             };
@@ -275,8 +275,8 @@
 
     /// The part of the slowest rank's time that noise in the averages can
     /// explain.
-    fn noise(&self, layer: &Layer, demand: &Demand<'_>) -> f64 {
-        let replicas = layer.placement.replicas(&self.shape);
+    fn noise(&self, layer: &Layer, demand: &LayerLoad<'_>) -> f64 {
+        let replicas = layer.placement.replica_counts(&self.shape);
         let slowest = slowest_rank(&layer.placement.rank_times(&self.shape, demand));
         let first = slowest * self.shape.slots_per_rank;
         // Averaging leaves this share of one measurement's variance.
@@ -320,13 +320,14 @@
     fn worth(&self, gain_share: f64, moves: usize) -> f64 {
         let config = &self.config;
         #[allow(clippy::cast_precision_loss)] // a few hundred moves
-        let loading_s = moves as f64 * config.load_expert_s;
-        let saved_s = gain_share * config.drift_life_s * config.skew_weight;
-        let spent_s = (config.pause_s + loading_s * config.load_slowdown) * config.cost_weight;
+        let loading_s = moves as f64 * config.expert_loading_s;
+        let saved_s = gain_share * config.expected_drift_s * config.skew_weight;
+        let spent_s =
+            (config.switch_pause_s + loading_s * config.loading_slowdown) * config.cost_weight;
         saved_s - spent_s * config.hysteresis
     }
 
-    fn make(&mut self, chosen: Vec<Candidate>, step_time: f64) -> Plan {
+    fn make(&mut self, chosen: Vec<Candidate>, step_time: f64) -> RebalancingPlan {
         let mut moves = 0;
         let mut gain = 0.0;
         for candidate in chosen {
@@ -335,7 +336,7 @@
             self.layers[candidate.layer].placement = candidate.placement;
         }
         let layers = self.layers.iter().map(|layer| layer.placement.clone());
-        Plan {
+        RebalancingPlan {
             layers: layers.collect(),
             moves,
             gain: gain / step_time,
--- a/crates/experts/src/switching.rs
+++ b/crates/experts/src/switching.rs
@@ -37,7 +37,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A version of a group's expert map; only ever grows within an epoch.
-pub type Version = u64;
+pub type MapVersion = u64;
 
 /// A pass of a group, counted from its start.
 pub type Pass = u64;
@@ -46,13 +46,13 @@
 pub type Epoch = u64;
 
 /// The experts of each set and rank.
-pub type Map = Vec<Vec<Vec<u16>>>;
+pub type ExpertMap = Vec<Vec<Vec<u16>>>;
 
 /// What a rank is armed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Armed {
+pub struct ArmedSwitch {
     /// The version it switches to.
-    pub version: Version,
+    pub version: MapVersion,
     /// The pass from which on.
     pub pass: Pass,
 }
@@ -71,39 +71,43 @@
     /// Ranks of the group.
     pub size: usize,
     /// Whether the group runs.
-    pub is_open: bool,
+    #[serde(rename = "is_open")]
+    pub is_group_running: bool,
     /// The last pass begun.
     pub pass: Pass,
     /// The version in use.
-    pub version: Version,
+    pub version: MapVersion,
     /// The version copied and ready, if any.
-    pub prepared: Option<Version>,
+    pub prepared: Option<MapVersion>,
     /// What the rank is armed with, if anything.
-    pub armed: Option<Armed>,
+    pub armed: Option<ArmedSwitch>,
     /// The pass that the rank keeps from beginning, if any.
-    pub held: Option<Pass>,
+    #[serde(rename = "held")]
+    pub paused_before: Option<Pass>,
     /// Generations that run.
     pub running: u32,
     /// Generations that wait.
     pub waiting: u32,
     /// How slow the engine is; over 1 is slower than usual.
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub slowdown: f64,
 }
 
 /// An order to a rank. It is refused in any other epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum RankOrder {
+pub enum RankCommand {
     /// Copy the experts of a map.
     Prepare {
         /// The group's life.
         epoch: Epoch,
         /// The new version; higher than any the rank has had.
-        version: Version,
+        version: MapVersion,
         /// Its content.
-        map: Map,
+        map: ExpertMap,
     },
     /// Do not begin the pass.
-    Hold {
+    #[serde(rename = "Hold")]
+    Pause {
         /// The group's life.
         epoch: Epoch,
         /// The pass.
@@ -114,12 +118,13 @@
         /// The group's life.
         epoch: Epoch,
         /// The version to switch to.
-        version: Version,
+        version: MapVersion,
         /// The pass.
         pass: Pass,
     },
     /// The pass may begin.
-    Go {
+    #[serde(rename = "Go")]
+    Release {
         /// The group's life.
         epoch: Epoch,
         /// The pass.
@@ -127,17 +132,17 @@
     },
 }
 
-impl RankOrder {
+impl RankCommand {
     /// Whether the order lets a pass begin.
     #[must_use]
-    pub fn is_go(&self) -> bool {
-        matches!(self, Self::Go { .. })
+    pub fn is_release(&self) -> bool {
+        matches!(self, Self::Release { .. })
     }
 }
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderAnswer {
+pub enum CommandOutcome {
     /// It has begun, or the state holds already.
     Accepted,
     /// The engine refused it.
@@ -148,19 +153,19 @@
 
 /// What is to be done about a group, by the reports of its ranks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SwitchStep {
     /// Nothing is under way; all ranks have this version.
     Idle {
         /// The group's life.
         epoch: Epoch,
         /// The version in use.
-        version: Version,
+        version: MapVersion,
     },
     /// Give these orders, by rank, and read the reports again.
-    Give(Vec<(usize, RankOrder)>),
+    SendCommands(Vec<(usize, RankCommand)>),
     /// A hold has no common prepared map: prepare a new version at every rank,
     /// or the same again if one is on its way.
-    Renew {
+    PrepareNewVersion {
         /// The group's life.
         epoch: Epoch,
     },
@@ -176,23 +181,23 @@
 /// may be on its way to some of them, and a rank that has it can't be armed
 /// with the older one any more.
 #[must_use]
-pub fn next_step(reports: &[Option<RankReport>], newest: Version) -> Step {
+pub fn next_step(reports: &[Option<RankReport>], newest: MapVersion) -> SwitchStep {
     let Some(reports) = all_of_one_life(reports) else {
-        return Step::Wait;
+        return SwitchStep::Wait;
     };
     let epoch = reports[0].epoch;
     let version = reports[0].version;
-    let held = reports.iter().find_map(|report| report.held);
+    let held = reports.iter().find_map(|report| report.paused_before);
     let is_armed = |report: &&RankReport| report.armed.is_some();
     let armed = reports.iter().copied().filter(is_armed).count();
     match held {
-        None if armed > 0 => Step::Wait,
-        None if reports.iter().any(|report| report.version != version) => Step::Wait,
-        None => Step::Idle { epoch, version },
+        None if armed > 0 => SwitchStep::Wait,
+        None if reports.iter().any(|report| report.version != version) => SwitchStep::Wait,
+        None => SwitchStep::Idle { epoch, version },
         Some(pass) => match common_next_version(&reports, pass).filter(|it| *it >= newest) {
-            Some(_) if armed == reports.len() => Step::Give(go(&reports, epoch)),
-            Some(version) => Step::Give(arm(&reports, epoch, version, pass)),
-            None => Step::Renew { epoch },
+            Some(_) if armed == reports.len() => SwitchStep::SendCommands(go(&reports, epoch)),
+            Some(version) => SwitchStep::SendCommands(arm(&reports, epoch, version, pass)),
+            None => SwitchStep::PrepareNewVersion { epoch },
         },
     }
 }
@@ -202,12 +207,12 @@
     let reports: Option<Vec<&RankReport>> = reports.iter().map(Option::as_ref).collect();
     let reports = reports.filter(|reports| !reports.is_empty())?;
     let epoch = reports[0].epoch;
-    let is_one = |report: &&RankReport| report.epoch == epoch && report.is_open;
+    let is_one = |report: &&RankReport| report.epoch == epoch && report.is_group_running;
     reports.iter().all(is_one).then_some(reports)
 }
 
 /// The version that every rank has prepared, or is armed with for the pass.
-fn common_next_version(reports: &[&RankReport], pass: Pass) -> Option<Version> {
+fn common_next_version(reports: &[&RankReport], pass: Pass) -> Option<MapVersion> {
     let next = |report: &RankReport| match report.armed {
         Some(armed) if armed.pass == pass => Some(armed.version),
         Some(_) => None,
@@ -218,12 +223,12 @@
     reports.iter().all(is_common).then_some(first)
 }
 
-fn go(reports: &[&RankReport], epoch: Epoch) -> Vec<(usize, RankOrder)> {
+fn go(reports: &[&RankReport], epoch: Epoch) -> Vec<(usize, RankCommand)> {
     let ranks = reports.iter().enumerate();
     ranks
         .filter_map(|(rank, report)| {
-            let pass = report.held?;
-            Some((rank, RankOrder::Go { epoch, pass }))
+            let pass = report.paused_before?;
+            Some((rank, RankCommand::Release { epoch, pass }))
         })
         .collect()
 }
@@ -231,10 +236,10 @@
 fn arm(
     reports: &[&RankReport],
     epoch: Epoch,
-    version: Version,
+    version: MapVersion,
     pass: Pass,
-) -> Vec<(usize, RankOrder)> {
-    let order = RankOrder::Arm {
+) -> Vec<(usize, RankCommand)> {
+    let order = RankCommand::Arm {
         epoch,
         version,
         pass,
@@ -249,14 +254,18 @@
 /// Whether every rank is ready for a switch to `version`: prepared, in one
 /// epoch, and with nothing left of an earlier switch.
 #[must_use]
-pub fn is_ready(reports: &[Option<RankReport>], epoch: Epoch, version: Version) -> bool {
+pub fn is_ready_to_switch(
+    reports: &[Option<RankReport>],
+    epoch: Epoch,
+    version: MapVersion,
+) -> bool {
     reports.iter().all(|report| {
         report.as_ref().is_some_and(|report| {
             report.epoch == epoch
-                && report.is_open
+                && report.is_group_running
                 && report.prepared == Some(version)
                 && report.armed.is_none()
-                && report.held.is_none()
+                && report.paused_before.is_none()
         })
     })
 }
@@ -268,7 +277,7 @@
 /// a lower fencing number, whatever these still give.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionSource {
-    next: Version,
+    next: MapVersion,
 }
 
 impl VersionSource {
@@ -281,7 +290,7 @@
     }
 
     /// The next version; never the same twice.
-    pub fn issue(&mut self) -> Version {
+    pub fn issue(&mut self) -> MapVersion {
         let version = self.next;
         self.next += 1;
         version
--- a/crates/experts/tests/adapt.rs
+++ b/crates/experts/tests/adapt.rs
@@ -1,15 +1,15 @@
 //! Plans keep the engines' limits and lower the skew; demand follows a shift.
 
-use berylhook_experts::adapt::{Adapted, CopyCost, Limits, Load, adapt, skew};
+use berylhook_experts::adapt::{AdaptedMap, CopyCost, CopyLimits, GroupLoad, adapt, skew};
 use berylhook_experts::demand::{DemandTracker, RankCounts};
-use berylhook_experts::switching::Map;
+use berylhook_experts::switching::ExpertMap;
 
 const RANKS: usize = 16;
 const SETS: usize = 4;
 const EXPERTS: usize = 64;
 
 /// Experts in turn, as a group starts.
-fn in_turn(ranks: usize, sets: usize, experts: usize) -> Map {
+fn in_turn(ranks: usize, sets: usize, experts: usize) -> ExpertMap {
     let rank = |rank: usize| {
         let experts = (0..experts).filter(|expert| expert % ranks == rank);
         experts
@@ -19,7 +19,7 @@
     vec![(0..ranks).map(rank).collect(); sets]
 }
 
-fn first_map() -> Map {
+fn first_map() -> ExpertMap {
     in_turn(RANKS, SETS, EXPERTS)
 }
 
@@ -35,27 +35,34 @@
     vec![(0..EXPERTS).map(share).collect(); SETS]
 }
 
-fn limits() -> Limits {
-    Limits {
-        places: 5,
-        new_in_set: 2,
-        new_on_rank: 1,
-        copy_price: 0.003,
+fn limits() -> CopyLimits {
+    CopyLimits {
+        slots_per_rank: 5,
+        max_new_per_set: 2,
+        max_new_per_rank: 1,
+        skew_cost_per_copy: 0.003,
     }
 }
 
-fn plan(map: &Map, demand: &[Vec<f64>], paces: &[f64]) -> Adapted {
-    adapt(map, &Load { demand, paces }, &limits())
+fn plan(map: &ExpertMap, demand: &[Vec<f64>], paces: &[f64]) -> AdaptedMap {
+    adapt(
+        map,
+        &GroupLoad {
+            demand,
+            slowdowns: paces,
+        },
+        &limits(),
+    )
 }
 
-fn assert_keeps_limits(before: &Map, adapted: &Adapted) {
+fn assert_keeps_limits(before: &ExpertMap, adapted: &AdaptedMap) {
     let mut copies = 0;
     let mut new_on_rank = [0; RANKS];
     for (set, old) in adapted.map.iter().zip(before) {
         for (rank, experts) in set.iter().enumerate() {
             let new = experts.iter().filter(|it| !old[rank].contains(it)).count();
-            assert!(new <= limits().new_in_set);
-            assert!(experts.len() <= limits().places);
+            assert!(new <= limits().max_new_per_set);
+            assert!(experts.len() <= limits().slots_per_rank);
             new_on_rank[rank] += new;
             copies += new;
         }
@@ -67,7 +74,11 @@
             );
         }
     }
-    assert!(new_on_rank.iter().all(|new| *new <= limits().new_on_rank));
+    assert!(
+        new_on_rank
+            .iter()
+            .all(|new| *new <= limits().max_new_per_rank)
+    );
     assert_eq!(copies, adapted.copies);
 }
 
@@ -114,11 +125,11 @@
         expert_mb: 370.0,
         copy_ms: 16.4,
     };
-    let limits = Limits::for_group(3, 2, cost, 72);
+    let limits = CopyLimits::for_group(3, 2, cost, 72);
     let (map, demand, paces) = shifted_group(72, 12, 144);
-    let load = Load {
+    let load = GroupLoad {
         demand: &demand,
-        paces: &paces,
+        slowdowns: &paces,
     };
 
     let first = adapt(&map, &load, &limits);
@@ -132,7 +143,11 @@
 
 /// A group whose map holds experts in turn when the demand shifts: the map, the
 /// demand by set, and the ranks' paces.
-fn shifted_group(ranks: usize, sets: usize, experts: usize) -> (Map, Vec<Vec<f64>>, Vec<f64>) {
+fn shifted_group(
+    ranks: usize,
+    sets: usize,
+    experts: usize,
+) -> (ExpertMap, Vec<Vec<f64>>, Vec<f64>) {
     (
         in_turn(ranks, sets, experts),
         long_tailed(sets, experts, 0),
@@ -150,16 +165,16 @@
         expert_mb: 420.0,
         copy_ms: 76.4,
     };
-    let limits = Limits::for_group(5, 2, cost, 24);
+    let limits = CopyLimits::for_group(5, 2, cost, 24);
     let (map, demand, paces) = shifted_group(24, 16, 96);
-    let load = Load {
+    let load = GroupLoad {
         demand: &demand,
-        paces: &paces,
+        slowdowns: &paces,
     };
 
     let first = adapt(&map, &load, &limits);
 
-    assert_eq!((limits.new_on_rank, first.copies_on_rank), (2, 2));
+    assert_eq!((limits.max_new_per_rank, first.max_copies_per_rank), (2, 2));
     // With one copy a rank it is 1.55.
     assert!(first.skew_after < 1.45, "{}", first.skew_after);
 }
@@ -171,10 +186,10 @@
         copy_ms: 111.0,
     };
 
-    let limits = Limits::for_group(5, 2, cost, RANKS);
+    let limits = CopyLimits::for_group(5, 2, cost, RANKS);
 
-    assert_eq!(limits.new_on_rank, 1);
-    assert!((limits.copy_price - 0.02).abs() < 0.001);
+    assert_eq!(limits.max_new_per_rank, 1);
+    assert!((limits.skew_cost_per_copy - 0.02).abs() < 0.001);
 }
 
 #[test]
@@ -197,9 +212,9 @@
     paces[3] = 4.0;
     let demand = vec![vec![1.0 / 64.0; EXPERTS]; SETS];
     let map = first_map();
-    let load = Load {
+    let load = GroupLoad {
         demand: &demand,
-        paces: &paces,
+        slowdowns: &paces,
     };
     let mut adapted = plan(&map, &demand, &paces);
     for _ in 0..3 {
--- a/crates/experts/tests/policy.rs
+++ b/crates/experts/tests/policy.rs
@@ -1,11 +1,11 @@
 //! When experts are moved, and when they are left alone.
 
-use berylhook_experts::placement::{Demand, Placement, Shape, improve, place_all};
-use berylhook_experts::policy::{Measured, PolicyConfig, Rebalancer};
+use berylhook_experts::placement::{LayerLoad, LayerShape, Placement, improve, place_from_scratch};
+use berylhook_experts::policy::{Measurement, PolicyConfig, Rebalancer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const SHAPE: Shape = Shape {
+const SHAPE: LayerShape = LayerShape {
     ranks: 16,
     slots_per_rank: 5,
     experts: 64,
@@ -19,9 +19,9 @@
 
 fn placed(loads: &[f64]) -> Placement {
     let speeds = vec![1.0; SHAPE.ranks];
-    place_all(
+    place_from_scratch(
         &SHAPE,
-        &Demand {
+        &LayerLoad {
             loads,
             speeds: &speeds,
         },
@@ -48,7 +48,7 @@
     let mut plans = 0;
     for _ in 0..500 {
         let measured = vec![noisy(&mut random, &loads)];
-        rebalancer.observe(&Measured {
+        rebalancer.observe(&Measurement {
             loads: &measured,
             rank_times: &[],
         });
@@ -80,7 +80,7 @@
             let mix = |(now, then): (&f64, &f64)| now * (1.0 - part) + then * part;
             let drifted: Vec<f64> = loads.iter().zip(&shifted).map(mix).collect();
             let measured = vec![noisy(&mut random, &drifted)];
-            rebalancer.observe(&Measured {
+            rebalancer.observe(&Measurement {
                 loads: &measured,
                 rank_times: &[],
             });
@@ -107,14 +107,14 @@
     let mut rebalancer = Rebalancer::new(SHAPE, PolicyConfig::default(), vec![map.clone()]);
     let mut speeds = vec![1.0; SHAPE.ranks];
     speeds[5] = 0.6;
-    let demand = Demand {
+    let demand = LayerLoad {
         loads: &loads,
         speeds: &speeds,
     };
 
     for _ in 0..20 {
         let rank_times = rebalancer.placement(0).rank_times(&SHAPE, &demand);
-        rebalancer.observe(&Measured {
+        rebalancer.observe(&Measurement {
             loads: std::slice::from_ref(&loads),
             rank_times: &rank_times,
         });
@@ -122,8 +122,8 @@
     }
 
     assert_eq!(rebalancer.stragglers(), vec![5]);
-    let before = map.time(&SHAPE, &demand);
-    let after = rebalancer.placement(0).time(&SHAPE, &demand);
+    let before = map.layer_time(&SHAPE, &demand);
+    let after = rebalancer.placement(0).layer_time(&SHAPE, &demand);
     assert!(after < before * 0.8, "{after} against {before}");
 }
 
@@ -133,7 +133,7 @@
     for _ in 0..200 {
         let loads: Vec<f64> = (0..64).map(|_| random.random_range(0.0..1_000.0)).collect();
         let speeds: Vec<f64> = (0..16).map(|_| random.random_range(0.3..1.2)).collect();
-        let demand = Demand {
+        let demand = LayerLoad {
             loads: &loads,
             speeds: &speeds,
         };
@@ -141,11 +141,11 @@
 
         let improved = improve(&SHAPE, &start, &demand, 20);
 
-        let replicas = improved.placement.replicas(&SHAPE);
+        let replicas = improved.placement.replica_counts(&SHAPE);
         assert!(replicas.iter().all(|count| *count > 0));
         assert!(improved.moves <= 20);
         let told = improved.time_after;
-        let real = improved.placement.time(&SHAPE, &demand);
+        let real = improved.placement.layer_time(&SHAPE, &demand);
         assert!((told - real).abs() < 1e-6 * real, "{told} against {real}");
     }
 }
--- a/crates/experts/tests/switching.rs
+++ b/crates/experts/tests/switching.rs
@@ -11,7 +11,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use berylhook_experts::switching::{
-    Armed, RankOrder, RankReport, Step, VersionSource, is_ready, next_step,
+    ArmedSwitch, RankCommand, RankReport, SwitchStep, VersionSource, is_ready_to_switch, next_step,
 };
 
 const RANKS: usize = 2;
@@ -42,7 +42,7 @@
     version: u64,
     prepared: Option<u64>,
     highest: u64,
-    armed: Option<Armed>,
+    armed: Option<ArmedSwitch>,
     held: Option<u64>,
     /// Highest fencing number its agent has seen.
     fence: u64,
@@ -85,7 +85,7 @@
     stored_fence: u64,
     leaders: Vec<Leader>,
     /// Relayed, on the way to an engine.
-    relayed: BTreeSet<(usize, RankOrder)>,
+    relayed: BTreeSet<(usize, RankCommand)>,
 }
 
 /// Which rank holds.
@@ -187,47 +187,47 @@
         epoch: *epoch,
         rank,
         size: RANKS,
-        is_open: true,
+        is_group_running: true,
         pass: *pass,
         version: state.version,
         prepared: state.prepared,
         armed: state.armed,
-        held: state.held,
+        paused_before: state.held,
         running: 0,
         waiting: 0,
-        pace: 1.0,
+        slowdown: 1.0,
     }
 }
 
 /// What an engine does with an order.
-fn execute(state: &mut State, rank: usize, order: &RankOrder, planted: Planted) {
+fn execute(state: &mut State, rank: usize, order: &RankCommand, planted: Planted) {
     let (epoch, pass) = (state.epoch, state.pass);
     let in_epoch = |of: u64| of == epoch || planted == Planted::IgnoresEpochs;
     let target = &mut state.ranks[rank];
     match order {
-        RankOrder::Prepare { epoch, version, .. }
+        RankCommand::Prepare { epoch, version, .. }
             if in_epoch(*epoch) && *version > target.highest && target.armed.is_none() =>
         {
             target.prepared = Some(*version);
             target.highest = *version;
         }
-        RankOrder::Hold {
+        RankCommand::Pause {
             epoch,
             pass: wanted,
         } if in_epoch(*epoch) && pass < *wanted && target.held.is_none() => {
             target.held = Some(*wanted);
         }
-        RankOrder::Arm {
+        RankCommand::Arm {
             epoch,
             version,
             pass: wanted,
         } if in_epoch(*epoch) && pass < *wanted && target.prepared == Some(*version) => {
-            target.armed = Some(Armed {
+            target.armed = Some(ArmedSwitch {
                 version: *version,
                 pass: *wanted,
             });
         }
-        RankOrder::Go {
+        RankCommand::Release {
             epoch,
             pass: wanted,
         } if in_epoch(*epoch) && target.held == Some(*wanted) => {
@@ -368,8 +368,8 @@
     let last = reports.iter().flatten().map(|report| report.pass).max()?;
     let mut ordered = Vec::new();
     match next_step(&reports, prepared.unwrap_or(0)) {
-        Step::Give(orders) => {
-            let releases = orders.iter().any(|(_, order)| order.is_go());
+        SwitchStep::SendCommands(orders) => {
+            let releases = orders.iter().any(|(_, order)| order.is_release());
             let ranks = orders.iter().map(|(rank, _)| *rank);
             ordered = if releases {
                 Vec::new()
@@ -378,30 +378,33 @@
             };
             give(&mut after, leader, orders, planted);
         }
-        Step::Renew { epoch } if planted == Planted::ReleasesStrayHolds => {
-            let pass = reports.iter().flatten().find_map(|report| report.held)?;
+        SwitchStep::PrepareNewVersion { epoch } if planted == Planted::ReleasesStrayHolds => {
+            let pass = reports
+                .iter()
+                .flatten()
+                .find_map(|report| report.paused_before)?;
             for rank in 0..RANKS {
-                let go = RankOrder::Go { epoch, pass };
+                let go = RankCommand::Release { epoch, pass };
                 give(&mut after, leader, vec![(rank, go)], planted);
             }
         }
-        Step::Renew { epoch } => prepare(&mut after, leader, epoch, planted)?,
-        Step::Idle { epoch, .. } => match (prepared, held) {
+        SwitchStep::PrepareNewVersion { epoch } => prepare(&mut after, leader, epoch, planted)?,
+        SwitchStep::Idle { epoch, .. } => match (prepared, held) {
             (None, _) => prepare(&mut after, leader, epoch, planted)?,
-            (Some(version), _) if !is_ready(&reports, epoch, version) => {}
+            (Some(version), _) if !is_ready_to_switch(&reports, epoch, version) => {}
             (Some(version), held) => {
                 // A hold that is on its way is given again, and no other.
                 let pass = held
                     .filter(|pass| *pass > last)
                     .unwrap_or(last + state.passes_ahead);
                 after.leaders[leader].phase = Phase::Leading(Some(version), Some(pass));
-                let hold = RankOrder::Hold { epoch, pass };
+                let hold = RankCommand::Pause { epoch, pass };
                 let holder = state.holder.rank(pass);
                 give(&mut after, leader, vec![(holder, hold)], planted);
                 ordered = vec![holder];
             }
         },
-        Step::Wait => {}
+        SwitchStep::Wait => {}
     }
     Some((after, ordered))
 }
@@ -424,7 +427,7 @@
         .last()?;
     state.leaders[leader].phase = Phase::Leading(Some(version), None);
     for rank in 0..RANKS {
-        let order = RankOrder::Prepare {
+        let order = RankCommand::Prepare {
             epoch,
             version,
             map: Vec::new(),
@@ -434,15 +437,15 @@
     Some(())
 }
 
-fn give(state: &mut State, leader: usize, orders: Vec<(usize, RankOrder)>, planted: Planted) {
+fn give(state: &mut State, leader: usize, orders: Vec<(usize, RankCommand)>, planted: Planted) {
     let fence = fence_of(leader);
     for (rank, order) in orders {
         match &order {
-            RankOrder::Hold { epoch, pass } if planted == Planted::ArmsWithoutHold => {
+            RankCommand::Pause { epoch, pass } if planted == Planted::ArmsWithoutHold => {
                 let Phase::Leading(Some(version), _) = state.leaders[leader].phase else {
                     continue;
                 };
-                let arm = RankOrder::Arm {
+                let arm = RankCommand::Arm {
                     epoch: *epoch,
                     version,
                     pass: *pass,
@@ -451,8 +454,8 @@
                     relay(state, rank, fence, arm.clone(), planted);
                 }
             }
-            RankOrder::Arm { epoch, pass, .. } if planted == Planted::GoesWithoutArms => {
-                let go = RankOrder::Go {
+            RankCommand::Arm { epoch, pass, .. } if planted == Planted::GoesWithoutArms => {
+                let go = RankCommand::Release {
                     epoch: *epoch,
                     pass: *pass,
                 };
@@ -466,7 +469,7 @@
 
 /// An agent is given an order. That a leader is paused before this, or an order
 /// is on its way to the agent, is the same to it.
-fn relay(state: &mut State, rank: usize, fence: u64, order: RankOrder, planted: Planted) {
+fn relay(state: &mut State, rank: usize, fence: u64, order: RankCommand, planted: Planted) {
     if passes_agent(&mut state.ranks[rank], fence, planted) {
         state.relayed.insert((rank, order));
     }
--- a/crates/groups/src/ports.rs
+++ b/crates/groups/src/agent_clients.rs
@@ -8,7 +8,7 @@
 
 use berylhook_calls::{Call, Connection};
 use berylhook_experts::demand::RankCounts;
-use berylhook_experts::switching::RankOrder;
+use berylhook_experts::switching::RankCommand;
 use berylhook_relay::counts::{CountsDecoder, CountsRequest};
 use berylhook_relay::{Answer, Question};
 use futures_util::future::join_all;
@@ -16,7 +16,7 @@
 use rand::seq::SliceRandom;
 use tokio::sync::Semaphore;
 
-use crate::counted::CountedRanks;
+use crate::counts_window::CountsWindow;
 
 /// Time for an agent's answer. It makes a few calls to the engine beside it,
 /// each of which takes about a millisecond.
@@ -44,12 +44,12 @@
     agent_port: u16,
     by_engine: IndexMap<SocketAddr, Port>,
     /// Whose counts are asked for; nobody's where nothing is done with them.
-    counted: Option<CountedRanks>,
+    counted: Option<CountsWindow>,
 }
 
 impl Ports {
     /// No ways yet.
-    pub(crate) fn new(agent_port: u16, counted: Option<CountedRanks>) -> Self {
+    pub(crate) fn new(agent_port: u16, counted: Option<CountsWindow>) -> Self {
         Self {
             agent_port,
             counted,
@@ -89,7 +89,7 @@
         let readings = join_all(readings).await;
         let late = readings.iter().filter(|reading| reading.is_late).count();
         if let Some(counted) = &mut self.counted {
-            counted.on_read(ranks, late);
+            counted.record_poll(ranks, late);
         }
         readings
     }
@@ -142,7 +142,7 @@
 
 fn carries_map(question: &Question) -> bool {
     let mut orders = question.orders.iter();
-    orders.any(|order| matches!(order, RankOrder::Prepare { .. }))
+    orders.any(|order| matches!(order, RankCommand::Prepare { .. }))
 }
 
 async fn ask_port(port: &mut Option<Port>, question: &Question, turns: &Semaphore) -> Answer {
--- a/crates/groups/src/lead.rs
+++ b/crates/groups/src/candidacy.rs
@@ -8,9 +8,9 @@
 
 use crate::Candidate;
 use crate::election::{Office, Term, stand};
-use crate::handover::{LeadershipTransfer, TransferResult, transferred_fence};
-use crate::leader;
+use crate::handover::{LeadershipTransfer, TransferResult, transferred_fencing_token};
 use crate::leadership::Leadership;
+use crate::service_loop;
 
 /// Wait before standing for election again while somebody leads; a change of
 /// the leader's key ends it early.
@@ -55,7 +55,7 @@
         leader_key: format!("berylhook/leader/{service}").into(),
         service: Arc::clone(&service),
     };
-    let mut store = Store::observed(candidate.store, Arc::clone(&candidate.eras));
+    let mut store = Store::observed(candidate.store, Arc::clone(&candidate.era_observer));
     let mut served = 0;
     let mut made_room: Option<Instant> = None;
     sleep(MEET_TIME).await;
@@ -71,25 +71,25 @@
                 served = term.fence;
                 let may_make_room = made_room.is_none_or(|at| at.elapsed() >= MAKE_ROOM_EVERY);
                 serve_term(&candidate, &service, &mut store, term, may_make_room).await;
-                if may_make_room && *candidate.has_larger_peer.borrow() {
+                if may_make_room && *candidate.has_peer_with_more_cpu.borrow() {
                     made_room = Some(Instant::now());
                     sleep(ROOM_WAIT).await;
                 }
             }
             Ok(None) => {
                 tokio::select! {
-                    _ = timeout(STAND_EVERY, candidate.own_keys.changed()) => {
+                    _ = timeout(STAND_EVERY, candidate.own_key_changes.changed()) => {
                         sleep(spread(SPREAD)).await;
                         yield_to_larger(&candidate).await;
                     }
-                    _ = candidate.transfer.changed() => {}
+                    _ = candidate.incoming_transfer.changed() => {}
                 }
             }
             Err(error) => {
                 log::debug!(reason:% = error; "not standing for election");
                 tokio::select! {
                     () = sleep(spread(STORE_RETRY)) => {}
-                    _ = candidate.transfer.changed() => {}
+                    _ = candidate.incoming_transfer.changed() => {}
                 }
             }
         }
@@ -99,7 +99,7 @@
 /// The fencing number of a transfer for the service that was not served
 /// yet.
 fn transferred(candidate: &mut Candidate, service: &Arc<str>, served: u64) -> Option<u64> {
-    let transfer = candidate.transfer.borrow_and_update();
+    let transfer = candidate.incoming_transfer.borrow_and_update();
     let for_service = transfer.as_ref().filter(|it| it.service == *service);
     let fence = for_service.map(|transfer| transfer.fence);
     fence.filter(|fence| *fence > served)
@@ -116,7 +116,7 @@
 
 /// Transfers the leadership, for want of a store that would elect one.
 async fn hand_over(candidate: &Candidate, service: &Arc<str>, fence: u64) {
-    let Some(next) = transferred_fence(fence) else {
+    let Some(next) = transferred_fencing_token(fence) else {
         log::warn!(service = &**service, fence; "no fencing number is left for a transfer");
         return;
     };
@@ -142,15 +142,15 @@
     let service = leadership.service();
     log::info!(service = &*service, fence, is_elected; "leading the service's groups");
     let leadership = Arc::new(leadership);
-    leader::run(&leadership, term).await;
-    candidate.engine_news.send_replace(None);
+    service_loop::run(&leadership, term).await;
+    candidate.engine_updates.send_replace(None);
     let is_succeeded = leadership.is_succeeded();
     log::info!(service = &*service, fence, is_succeeded; "no longer leading");
     is_succeeded
 }
 
 async fn yield_to_larger(candidate: &Candidate) {
-    if *candidate.has_larger_peer.borrow() {
+    if *candidate.has_peer_with_more_cpu.borrow() {
         sleep(YIELD).await;
     }
 }
--- a/crates/groups/src/counted.rs
+++ b/crates/groups/src/counts_window.rs
@@ -26,14 +26,14 @@
 
 /// How many ranks a reading asks for their counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CountedRanks {
+pub struct CountsWindow {
     most: usize,
     first: usize,
     /// Whether a reading has asked for too much; from then on small steps lead up.
     is_careful: bool,
 }
 
-impl CountedRanks {
+impl CountsWindow {
     /// For counts of that many numbers a rank.
     #[must_use]
     pub fn new(numbers: usize) -> Self {
@@ -51,7 +51,7 @@
     }
 
     /// A reading of `ranks` is over; of those asked for counts, `late` gave none.
-    pub fn on_read(&mut self, ranks: usize, late: usize) {
+    pub fn record_poll(&mut self, ranks: usize, late: usize) {
         let asked = self.most.min(ranks);
         self.first = (self.first + asked) % ranks.max(1);
         #[allow(clippy::cast_precision_loss)] // hundreds
--- a/crates/groups/src/election.rs
+++ b/crates/groups/src/election.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::handover::elected_fence;
+use crate::handover::elected_fencing_token;
 
 /// Time to live of a leader's lease. Nobody adapts the maps until it has run
 /// out, which on a shift costs every caller; the platform grants no shorter one
@@ -189,7 +189,7 @@
 ) -> Result<Option<u64>, StoreError> {
     let item = store.item(key).await?;
     let kept = item.as_ref().map_or(0, |item| fence_number(&item.value));
-    let fence = elected_fence(era, kept);
+    let fence = elected_fencing_token(era, kept);
     let put = Put {
         key: Arc::clone(key),
         value: fence.to_string().into_bytes(),
--- a/crates/groups/src/group_loop.rs
+++ b/crates/groups/src/group_loop.rs
@@ -5,17 +5,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use berylhook_experts::adapt::{Adapted, CopyCost, Limits, Load, adapt};
+use berylhook_experts::adapt::{AdaptedMap, CopyCost, CopyLimits, GroupLoad, adapt};
 use berylhook_experts::demand::{DemandTracker, RankCounts};
-use berylhook_experts::switching::{Epoch, Map, Pass, RankReport, Step, Version, next_step};
+use berylhook_experts::switching::{
+    Epoch, ExpertMap, MapVersion, Pass, RankReport, SwitchStep, next_step,
+};
 use berylhook_relay::{Answer, Question};
 use berylhook_traffic::configuration::ExpertModel;
 use berylhook_traffic::engine_update::Slowdown;
 use tokio::time::sleep;
 
-use crate::counted::CountedRanks;
+use crate::agent_clients::Ports;
+use crate::counts_window::CountsWindow;
 use crate::leadership::Leadership;
-use crate::ports::Ports;
 
 /// Time between two readings of the counts: about a pass. A shift of demand is
 /// seen at the first reading after it.
@@ -48,9 +50,9 @@
 #[derive(Default)]
 pub(crate) struct Life {
     /// The map in use, and its epoch and version.
-    pub(crate) map: Option<(Epoch, Version, Map)>,
+    pub(crate) map: Option<(Epoch, MapVersion, ExpertMap)>,
     /// The newest version that this leader has had prepared; 0 for none.
-    pub(crate) newest: Version,
+    pub(crate) newest: MapVersion,
     /// A hold that was ordered and not seen yet.
     pub(crate) pending_hold: Option<PendingHold>,
 }
@@ -86,7 +88,7 @@
     pub(crate) fn new(leadership: Arc<Leadership>, name: Arc<str>) -> Self {
         let model = leadership.members().map(|members| members.model);
         let numbers = model.map_or(0, |model| model.layer_sets * model.experts);
-        let ports = Ports::new(leadership.agent_port(), Some(CountedRanks::new(numbers)));
+        let ports = Ports::new(leadership.agent_port(), Some(CountsWindow::new(numbers)));
         Self {
             leadership,
             name,
@@ -152,7 +154,7 @@
         }
         let mut answered = reports.iter().flatten().peekable();
         if answered.peek().is_some() {
-            let is_open = answered.all(|report| report.is_open);
+            let is_open = answered.all(|report| report.is_group_running);
             self.leadership.publish_group(&self.name, is_open);
         }
         self.take_ranks(ranks);
@@ -222,13 +224,15 @@
             return;
         }
         match next_step(reports, self.life.newest) {
-            Step::Wait => {}
-            Step::Give(_) | Step::Renew { .. } => self.resolve(None).await,
-            Step::Idle { epoch, .. } if self.awaits_hold(epoch, reports) => {
+            SwitchStep::Wait => {}
+            SwitchStep::SendCommands(_) | SwitchStep::PrepareNewVersion { .. } => {
+                self.resolve(None).await;
+            }
+            SwitchStep::Idle { epoch, .. } if self.awaits_hold(epoch, reports) => {
                 self.finish_hold().await;
             }
-            Step::Idle { .. } if self.have_orders_failed() => {}
-            Step::Idle { epoch, version } => {
+            SwitchStep::Idle { .. } if self.have_orders_failed() => {}
+            SwitchStep::Idle { epoch, version } => {
                 let state = (epoch, version);
                 if !self.knows_map(state) && !self.learn_map(state).await {
                     return;
@@ -255,18 +259,18 @@
         log::warn!(group = &*self.name, answered, ranks; "not all ranks were read");
     }
 
-    fn knows_map(&self, state: (Epoch, Version)) -> bool {
+    fn knows_map(&self, state: (Epoch, MapVersion)) -> bool {
         let known = self.life.map.as_ref();
         known.is_some_and(|(epoch, version, _)| (*epoch, *version) == state)
     }
 
     /// Learns the map of a group in which nothing is under way; returns whether
     /// it is known now.
-    async fn learn_map(&mut self, state: (Epoch, Version)) -> bool {
+    async fn learn_map(&mut self, state: (Epoch, MapVersion)) -> bool {
         let (map, reports) = self.read_map().await;
         let (epoch, version) = state;
         // A switch between the two readings would mix two maps.
-        let is_same = next_step(&reports, 0) == Step::Idle { epoch, version };
+        let is_same = next_step(&reports, 0) == SwitchStep::Idle { epoch, version };
         match map {
             Some(map) if is_same => {
                 self.life.map = Some((epoch, version, map));
@@ -288,7 +292,7 @@
     }
 
     /// Reads which experts each rank holds, and a report of each after it.
-    async fn read_map(&mut self) -> (Option<Map>, Vec<Option<RankReport>>) {
+    async fn read_map(&mut self) -> (Option<ExpertMap>, Vec<Option<RankReport>>) {
         let question = |_| Question {
             wants_experts: true,
             ..Question::default()
@@ -301,23 +305,23 @@
         (ranks.map(|ranks| by_set(&ranks)), reports(answers))
     }
 
-    fn plan(&self, model: &ExpertModel) -> Option<Adapted> {
+    fn plan(&self, model: &ExpertModel) -> Option<AdaptedMap> {
         let (_, _, map) = self.life.map.as_ref()?;
         let demand = self.tracker.as_ref()?.demand()?;
         let cost = CopyCost {
             expert_mb: model.expert_mb,
             copy_ms: model.copy_ms(),
         };
-        let limits = Limits::for_group(
+        let limits = CopyLimits::for_group(
             model.slots_per_rank,
             model.max_new_per_set,
             cost,
             self.ranks.len(),
         );
         let paces: Vec<f64> = self.ranks.iter().map(|rank| rank.pace.factor).collect();
-        let load = Load {
+        let load = GroupLoad {
             demand,
-            paces: &paces,
+            slowdowns: &paces,
         };
         let adapted = adapt(map, &load, &limits);
         let gain = 1.0 - adapted.skew_after / adapted.skew_before.max(f64::MIN_POSITIVE);
@@ -344,7 +348,7 @@
     RankEngine {
         address,
         pace: Slowdown {
-            factor: report.pace,
+            factor: report.slowdown,
             started_unix_ms: report.started_unix_ms,
         },
     }
@@ -355,7 +359,7 @@
 }
 
 /// Turns the ranks' experts by set into sets of ranks.
-fn by_set(ranks: &[Vec<Vec<u16>>]) -> Map {
+fn by_set(ranks: &[Vec<Vec<u16>>]) -> ExpertMap {
     let sets = ranks.first().map_or(0, Vec::len);
     let set = |index: usize| {
         let of_rank = |rank: &Vec<Vec<u16>>| rank.get(index).cloned().unwrap_or_default();
--- a/crates/groups/src/handover.rs
+++ b/crates/groups/src/handover.rs
@@ -33,7 +33,7 @@
 /// lost elections out again; two leaders with one number could have two maps in force in one
 /// pass. So the era goes first.
 #[must_use]
-pub fn elected_fence(era: u64, kept: u64) -> u64 {
+pub fn elected_fencing_token(era: u64, kept: u64) -> u64 {
     let next_election = (kept >> TRANSFER_BITS) + 1;
     era_floor(era).max(next_election << TRANSFER_BITS)
 }
@@ -41,7 +41,7 @@
 /// The fencing number of the successor by transfer of a leader with that number; `None`
 /// once all that belong to one election are used up.
 #[must_use]
-pub fn transferred_fence(fence: u64) -> Option<u64> {
+pub fn transferred_fencing_token(fence: u64) -> Option<u64> {
     let next = fence + 1;
     let is_of_next_election = next.trailing_zeros() >= TRANSFER_BITS;
     (!is_of_next_election).then_some(next)
--- a/crates/groups/src/leadership.rs
+++ b/crates/groups/src/leadership.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use berylhook_experts::switching::{Version, VersionSource};
+use berylhook_experts::switching::{MapVersion, VersionSource};
 use berylhook_relay::Answer;
 use berylhook_traffic::engine_update::{EngineUpdate, GroupUpdate, Slowdowns};
 use indexmap::{IndexMap, IndexSet};
 
-use crate::{Candidate, Members};
+use crate::{Candidate, ExpertService};
 
 /// What is told of one group.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,12 +56,9 @@
     }
 
     /// The service's engines, once it is known.
-    pub(crate) fn members(&self) -> Option<Members> {
-        let members = self.candidate.members.borrow();
-        members
-            .iter()
-            .find(|it| it.service == self.service)
-            .cloned()
+    pub(crate) fn members(&self) -> Option<ExpertService> {
+        let members = self.candidate.services.borrow();
+        members.iter().find(|it| it.name == self.service).cloned()
     }
 
     pub(crate) fn agent_port(&self) -> u16 {
@@ -84,7 +81,7 @@
     /// they know each other, and a VM with a fifth of the others' link may be elected. The
     /// counts and maps of 192 ranks take such a link a quarter of a second each.
     pub(crate) fn makes_room(&self) -> bool {
-        self.may_make_room && *self.candidate.has_larger_peer.borrow()
+        self.may_make_room && *self.candidate.has_peer_with_more_cpu.borrow()
     }
 
     /// Notes whether an agent has named a later leader.
@@ -97,7 +94,7 @@
 
     /// A new version, the same for no two groups: an engine that moves from one
     /// to another takes only versions higher than all that it has had.
-    pub(crate) fn issue_version(&self) -> Version {
+    pub(crate) fn issue_version(&self) -> MapVersion {
         self.versions.lock().expect("no holder panics").issue()
     }
 
@@ -185,7 +182,7 @@
             slowdowns: slow.map(|(at, pace)| (*at, *pace)).collect(),
             groups: groups.collect(),
         };
-        self.candidate.engine_news.send_if_modified(|current| {
+        self.candidate.engine_updates.send_if_modified(|current| {
             let is_changed = current.as_ref() != Some(&news);
             *current = Some(news);
             is_changed
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -9,14 +9,14 @@
 //! away, and a leader that is stopped then transfers its leadership; one that dies
 //! is followed by the next that the store elects.
 
-pub mod counted;
+mod agent_clients;
+mod candidacy;
+pub mod counts_window;
 mod election;
 mod group_loop;
 pub mod handover;
-mod lead;
-mod leader;
 mod leadership;
-mod ports;
+mod service_loop;
 mod switch;
 
 use std::net::SocketAddr;
@@ -31,9 +31,9 @@
 
 /// The engines of one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Members {
+pub struct ExpertService {
     /// The service.
-    pub service: Arc<str>,
+    pub name: Arc<str>,
     /// Its experts.
     pub model: ExpertModel,
     /// Its engines, those that are leaving included: they stay ranks of their
@@ -49,24 +49,24 @@
     /// The platform's store.
     pub store: SocketAddr,
     /// Hears of the store's eras.
-    pub eras: Arc<dyn EraObserver>,
+    pub era_observer: Arc<dyn EraObserver>,
     /// Port of the agents beside the engines.
     pub agent_port: u16,
     /// The services with expert-parallel groups.
-    pub members: watch::Receiver<Vec<Members>>,
+    pub services: watch::Receiver<Vec<ExpertService>>,
     /// What the leader learns of the engines; `None` where this process
     /// does not lead.
-    pub engine_news: watch::Sender<Option<EngineUpdate>>,
+    pub engine_updates: watch::Sender<Option<EngineUpdate>>,
     /// Whether the process is about to end.
     pub is_stopping: watch::Receiver<bool>,
     /// Rises whenever a key of this project's own changes in the store.
-    pub own_keys: watch::Receiver<u64>,
+    pub own_key_changes: watch::Receiver<u64>,
     /// Whether another candidate has clearly more processor time.
-    pub has_larger_peer: watch::Receiver<bool>,
+    pub has_peer_with_more_cpu: watch::Receiver<bool>,
     /// The other candidates, for a leader that stops while the store is away.
     pub successors: Arc<dyn Successors>,
     /// The last transfer of this candidate by a leader that stopped.
-    pub transfer: watch::Receiver<Option<LeadershipTransfer>>,
+    pub incoming_transfer: watch::Receiver<Option<LeadershipTransfer>>,
 }
 
 /// Stands for election and leads, for as long as the process lives.
@@ -74,14 +74,14 @@
     // One task for each service that is ever seen.
     let mut started: Vec<Arc<str>> = Vec::new();
     loop {
-        let members = candidate.members.borrow_and_update().clone();
-        for service in members.into_iter().map(|members| members.service) {
+        let members = candidate.services.borrow_and_update().clone();
+        for service in members.into_iter().map(|members| members.name) {
             if !started.contains(&service) {
                 started.push(Arc::clone(&service));
-                tokio::spawn(lead::lead(candidate.clone(), service));
+                tokio::spawn(candidacy::lead(candidate.clone(), service));
             }
         }
-        if candidate.members.changed().await.is_err() {
+        if candidate.services.changed().await.is_err() {
             return;
         }
     }
--- a/crates/groups/src/leader.rs
+++ b/crates/groups/src/service_loop.rs
@@ -13,11 +13,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::Members;
+use crate::ExpertService;
+use crate::agent_clients::{Ports, Reading};
 use crate::election::Term;
 use crate::group_loop::{GroupLoop, READ_EVERY};
 use crate::leadership::Leadership;
-use crate::ports::{Ports, Reading};
 
 /// Leads until the term is over, a later leader is heard of, or the process
 /// stops. A leader by transfer has no term of its own.
@@ -46,7 +46,7 @@
 }
 
 /// Asks engines whose group is not known which one it is.
-async fn find_groups(leadership: &Leadership, ports: &mut Ports, members: &Members) {
+async fn find_groups(leadership: &Leadership, ports: &mut Ports, members: &ExpertService) {
     let engines = members.engines.iter().copied();
     let unassigned: Vec<SocketAddr> = engines
         .filter(|engine| !leadership.is_assigned(engine))
--- a/crates/groups/src/switch.rs
+++ b/crates/groups/src/switch.rs
@@ -5,9 +5,10 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_experts::adapt::Adapted;
+use berylhook_experts::adapt::AdaptedMap;
 use berylhook_experts::switching::{
-    Epoch, Map, OrderAnswer, Pass, RankOrder, RankReport, Step, Version, is_ready, next_step,
+    CommandOutcome, Epoch, ExpertMap, MapVersion, Pass, RankCommand, RankReport, SwitchStep,
+    is_ready_to_switch, next_step,
 };
 use berylhook_relay::{Answer, Question};
 use tokio::time::sleep;
@@ -57,15 +58,15 @@
 
 impl GroupLoop {
     /// Carries a map into force.
-    pub(crate) async fn switch(&mut self, epoch: Epoch, adapted: Adapted) {
+    pub(crate) async fn switch(&mut self, epoch: Epoch, adapted: AdaptedMap) {
         let began = Instant::now();
         let version = self.issue();
-        let order = RankOrder::Prepare {
+        let order = RankCommand::Prepare {
             epoch,
             version,
             map: adapted.map.clone(),
         };
-        let prepared = self.prepare(&order, adapted.copies_on_rank).await;
+        let prepared = self.prepare(&order, adapted.max_copies_per_rank).await;
         let copied_ms = elapsed_ms(began);
         let held = match prepared {
             Some(prepared) if prepared.is_in_doubt && !self.do_orders_pass(&order).await => None,
@@ -103,7 +104,7 @@
     /// A group that is held stands still until the last rank is armed, so no switch begins
     /// while orders have to be given again and again. What is asked for here has been carried
     /// out already, and giving it once more does nothing.
-    async fn do_orders_pass(&mut self, prepared: &RankOrder) -> bool {
+    async fn do_orders_pass(&mut self, prepared: &RankCommand) -> bool {
         let began = Instant::now();
         while began.elapsed() < PROBE_TIME && !self.leadership.is_succeeded() {
             let question = |_| Question {
@@ -129,7 +130,7 @@
     }
 
     /// A new version, remembered as the newest of its group.
-    fn issue(&mut self) -> Version {
+    fn issue(&mut self) -> MapVersion {
         self.life.newest = self.leadership.issue_version();
         self.life.newest
     }
@@ -142,8 +143,8 @@
     /// that has accepted the order is left alone for the time that its copies
     /// take, and one that was seen ready is not asked again: it stays so until
     /// this leader orders something else.
-    async fn prepare(&mut self, order: &RankOrder, copies: usize) -> Option<Prepared> {
-        let RankOrder::Prepare { epoch, version, .. } = *order else {
+    async fn prepare(&mut self, order: &RankCommand, copies: usize) -> Option<Prepared> {
+        let RankCommand::Prepare { epoch, version, .. } = *order else {
             return None;
         };
         let ranks = self.rank_count();
@@ -154,7 +155,8 @@
         let mut is_in_doubt = false;
         while began.elapsed() < COPY_TIMEOUT && !self.leadership.is_succeeded() {
             let is_copied = Instant::now() >= copied_at;
-            let is_unready = |rank: &usize| !is_ready(&seen[*rank..=*rank], epoch, version);
+            let is_unready =
+                |rank: &usize| !is_ready_to_switch(&seen[*rank..=*rank], epoch, version);
             let asked: Vec<usize> = (0..ranks)
                 .filter(is_unready)
                 .filter(|rank| is_copied || given[*rank].is_due())
@@ -170,10 +172,10 @@
             let answers = self.ask(&asked, question).await;
             for (rank, answer) in asked.into_iter().zip(answers) {
                 match answer.orders.first() {
-                    Some(OrderAnswer::Accepted) => given[rank] = Given::Accepted,
+                    Some(CommandOutcome::Accepted) => given[rank] = Given::Accepted,
                     // Refused after an order without an answer, it may have
                     // been accepted before.
-                    Some(OrderAnswer::Refused) if given[rank] == Given::Not => return None,
+                    Some(CommandOutcome::Refused) if given[rank] == Given::Not => return None,
                     Some(_) => {
                         given[rank] = Given::At(Instant::now());
                         is_in_doubt = true;
@@ -182,7 +184,7 @@
                 }
                 seen[rank] = answer.report;
             }
-            if is_ready(&seen, epoch, version) {
+            if is_ready_to_switch(&seen, epoch, version) {
                 return Some(Prepared {
                     reports: seen,
                     is_in_doubt,
@@ -214,7 +216,7 @@
             self.life.pending_hold = Some(hold);
             match self.see_hold(hold).await {
                 HoldSeen::Holds => {
-                    ready[rank].as_mut()?.held = Some(pass);
+                    ready[rank].as_mut()?.paused_before = Some(pass);
                     return Some((pass, ready));
                 }
                 HoldSeen::Missed { begun } => last = begun,
@@ -245,7 +247,7 @@
     async fn see_hold(&mut self, hold: PendingHold) -> HoldSeen {
         let PendingHold { epoch, pass, rank } = hold;
         let began = Instant::now();
-        let order = RankOrder::Hold { epoch, pass };
+        let order = RankCommand::Pause { epoch, pass };
         while began.elapsed() < TURN && !self.leadership.is_succeeded() {
             let question = |_| Question {
                 orders: vec![order.clone()],
@@ -279,22 +281,22 @@
                 None => reports(self.ask_all(|_| Question::default()).await),
             };
             match next_step(&seen, newest) {
-                Step::Idle { .. } => return,
-                Step::Give(orders) => {
-                    let is_last = orders.iter().all(|(_, order)| order.is_go());
+                SwitchStep::Idle { .. } => return,
+                SwitchStep::SendCommands(orders) => {
+                    let is_last = orders.iter().all(|(_, order)| order.is_release());
                     self.give(orders, &mut seen).await;
                     // A pass that has begun has changed every rank.
                     known = (!is_last).then_some(seen);
                 }
-                Step::Renew { epoch } => return self.renew(epoch).await,
-                Step::Wait => sleep(STALLED_CHECK).await,
+                SwitchStep::PrepareNewVersion { epoch } => return self.renew(epoch).await,
+                SwitchStep::Wait => sleep(STALLED_CHECK).await,
             }
         }
         log::warn!(group = &*self.name, after_ms = elapsed_ms(began); "a switch is still under way");
     }
 
     /// Gives orders by rank and takes in the reports of these ranks.
-    async fn give(&mut self, orders: Vec<(usize, RankOrder)>, seen: &mut [Option<RankReport>]) {
+    async fn give(&mut self, orders: Vec<(usize, RankCommand)>, seen: &mut [Option<RankReport>]) {
         let ranks: Vec<usize> = orders.iter().map(|(rank, _)| *rank).collect();
         let question = |rank: usize| Question {
             orders: orders_of(&orders, rank),
@@ -321,9 +323,9 @@
 
     /// Prepares at ranks of which one holds; [`prepare`](Self::prepare) waits
     /// for ranks that do not.
-    async fn prepare_held(&mut self, epoch: Epoch, version: Version, map: &Map) {
+    async fn prepare_held(&mut self, epoch: Epoch, version: MapVersion, map: &ExpertMap) {
         let began = Instant::now();
-        let order = RankOrder::Prepare {
+        let order = RankCommand::Prepare {
             epoch,
             version,
             map: map.clone(),
@@ -348,7 +350,7 @@
 
     /// Whether the group has begun a pass with the version. All ranks begin a
     /// pass together, so one of them tells.
-    async fn has_version(&mut self, version: Version) -> bool {
+    async fn has_version(&mut self, version: MapVersion) -> bool {
         let answers = self.ask(&[0], |_| Question::default()).await;
         let reports = reports(answers);
         reports
@@ -379,7 +381,7 @@
 
 fn has_answered(answer: &Answer) -> bool {
     let order = answer.orders.first();
-    answer.report.is_some() && order.is_some_and(|it| *it != OrderAnswer::Unknown)
+    answer.report.is_some() && order.is_some_and(|it| *it != CommandOutcome::Unknown)
 }
 
 /// What a report shows of a hold that was ordered.
@@ -398,7 +400,7 @@
 }
 
 fn seen_in(report: &RankReport, epoch: Epoch, pass: Pass) -> HoldSeen {
-    match report.held {
+    match report.paused_before {
         _ if report.epoch != epoch || report.pass >= pass => {
             HoldSeen::Missed { begun: report.pass }
         }
@@ -428,7 +430,7 @@
     }
 }
 
-fn orders_of(orders: &[(usize, RankOrder)], rank: usize) -> Vec<RankOrder> {
+fn orders_of(orders: &[(usize, RankCommand)], rank: usize) -> Vec<RankCommand> {
     let of_rank = orders.iter().filter(|(to, _)| *to == rank);
     of_rank.map(|(_, order)| order.clone()).collect()
 }
--- a/crates/groups/tests/counted.rs
+++ b/crates/groups/tests/counts_window.rs
@@ -1,6 +1,6 @@
 //! Whose counts a leader reads.
 
-use berylhook_groups::counted::CountedRanks;
+use berylhook_groups::counts_window::CountsWindow;
 
 const RANKS: usize = 192;
 const NUMBERS: usize = 3_840;
@@ -13,7 +13,7 @@
 /// Reads `readings` times; gives how often each rank's counts came. Beyond what the link
 /// carries everything is late, as the answers share it.
 fn read(link: &Link, readings: usize) -> Vec<usize> {
-    let mut counted = CountedRanks::new(NUMBERS);
+    let mut counted = CountsWindow::new(NUMBERS);
     let mut came = vec![0; RANKS];
     for _ in 0..readings {
         let asked: Vec<usize> = (0..RANKS)
@@ -25,7 +25,7 @@
                 came[*rank] += 1;
             }
         }
-        counted.on_read(RANKS, if is_in_time { 0 } else { asked.len() });
+        counted.record_poll(RANKS, if is_in_time { 0 } else { asked.len() });
     }
     came
 }
@@ -57,16 +57,16 @@
 
 #[test]
 fn a_small_group_is_read_whole_from_the_first_time_on() {
-    let counted = CountedRanks::new(1_536);
+    let counted = CountsWindow::new(1_536);
 
     assert!((0..24).all(|rank| counted.includes(rank, 24)));
 }
 
 #[test]
 fn an_agent_that_is_gone_does_not_slow_the_others() {
-    let mut counted = CountedRanks::new(NUMBERS);
+    let mut counted = CountsWindow::new(NUMBERS);
     for _ in 0..6 {
-        counted.on_read(RANKS, 1);
+        counted.record_poll(RANKS, 1);
     }
 
     assert!((0..RANKS).all(|rank| counted.includes(rank, RANKS)));
--- a/crates/groups/tests/restored_elections.rs
+++ b/crates/groups/tests/restored_elections.rs
@@ -4,7 +4,7 @@
 //! elections and restarts of agents fall between any two. A leader acts once every agent
 //! has taken its number; from then on no agent may relay for a leader elected before it.
 
-use berylhook_groups::handover::{elected_fence, transferred_fence};
+use berylhook_groups::handover::{elected_fencing_token, transferred_fencing_token};
 use berylhook_relay::Fence;
 use indexmap::{IndexMap, IndexSet};
 
@@ -173,7 +173,7 @@
         if self.store.now.fence(era).1 != revision {
             return Stage::Out;
         }
-        let fence = elected_fence(era, kept);
+        let fence = elected_fencing_token(era, kept);
         self.store.write(|now| {
             now.fences.insert(era, (fence, now.revision));
         });
@@ -226,7 +226,7 @@
         let Stage::Leads { fence, .. } = self.candidates[from] else {
             return;
         };
-        let Some(next) = transferred_fence(fence).filter(|_| from != to) else {
+        let Some(next) = transferred_fencing_token(fence).filter(|_| from != to) else {
             return;
         };
         assert!(self.used.insert(next), "two leaders have the number {next}");
@@ -261,14 +261,14 @@
 /// Guards against a number that is not above all of the era before.
 #[test]
 fn a_number_of_a_later_era_is_higher_than_all_before() {
-    let mut last = elected_fence(0, 0);
-    while let Some(next) = transferred_fence(last) {
+    let mut last = elected_fencing_token(0, 0);
+    while let Some(next) = transferred_fencing_token(last) {
         last = next;
     }
 
-    let next_election = elected_fence(0, last);
-    let next_era = elected_fence(1, 0);
+    let next_election = elected_fencing_token(0, last);
+    let next_era = elected_fencing_token(1, 0);
 
     assert!(next_election > last);
-    assert!(next_era > elected_fence(0, 1 << 29));
+    assert!(next_era > elected_fencing_token(0, 1 << 29));
 }
--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -90,7 +90,7 @@
 
     fn difference(&self, base: SnapshotId, now: &RankCounts) -> Option<(SnapshotId, Vec<u64>)> {
         let (_, last) = self.last.as_ref().filter(|(sent, _)| *sent == base)?;
-        if !now.continues(last) || last.counts.len() != now.counts.len() {
+        if !now.is_continuation_of(last) || last.counts.len() != now.counts.len() {
             return None;
         }
         let pairs = now.counts.iter().zip(&last.counts);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -21,7 +21,7 @@
 
 use anyhow::Context;
 use berylhook_calls::serve;
-use berylhook_experts::switching::{OrderAnswer, RankOrder, RankReport};
+use berylhook_experts::switching::{CommandOutcome, RankCommand, RankReport};
 use berylhook_platform::rank::Engine;
 use serde::{Deserialize, Serialize};
 use tokio::runtime::Builder;
@@ -39,7 +39,7 @@
     /// The leader's fencing number.
     pub fence: u64,
     /// Orders to give first, one after the other.
-    pub orders: Vec<RankOrder>,
+    pub orders: Vec<RankCommand>,
     /// Which counts to read.
     pub counts: CountsRequest,
     /// Whether to read which experts the rank holds.
@@ -56,7 +56,7 @@
     /// nothing was relayed then.
     pub fenced_by: Option<u64>,
     /// What became of the orders.
-    pub orders: Vec<OrderAnswer>,
+    pub orders: Vec<CommandOutcome>,
     /// The engine's report, read after the orders.
     pub report: Option<RankReport>,
     /// Its counts.
@@ -85,7 +85,7 @@
         let given = if may_order {
             engine.order(order).await
         } else {
-            OrderAnswer::Refused
+            CommandOutcome::Refused
         };
         answer.orders.push(given);
     }
