--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -175,7 +175,7 @@
 
     /// The store of the settings now in force.
     pub(crate) fn store_address(&self) -> SocketAddr {
-        self.shared.settings().store
+        self.shared.settings().store_address
     }
 
     pub(crate) fn count_store_call(&self, call: &'static str, result: &'static str) {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -157,7 +157,7 @@
 
     /// Where this entry answers its peers.
     pub(crate) fn own_address(&self) -> SocketAddr {
-        self.shared.settings().peers
+        self.shared.settings().peer_address
     }
 
     fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -56,7 +56,7 @@
 
     fn store(&self) -> Store {
         let eras = Arc::clone(&self.shared.eras);
-        Store::observed(self.shared.settings().store, eras)
+        Store::observed(self.shared.settings().store_address, eras)
     }
 
     fn peers(&self) -> Vec<SocketAddr> {
--- a/crates/entry/src/readiness.rs
+++ b/crates/entry/src/readiness.rs
@@ -4,16 +4,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
     /// Connections of callers are taken.
-    OpenAddress,
+    ListenerOpen,
     /// A configuration is in force.
     Configuration,
     /// It is known which requests are held back.
-    Holds,
+    QuarantineLoaded,
 }
 
 impl Requirement {
     /// All of them.
-    pub const ALL: [Self; 3] = [Self::OpenAddress, Self::Configuration, Self::Holds];
+    pub const ALL: [Self; 3] = [
+        Self::ListenerOpen,
+        Self::Configuration,
+        Self::QuarantineLoaded,
+    ];
 }
 
 /// Whether an entry that meets these requirements can serve callers.
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -48,7 +48,7 @@
     let settings = EntrySettings::load(path)?;
     berylhook_logs::start(&settings.log_level)?;
     let name = Arc::clone(&settings.name);
-    log::info!(name = &*name, callers:% = settings.callers, store:% = settings.store; "starting");
+    log::info!(name = &*name, callers:% = settings.caller_address, store:% = settings.store_address; "starting");
     let shared = Arc::new(Shared::new(settings));
     let (started, has_started) = oneshot::channel();
     let (ended, has_ended) = oneshot::channel();
@@ -82,9 +82,9 @@
 /// Carries traffic until the process closes and its callers are gone.
 fn traffic(shared: &Arc<Shared>, started: oneshot::Sender<()>) -> anyhow::Result<()> {
     runtime()?.block_on(async {
-        let listener = listen(shared.settings().callers)?;
+        let listener = listen(shared.settings().caller_address)?;
         shared.set_listening();
-        log::info!(callers:% = shared.settings().callers; "listening for callers");
+        log::info!(callers:% = shared.settings().caller_address; "listening for callers");
         // Nobody waits any more if control has failed to start.
         let _ = started.send(());
         serve_callers(listener, Arc::clone(shared)).await;
@@ -126,7 +126,7 @@
     tokio::spawn(berylhook_groups::run(Candidate {
         engine_updates: engine_news,
         name: Arc::clone(&shared.settings().name),
-        store: shared.settings().store,
+        store: shared.settings().store_address,
         era_observer: Arc::clone(&shared.eras) as _,
         agent_port: shared.settings().agent_port,
         services: control.members.subscribe(),
@@ -176,7 +176,7 @@
     match EntrySettings::load(path) {
         Ok(settings) if settings == *shared.settings() => {}
         Ok(settings) => {
-            log::info!(seeds:? = settings.seeds, store:% = settings.store; "settings reloaded");
+            log::info!(seeds:? = settings.seeds, store:% = settings.store_address; "settings reloaded");
             shared.set_settings(settings);
         }
         Err(error) => log::error!(reason:% = error; "settings not reloaded"),
@@ -194,7 +194,7 @@
     keeper: &Arc<Replicator>,
     limits: &Arc<Limits>,
 ) -> anyhow::Result<()> {
-    let ready = listen(shared.settings().ready)?;
+    let ready = listen(shared.settings().readiness_address)?;
     let ready_shared = Arc::clone(shared);
     tokio::spawn(serve::serve(ready, move |_request| {
         let status = if ready_shared.is_ready() {
@@ -204,7 +204,7 @@
         };
         async move { serve::plain(status, "") }
     }));
-    let listener = listen(shared.settings().peers)?;
+    let listener = listen(shared.settings().peer_address)?;
     let (peers, keeper, limits) = (Arc::clone(peers), Arc::clone(keeper), Arc::clone(limits));
     tokio::spawn(serve::serve(listener, move |request| {
         let (peers, keeper, limits) =
@@ -217,7 +217,7 @@
             }
         }
     }));
-    if let Some(address) = shared.settings().metrics {
+    if let Some(address) = shared.settings().metrics_address {
         let listener = listen(address)?;
         let metrics_shared = Arc::clone(shared);
         tokio::spawn(serve::serve(listener, move |_request| {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -33,17 +33,17 @@
     /// takes more than the smallest VMs have.
     pub processor_share: f64,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the platform asks whether new connections are welcome.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where other entries ask for what this one knows.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where metrics are read, if anywhere.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// Other entries to begin with; some may be gone.
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Port of the agents beside the model engines.
     pub agent_port: u16,
     /// Time from the request to stop until the process is killed.
@@ -84,15 +84,15 @@
             name: Arc::clone(&node.required("name")?.value),
             data_centre: Arc::clone(&node.required("data_centre")?.value),
             processor_share: processor_share(node)?,
-            callers: listen.parse("callers", ADDRESS_REMEDY)?,
-            ready: listen.parse("ready", ADDRESS_REMEDY)?,
-            peers: listen.parse("peers", ADDRESS_REMEDY)?,
-            metrics: match listen.get("metrics") {
+            caller_address: listen.parse("callers", ADDRESS_REMEDY)?,
+            readiness_address: listen.parse("ready", ADDRESS_REMEDY)?,
+            peer_address: listen.parse("peers", ADDRESS_REMEDY)?,
+            metrics_address: match listen.get("metrics") {
                 Some(_) => Some(listen.parse("metrics", ADDRESS_REMEDY)?),
                 None => None,
             },
             seeds: seeds(&file)?,
-            store: store.parse("address", ADDRESS_REMEDY)?,
+            store_address: store.parse("address", ADDRESS_REMEDY)?,
             agent_port: agent_port(&file)?,
             grace_ms: grace_ms(&file)?,
             log_level: log_level(&file)?,
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -92,7 +92,7 @@
 impl Shared {
     pub(crate) fn new(settings: EntrySettings) -> Self {
         let own = Member {
-            address: settings.peers,
+            address: settings.peer_address,
             data_centre: Arc::clone(&settings.data_centre),
             demand_per_s: None,
         };
@@ -143,9 +143,9 @@
 
     fn meets(&self, requirement: Requirement) -> bool {
         match requirement {
-            Requirement::OpenAddress => self.is_listening.load(Ordering::Relaxed),
+            Requirement::ListenerOpen => self.is_listening.load(Ordering::Relaxed),
             Requirement::Configuration => self.configuration.load().is_some(),
-            Requirement::Holds => !self.suspects.is_uninformed(),
+            Requirement::QuarantineLoaded => !self.suspects.is_uninformed(),
         }
     }
 
