--- a/crates/berylhook/src/serve/attempt.rs
+++ b/crates/berylhook/src/serve/attempt.rs
@@ -1,20 +1,20 @@
 //! One attempt: an order on one link, and the frames that answer it.
 //!
-//! What the frames mean is decided by [`Exchange`]; here they are received,
+//! What the frames mean is decided by [`AttemptState`]; here they are received,
 //! credit is given back, and a revoke is carried to its end.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use berylhook_core::exchange::{Action, Event, Exchange, Verdict};
+use berylhook_core::attempt::{Action, AttemptState, Event, Verdict};
 use berylhook_core::ids::{Incarnation, RequestId};
 use berylhook_core::outcome::{Outcome, Refusal};
-use berylhook_core::route::Sent;
+use berylhook_core::route::SentRequest;
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Cancel, Credit, Data, End, Head, Refused, Revoke, Start};
-use berylhook_quarantine::{Clearance, HeldBack, Patience};
+use berylhook_quarantine::{QuarantineRejection, RunClearance, WaitLimits};
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::fleet::Target;
@@ -52,11 +52,11 @@
     registration: Option<Registration>,
     identity: Arc<Identity>,
     /// What the request needed to be sent; given back with the attempt.
-    clearance: Clearance,
+    clearance: RunClearance,
     /// Until when the target may be at work on the run; `None` once the agent has told
     /// what became of it, or cannot tell any more.
     runs_until: Option<Instant>,
-    exchange: Exchange,
+    exchange: AttemptState,
     start_by_ms: u64,
     sent_ms: MonoMs,
     deadline: Instant,
@@ -92,12 +92,12 @@
         }
     }
 
-    fn turn_patience(&self) -> Patience {
+    fn turn_patience(&self) -> WaitLimits {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let start_within = Duration::from_millis(self.start_within_ms);
-        Patience {
-            turn: start_within.min(left).mul_f64(TURN_SHARE),
-            answer: left,
+        WaitLimits {
+            lock_wait: start_within.min(left).mul_f64(TURN_SHARE),
+            response_wait: left,
         }
     }
 }
@@ -112,13 +112,13 @@
         node: &Arc<Node>,
         target: Arc<Target>,
         order: &Order,
-        mut clearance: Clearance,
-    ) -> Result<Option<Self>, HeldBack> {
+        mut clearance: RunClearance,
+    ) -> Result<Option<Self>, QuarantineRejection> {
         let identity = &order.identity;
         let patience = order.turn_patience();
         let suspects = &node.suspects;
         suspects
-            .clear(&**identity, &mut clearance, patience)
+            .acquire_clearance(&**identity, &mut clearance, patience)
             .await?;
         // Nothing may be awaited between leave to go and the order.
         let Some(connection) = target.link.connection() else {
@@ -135,8 +135,8 @@
             deadline_after_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             ..order.start.clone()
         };
-        let mut exchange = Exchange::new();
-        let sent = Sent {
+        let mut exchange = AttemptState::new();
+        let sent = SentRequest {
             blocks: &order.blocks,
             is_stream: order.is_stream,
         };
@@ -157,7 +157,7 @@
             awaits_first_data: true,
             home_hint: None,
             retry_after_ms: None,
-            exchange: Exchange::new(),
+            exchange: AttemptState::new(),
             connection,
         };
         if !attempt.connection.send(id, Kind::Start(start)) {
@@ -171,7 +171,7 @@
     }
 
     /// Gives what a run that goes on with this one needs.
-    pub(crate) fn take_clearance(&mut self) -> Clearance {
+    pub(crate) fn take_clearance(&mut self) -> RunClearance {
         std::mem::take(&mut self.clearance)
     }
 
@@ -206,7 +206,7 @@
                     }
                     _ => {}
                 },
-                Action::AskRevoke => {
+                Action::SendRevoke => {
                     let verdict = self.revoke().await;
                     return self.over(verdict);
                 }
@@ -253,7 +253,7 @@
         on_run_end(&self.node, &self.identity, self.clearance.runs_alone(), end);
         Event::End {
             frames: end.frames,
-            whole: end.whole,
+            is_complete: end.whole,
         }
     }
 
@@ -268,7 +268,7 @@
             // "Unknown", or a reason of a newer version: nothing is proved.
             _ => Event::End {
                 frames: 0,
-                whole: false,
+                is_complete: false,
             },
         }
     }
--- a/crates/berylhook/src/serve/dispatch.rs
+++ b/crates/berylhook/src/serve/dispatch.rs
@@ -4,12 +4,12 @@
 use std::sync::atomic::Ordering;
 
 use berylhook_caller::{Call, CallFuture, Gateway, Refused, Reply, ReplyBody};
-use berylhook_core::exchange::Verdict;
+use berylhook_core::attempt::Verdict;
 use berylhook_core::ids::RequestId;
 use berylhook_core::outcome::Outcome;
-use berylhook_core::retry::{self, Next};
+use berylhook_core::retry::{self, RetryDecision};
 use berylhook_operator::{Catalogue, Repeat};
-use berylhook_quarantine::{Clearance, HeldBack};
+use berylhook_quarantine::{QuarantineRejection, RunClearance};
 use tokio::time::Instant;
 
 use super::attempt::Attempt;
@@ -117,7 +117,7 @@
             };
             job.failed.push(target.id);
             job.may_have_run |= verdict.outcome == Outcome::Unknown;
-            if next_step(&job, verdict) == Next::Tell {
+            if next_step(&job, verdict) == RetryDecision::ReportToCaller {
                 let refused = tell(&job, verdict, attempt.retry_after_ms);
                 return Err(job.refuse(refused));
             }
@@ -129,8 +129,8 @@
         &self,
         job: &mut Job,
         target: &Arc<Target>,
-    ) -> Result<Option<Attempt>, HeldBack> {
-        let clearance = Clearance::default();
+    ) -> Result<Option<Attempt>, QuarantineRejection> {
+        let clearance = RunClearance::default();
         let begun = Attempt::begin(&self.node, Arc::clone(target), &job.order, clearance).await?;
         let Some(attempt) = begun else {
             return Ok(None);
@@ -149,15 +149,15 @@
     }
 }
 
-fn next_step(job: &Job, verdict: Verdict) -> Next {
+fn next_step(job: &Job, verdict: Verdict) -> RetryDecision {
     let verdict = Verdict {
         // Nothing of a collected answer has reached the caller.
         begun: false,
         ..verdict
     };
     if Instant::now() >= job.order.deadline {
-        return Next::Tell;
+        return RetryDecision::ReportToCaller;
     }
     let mut budget = lock(&job.service.budget);
-    retry::after(verdict, true, job.attempts, &mut budget)
+    retry::decide(verdict, true, job.attempts, &mut budget)
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -10,13 +10,13 @@
 
 use berylhook_core::position::Position;
 use berylhook_core::time::MonoMs;
-use berylhook_groups::Members;
+use berylhook_groups::ExpertService;
 use berylhook_platform::documents;
 use berylhook_platform::store::{OwnItem, Store, StoreEvent, Watched};
-use berylhook_quarantine::kept;
+use berylhook_quarantine::stored;
 use berylhook_traffic::configuration::Service;
-use berylhook_traffic::directory::{Change, Directory, Listing, Unusable};
-use berylhook_traffic::unusable::{UnusableEntries, unusable};
+use berylhook_traffic::directory::{Directory, InvalidEntry, Listing, ListingChange};
+use berylhook_traffic::invalid_entries::{InvalidEntryTracker, invalid_entries};
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
 
 struct State {
     directory: Directory,
-    unusable: UnusableEntries,
+    unusable: InvalidEntryTracker,
     document: Option<Arc<[u8]>>,
     version: u64,
 }
@@ -85,7 +85,7 @@
     /// Rises with each change of a key of this project's own.
     pub(crate) own_keys: watch::Sender<u64>,
     /// The services with expert-parallel groups, and their engines.
-    pub(crate) members: watch::Sender<Vec<Members>>,
+    pub(crate) members: watch::Sender<Vec<ExpertService>>,
     /// Topics for which the store does not answer this process.
     silent: Mutex<IndexSet<Followed>>,
     /// Whether the store answers this process.
@@ -98,7 +98,7 @@
             shared,
             state: Mutex::new(State {
                 directory: Directory::default(),
-                unusable: UnusableEntries::default(),
+                unusable: InvalidEntryTracker::default(),
                 document: None,
                 version: 0,
             }),
@@ -175,7 +175,7 @@
 
     /// The store of the settings now in force.
     pub(crate) fn store_address(&self) -> SocketAddr {
-        self.shared.settings().store
+        self.shared.settings().store_address
     }
 
     pub(crate) fn count_store_call(&self, call: &'static str, result: &'static str) {
@@ -184,7 +184,7 @@
 
     /// Takes over what the store keeps of requests under which targets end.
     pub(crate) fn take_quarantine(&self, items: &[OwnItem], position: Position) {
-        self.shared.suspects.take_items(items, position);
+        self.shared.suspects.apply_items(items, position);
     }
 
     pub(crate) fn now_ms(&self) -> MonoMs {
@@ -220,14 +220,14 @@
                     self.take_document(&mut state, document, "store");
                 }
                 StoreEvent::Target(change) => {
-                    if !matches!(change, Change::Unusable(_)) {
+                    if !matches!(change, ListingChange::Invalid(_)) {
                         log::info!(revision = revised.position.revision, change:? = change; "target changed");
                     }
                     state.directory.apply(change, revised.position, now_ms);
                 }
-                StoreEvent::Own { key, value } if key.starts_with(kept::PREFIX) => {
+                StoreEvent::Own { key, value } if key.starts_with(stored::PREFIX) => {
                     let suspects = &self.shared.suspects;
-                    suspects.take_item(&key, value.as_deref(), revised.position);
+                    suspects.apply_item(&key, value.as_deref(), revised.position);
                 }
                 StoreEvent::Own { .. } => self.own_keys.send_modify(|count| *count += 1),
             }
@@ -254,8 +254,8 @@
 
     fn publish(&self, state: &mut State) {
         let configuration = self.shared.configuration();
-        let unusable = unusable(state.directory.listing(), configuration.as_deref());
-        self.tell_unusable(&state.unusable.news(unusable));
+        let unusable = invalid_entries(state.directory.listing(), configuration.as_deref());
+        self.tell_unusable(&state.unusable.unreported(unusable));
         self.shared.set_targets(state.directory.usable());
         self.changes.send_modify(|count| *count += 1);
         let members = self.members(state);
@@ -266,7 +266,7 @@
         });
     }
 
-    fn tell_unusable(&self, news: &[Unusable]) {
+    fn tell_unusable(&self, news: &[InvalidEntry]) {
         let count = news.len();
         self.shared.metrics.count_unusable_entries(count);
         for entry in news.iter().take(MOST_UNUSABLE_LINES) {
@@ -277,7 +277,7 @@
         }
     }
 
-    fn members(&self, state: &State) -> Vec<Members> {
+    fn members(&self, state: &State) -> Vec<ExpertService> {
         let Some(configuration) = self.shared.configuration() else {
             return Vec::new();
         };
@@ -285,8 +285,8 @@
         let services = configuration.services();
         services
             .filter_map(|service| Some((service, experts(service)?)))
-            .map(|(service, model)| Members {
-                service: Arc::clone(&service.name),
+            .map(|(service, model)| ExpertService {
+                name: Arc::clone(&service.name),
                 model,
                 engines: state
                     .directory
@@ -311,7 +311,7 @@
 
     pub(crate) fn store_returned(&self) {
         let now_ms = self.shared.clock.now_ms();
-        self.lock().directory.store_returned(now_ms);
+        self.lock().directory.on_store_recovered(now_ms);
     }
 
     fn next_expiry(&self) -> Option<Duration> {
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -9,7 +9,7 @@
 use anyhow::Context;
 use berylhook_calls::serve;
 use berylhook_groups::Candidate;
-use berylhook_quarantine::Keeper;
+use berylhook_quarantine::Replicator;
 use hyper::StatusCode;
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
@@ -48,7 +48,7 @@
     let settings = EntrySettings::load(path)?;
     berylhook_logs::start(&settings.log_level)?;
     let name = Arc::clone(&settings.name);
-    log::info!(name = &*name, callers:% = settings.callers, store:% = settings.store; "starting");
+    log::info!(name = &*name, callers:% = settings.caller_address, store:% = settings.store_address; "starting");
     let shared = Arc::new(Shared::new(settings));
     let (started, has_started) = oneshot::channel();
     let (ended, has_ended) = oneshot::channel();
@@ -82,9 +82,9 @@
 /// Carries traffic until the process closes and its callers are gone.
 fn traffic(shared: &Arc<Shared>, started: oneshot::Sender<()>) -> anyhow::Result<()> {
     runtime()?.block_on(async {
-        let listener = listen(shared.settings().callers)?;
+        let listener = listen(shared.settings().caller_address)?;
         shared.set_listening();
-        log::info!(callers:% = shared.settings().callers; "listening for callers");
+        log::info!(callers:% = shared.settings().caller_address; "listening for callers");
         // Nobody waits any more if control has failed to start.
         let _ = started.send(());
         serve_callers(listener, Arc::clone(shared)).await;
@@ -113,7 +113,7 @@
         shared: Arc::clone(&shared),
         peers: Arc::clone(&peers),
     });
-    let keeper = Arc::new(Keeper::new(Arc::clone(&shared.suspects), surroundings));
+    let keeper = Arc::new(Replicator::new(Arc::clone(&shared.suspects), surroundings));
     let limits = Arc::new(Limits::new(Arc::clone(&shared), Arc::clone(&peers)));
     spawn_servers(&shared, &peers, &keeper, &limits)?;
     tokio::spawn(keeper.run());
@@ -124,16 +124,16 @@
     let engine_news = watch::Sender::new(None);
     tokio::spawn(Arc::clone(&peers).share_engine_news(engine_news.subscribe()));
     tokio::spawn(berylhook_groups::run(Candidate {
-        engine_news,
+        engine_updates: engine_news,
         name: Arc::clone(&shared.settings().name),
-        store: shared.settings().store,
-        eras: Arc::clone(&shared.eras) as _,
+        store: shared.settings().store_address,
+        era_observer: Arc::clone(&shared.eras) as _,
         agent_port: shared.settings().agent_port,
-        members: control.members.subscribe(),
+        services: control.members.subscribe(),
         is_stopping: shared.is_stopping.subscribe(),
-        own_keys: control.own_keys.subscribe(),
-        has_larger_peer: shared.has_larger_peer.subscribe(),
-        transfer: peers.transfers(),
+        own_key_changes: control.own_keys.subscribe(),
+        has_peer_with_more_cpu: shared.has_larger_peer.subscribe(),
+        incoming_transfer: peers.transfers(),
         successors: Arc::clone(&peers) as _,
     }));
     tokio::spawn(limits.run());
@@ -176,7 +176,7 @@
     match EntrySettings::load(path) {
         Ok(settings) if settings == *shared.settings() => {}
         Ok(settings) => {
-            log::info!(seeds:? = settings.seeds, store:% = settings.store; "settings reloaded");
+            log::info!(seeds:? = settings.seeds, store:% = settings.store_address; "settings reloaded");
             shared.set_settings(settings);
         }
         Err(error) => log::error!(reason:% = error; "settings not reloaded"),
@@ -191,10 +191,10 @@
 fn spawn_servers(
     shared: &Arc<Shared>,
     peers: &Arc<Peers>,
-    keeper: &Arc<Keeper>,
+    keeper: &Arc<Replicator>,
     limits: &Arc<Limits>,
 ) -> anyhow::Result<()> {
-    let ready = listen(shared.settings().ready)?;
+    let ready = listen(shared.settings().readiness_address)?;
     let ready_shared = Arc::clone(shared);
     tokio::spawn(serve::serve(ready, move |_request| {
         let status = if ready_shared.is_ready() {
@@ -204,7 +204,7 @@
         };
         async move { serve::plain(status, "") }
     }));
-    let listener = listen(shared.settings().peers)?;
+    let listener = listen(shared.settings().peer_address)?;
     let (peers, keeper, limits) = (Arc::clone(peers), Arc::clone(keeper), Arc::clone(limits));
     tokio::spawn(serve::serve(listener, move |request| {
         let (peers, keeper, limits) =
@@ -217,7 +217,7 @@
             }
         }
     }));
-    if let Some(address) = shared.settings().metrics {
+    if let Some(address) = shared.settings().metrics_address {
         let listener = listen(address)?;
         let metrics_shared = Arc::clone(shared);
         tokio::spawn(serve::serve(listener, move |_request| {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use berylhook_quarantine::Suspects;
+use berylhook_quarantine::SuspectTracker;
 use berylhook_traffic::configuration::Configuration;
+use berylhook_traffic::engine_update::EngineUpdate;
 use berylhook_traffic::ownership::{Member, Membership};
-use berylhook_traffic::pace::EngineNews;
 use berylhook_traffic::target::Target;
 use indexmap::IndexMap;
 use tokio::sync::{Notify, watch};
@@ -66,7 +66,7 @@
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
     /// Requests under which targets end.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     /// The eras of the store.
     pub(crate) eras: Arc<Eras>,
     pub(crate) stage: watch::Sender<Stage>,
@@ -74,7 +74,7 @@
     is_listening: AtomicBool,
     pub(crate) connections: Connections,
     /// A leader's last word on the engines.
-    engine_news: watch::Sender<EngineNews>,
+    engine_news: watch::Sender<EngineUpdate>,
     /// The entries that share the targets.
     membership: Mutex<Membership>,
     /// Requests that have arrived since the start.
@@ -92,7 +92,7 @@
 impl Shared {
     pub(crate) fn new(settings: EntrySettings) -> Self {
         let own = Member {
-            address: settings.peers,
+            address: settings.peer_address,
             data_centre: Arc::clone(&settings.data_centre),
             demand_per_s: None,
         };
@@ -103,13 +103,15 @@
             arrivals: AtomicU64::new(0),
             settings: ArcSwap::from_pointee(settings),
             clock,
-            suspects: Arc::new(Suspects::new(Arc::clone(&metrics) as _).following_store()),
+            suspects: Arc::new(
+                SuspectTracker::new(Arc::clone(&metrics) as _).with_store_follower(),
+            ),
             metrics,
             eras: Arc::new(Eras::new()),
             stage: watch::Sender::new(Stage::Serving),
             is_listening: AtomicBool::new(false),
             connections: Connections(watch::Sender::new(0)),
-            engine_news: watch::Sender::new(EngineNews::default()),
+            engine_news: watch::Sender::new(EngineUpdate::default()),
             is_stopping: watch::Sender::new(false),
             has_larger_peer: watch::Sender::new(false),
             limits_changed: Notify::new(),
@@ -141,9 +143,9 @@
 
     fn meets(&self, requirement: Requirement) -> bool {
         match requirement {
-            Requirement::OpenAddress => self.is_listening.load(Ordering::Relaxed),
+            Requirement::ListenerOpen => self.is_listening.load(Ordering::Relaxed),
             Requirement::Configuration => self.configuration.load().is_some(),
-            Requirement::Holds => !self.suspects.is_ignorant(),
+            Requirement::QuarantineLoaded => !self.suspects.is_uninformed(),
         }
     }
 
@@ -171,7 +173,8 @@
         let targets: Vec<&Target> = usable.collect();
         let count = i64::try_from(targets.len()).unwrap_or(i64::MAX);
         self.metrics.targets.set(count);
-        self.suspects.on_listing(targets.iter().copied().map(place));
+        self.suspects
+            .on_target_list(targets.iter().copied().map(place));
         let mut services: Vec<&Arc<str>> = targets.iter().map(|target| &target.service).collect();
         services.sort();
         services.dedup();
@@ -187,7 +190,7 @@
     }
 
     /// Takes over a leader's word on the engines.
-    pub(crate) fn set_engine_news(&self, news: EngineNews) {
+    pub(crate) fn set_engine_news(&self, news: EngineUpdate) {
         let queues = self.queues.lock().expect("no holder panics").clone();
         for queue in queues.values() {
             queue.set_engine_news(&news);
