--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What one decision on the request path costs.
+//! Benchmarks of the decisions on the request path.
 
 use std::hint::black_box;
 
@@ -90,14 +90,14 @@
                 .collect(),
         });
     }
-    let (guilty, neighbour, unknown) = (digest(0), digest(63), digest(u64::MAX));
-    for (name, asked) in [
-        ("of 256 ends", guilty),
-        ("of one end", neighbour),
+    let (poison, innocent, unknown) = (digest(0), digest(63), digest(u64::MAX));
+    for (name, requested) in [
+        ("of 256 ends", poison),
+        ("of one end", innocent),
         ("unknown", unknown),
     ] {
         criterion.bench_function(&format!("standing of a request {name}"), |bencher| {
-            bencher.iter(|| full.status(black_box(asked), MonoMs(3_000), WallMs(1)));
+            bencher.iter(|| full.status(black_box(requested), MonoMs(3_000), WallMs(1)));
         });
     }
 }
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -1,5 +1,5 @@
-//! Compares routing policies on simulated engines: round robin, least in
-//! flight, two choices, prefix affinity alone, and this crate's router.
+//! Compares routing policies on simulated engines: round robin, fewest requests in
+//! flight, two random choices, prefix affinity alone, and this crate's router.
 //!
 //!     cargo run --release -p berylhook-core --example routing
 
@@ -15,10 +15,10 @@
 
 const ENTRIES: usize = 4;
 const SLOTS: usize = 16;
-const BLOCK_MS: u64 = 5;
-const STEP_MS: u64 = 5;
+const READ_BLOCK_MS: u64 = 5;
+const TOKEN_MS: u64 = 5;
 const PROMPT_BLOCKS: usize = 12;
-const CACHE_BLOCKS: usize = 2_000;
+const CACHE_CAPACITY_BLOCKS: usize = 2_000;
 const REPORT_LAG_MS: u64 = 1_000;
 const SILENT_FROM_MS: u64 = 800;
 
@@ -28,7 +28,7 @@
     LeastInFlight,
     TwoChoices,
     PrefixOnly,
-    Ours,
+    Berylhook,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -39,7 +39,7 @@
     OneSilent,
 }
 
-/// Small, fast and reproducible; only for choosing samples.
+/// Pseudo-random number generator (xorshift), reproducible across runs.
 struct Random(u64);
 
 impl Random {
@@ -65,17 +65,17 @@
 
 #[derive(Default)]
 struct Engine {
-    slow: u64,
-    silent: bool,
+    slowdown_factor: u64,
+    is_silent: bool,
     running: usize,
     queue: VecDeque<Job>,
     cached: HashSet<u64>,
-    order: VecDeque<u64>,
+    eviction_order: VecDeque<u64>,
     served: usize,
 }
 
 impl Engine {
-    /// Blocks of the prompt that are not cached; they are afterwards.
+    /// Reads a prompt into the cache; returns how many of its blocks were not cached.
     fn read(&mut self, blocks: &[u64]) -> u64 {
         let hits = blocks
             .iter()
@@ -83,11 +83,11 @@
             .count();
         for block in &blocks[hits..] {
             if self.cached.insert(*block) {
-                self.order.push_back(*block);
+                self.eviction_order.push_back(*block);
             }
         }
-        while self.order.len() > CACHE_BLOCKS {
-            if let Some(old) = self.order.pop_front() {
+        while self.eviction_order.len() > CACHE_CAPACITY_BLOCKS {
+            if let Some(old) = self.eviction_order.pop_front() {
                 self.cached.remove(&old);
             }
         }
@@ -98,7 +98,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    First {
+    FirstToken {
         engine: usize,
         entry: usize,
         sent_ms: u64,
@@ -117,15 +117,15 @@
     engines: Vec<Engine>,
     routers: Vec<Router>,
     in_flight: Vec<Vec<u32>>,
-    turn: usize,
+    next_round_robin: usize,
     random: Random,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    number: u64,
+    event_seq: u64,
     reports: VecDeque<(u64, Vec<(u32, u32)>)>,
-    first_ms: Vec<u64>,
+    first_token_ms: Vec<u64>,
     blocks_read: u64,
-    blocks_asked: u64,
-    lost: usize,
+    blocks_requested: u64,
+    unanswered: usize,
 }
 
 impl Simulation {
@@ -136,7 +136,7 @@
                 for id in 0..engines {
                     let id = TargetId(id as u32);
                     router.set_availability(id, Availability::Up);
-                    // A link is up only once the first report has come.
+                    // A target is up only once its first load report has arrived.
                     if let Some(load) = router.load_mut(id) {
                         load.on_load_report(0, 0, SLOTS as u32, MonoMs(0));
                     }
@@ -149,50 +149,50 @@
             scenario,
             engines: (0..engines)
                 .map(|_| Engine {
-                    slow: 1,
+                    slowdown_factor: 1,
                     ..Engine::default()
                 })
                 .collect(),
             routers,
             in_flight: vec![vec![0; engines]; ENTRIES],
-            turn: 0,
+            next_round_robin: 0,
             random: Random(0x9e37_79b9_7f4a_7c15),
             events: BinaryHeap::new(),
-            number: 0,
+            event_seq: 0,
             reports: VecDeque::new(),
-            first_ms: Vec::new(),
+            first_token_ms: Vec::new(),
             blocks_read: 0,
-            blocks_asked: 0,
-            lost: 0,
+            blocks_requested: 0,
+            unanswered: 0,
         };
         if scenario == Scenario::OneSlow {
-            simulation.engines[engines / 2].slow = 5;
+            simulation.engines[engines / 2].slowdown_factor = 5;
         }
         simulation
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at_ms, self.number, event)));
+    fn schedule(&mut self, at_ms: u64, event: Event) {
+        self.event_seq += 1;
+        self.events.push(Reverse((at_ms, self.event_seq, event)));
     }
 
     fn run(&mut self, requests: usize, gap_us: u64) {
         for index in 0..requests {
-            self.at(index as u64 * gap_us / 1_000, Event::Arrive);
+            self.schedule(index as u64 * gap_us / 1_000, Event::Arrive);
         }
         let end_ms = requests as u64 * gap_us / 1_000 + 5_000;
         for at_ms in (0..end_ms).step_by(250) {
-            self.at(at_ms, Event::Report);
+            self.schedule(at_ms, Event::Report);
         }
         while let Some(Reverse((now_ms, _, event))) = self.events.pop() {
             match event {
                 Event::Arrive => self.arrive(now_ms),
-                Event::First {
+                Event::FirstToken {
                     engine,
                     entry,
                     sent_ms,
                 } => {
-                    self.first_ms.push(now_ms - sent_ms);
+                    self.first_token_ms.push(now_ms - sent_ms);
                     let id = TargetId(engine as u32);
                     if let Some(load) = self.routers[entry].load_mut(id) {
                         load.on_first_token(MonoMs(sent_ms), MonoMs(now_ms));
@@ -207,18 +207,18 @@
             }
         }
         let waiting: usize = self.engines.iter().map(|engine| engine.queue.len()).sum();
-        self.lost += waiting;
+        self.unanswered += waiting;
     }
 
     fn job(&mut self, now_ms: u64) -> Job {
-        // As many accounts for each engine whatever their number.
+        // The number of accounts per engine does not depend on the fleet size.
         let accounts = 12 * self.engines.len();
         let account = match self.scenario {
             Scenario::SkewedAccounts if self.random.below(2) == 0 => self.random.below(5),
             _ => self.random.below(accounts),
         };
         let own = self.random.next();
-        // Three quarters of a prompt are the account's own prefix.
+        // The first three quarters of a prompt are common to all prompts of the account.
         let shared = PROMPT_BLOCKS * 3 / 4;
         let blocks = (0..PROMPT_BLOCKS)
             .map(|block| {
@@ -240,7 +240,7 @@
     fn arrive(&mut self, now_ms: u64) {
         if self.scenario == Scenario::OneSilent && now_ms >= SILENT_FROM_MS {
             let middle = self.engines.len() / 2;
-            self.engines[middle].silent = true;
+            self.engines[middle].is_silent = true;
         }
         let job = self.job(now_ms);
         let engine = self.pick(&job, now_ms);
@@ -251,7 +251,7 @@
             is_stream: true,
         };
         self.routers[job.entry].on_dispatch(id, &sent, MonoMs(now_ms));
-        self.blocks_asked += job.blocks.len() as u64;
+        self.blocks_requested += job.blocks.len() as u64;
         self.engines[engine].queue.push_back(job);
         self.start(engine, now_ms);
     }
@@ -261,12 +261,14 @@
         let own = &self.in_flight[job.entry];
         match self.policy {
             Policy::RoundRobin => {
-                self.turn += 1;
-                self.turn % count
+                self.next_round_robin += 1;
+                self.next_round_robin % count
             }
             Policy::LeastInFlight => {
-                let least = own.iter().min().copied().unwrap_or(0);
-                let tied: Vec<usize> = (0..count).filter(|engine| own[*engine] == least).collect();
+                let min_in_flight = own.iter().min().copied().unwrap_or(0);
+                let tied: Vec<usize> = (0..count)
+                    .filter(|engine| own[*engine] == min_in_flight)
+                    .collect();
                 tied[self.random.below(tied.len())]
             }
             Policy::TwoChoices => {
@@ -278,7 +280,7 @@
                 }
             }
             Policy::PrefixOnly => (job.blocks[0] >> 32) as usize * 7_919 % count,
-            Policy::Ours => {
+            Policy::Berylhook => {
                 let random = &mut self.random;
                 let query = RouteQuery {
                     blocks: &job.blocks,
@@ -286,18 +288,18 @@
                 };
                 let picked = self.routers[job.entry]
                     .pick(&query, MonoMs(now_ms), &mut || random.next())
-                    .expect("engines are up");
+                    .expect("all engines are up");
                 picked.0 as usize
             }
         }
     }
 
-    fn start(&mut self, number: usize, now_ms: u64) {
-        let engine = &mut self.engines[number];
-        if engine.silent {
+    fn start(&mut self, index: usize, now_ms: u64) {
+        let engine = &mut self.engines[index];
+        if engine.is_silent {
             return;
         }
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         while engine.running < SLOTS {
             let Some(job) = engine.queue.pop_front() else {
                 break;
@@ -306,24 +308,25 @@
             engine.served += 1;
             let uncached = engine.read(&job.blocks);
             self.blocks_read += uncached;
-            let first_ms = now_ms + (uncached * BLOCK_MS + STEP_MS) * engine.slow;
-            let end_ms = first_ms + job.tokens * STEP_MS * engine.slow;
-            begun.push((job, first_ms, end_ms));
+            let first_token_ms =
+                now_ms + (uncached * READ_BLOCK_MS + TOKEN_MS) * engine.slowdown_factor;
+            let end_ms = first_token_ms + job.tokens * TOKEN_MS * engine.slowdown_factor;
+            started.push((job, first_token_ms, end_ms));
         }
-        for (job, first_ms, end_ms) in begun {
+        for (job, first_token_ms, end_ms) in started {
             let (entry, sent_ms) = (job.entry, job.sent_ms);
-            self.at(
-                first_ms,
-                Event::First {
-                    engine: number,
+            self.schedule(
+                first_token_ms,
+                Event::FirstToken {
+                    engine: index,
                     entry,
                     sent_ms,
                 },
             );
-            self.at(
+            self.schedule(
                 end_ms,
                 Event::End {
-                    engine: number,
+                    engine: index,
                     entry,
                     sent_ms,
                 },
@@ -351,14 +354,14 @@
         while self
             .reports
             .front()
-            .is_some_and(|(taken, _)| now_ms - taken > REPORT_LAG_MS)
+            .is_some_and(|(taken_ms, _)| now_ms - taken_ms > REPORT_LAG_MS)
         {
             let Some((taken_ms, loads)) = self.reports.pop_front() else {
                 return;
             };
             for router in &mut self.routers {
                 for (engine, (running, waiting)) in loads.iter().enumerate() {
-                    if self.engines[engine].silent {
+                    if self.engines[engine].is_silent {
                         continue;
                     }
                     if let Some(load) = router.load_mut(TargetId(engine as u32)) {
@@ -376,7 +379,7 @@
         ("least in flight", Policy::LeastInFlight),
         ("two choices", Policy::TwoChoices),
         ("prefix only", Policy::PrefixOnly),
-        ("berylhook", Policy::Ours),
+        ("berylhook", Policy::Berylhook),
     ];
     let scenarios = [
         ("steady", Scenario::Steady),
@@ -392,22 +395,25 @@
         for (scenario_name, scenario) in scenarios {
             for (policy_name, policy) in policies {
                 let mut simulation = Simulation::new(policy, scenario, engines);
-                // About 60% of the engines' slots are busy.
+                // The load occupies about 60% of the engines' slots.
                 let requests = engines * if engines > 100 { 60 } else { 600 };
                 simulation.run(requests, 33_000 / engines as u64);
-                let first = &mut simulation.first_ms;
+                let first = &mut simulation.first_token_ms;
                 first.sort_unstable();
-                let at = |quantile: f64| first[((first.len() - 1) as f64 * quantile) as usize];
-                let most = simulation.engines.iter().map(|engine| engine.served).max();
+                let quantile_ms =
+                    |quantile: f64| first[((first.len() - 1) as f64 * quantile) as usize];
+                let max_served = simulation.engines.iter().map(|engine| engine.served).max();
                 let mean = first.len() as f64 / engines as f64;
                 println!(
                     "{engines:>7}  {scenario_name:<15}  {policy_name:<15}  {:>6}  {:>6}  {:>6}  {:>5.1}%  {:>9.2}  {:>10}",
-                    at(0.5),
-                    at(0.95),
-                    at(0.99),
-                    100.0 * (1.0 - simulation.blocks_read as f64 / simulation.blocks_asked as f64),
-                    most.unwrap_or(0) as f64 / mean,
-                    simulation.lost,
+                    quantile_ms(0.5),
+                    quantile_ms(0.95),
+                    quantile_ms(0.99),
+                    100.0
+                        * (1.0
+                            - simulation.blocks_read as f64 / simulation.blocks_requested as f64),
+                    max_served.unwrap_or(0) as f64 / mean,
+                    simulation.unanswered,
                 );
             }
         }
@@ -439,7 +445,7 @@
             };
             let picked = router
                 .pick(&query, MonoMs(round as u64), &mut || random.next())
-                .expect("engines are up");
+                .expect("all engines are up");
             if round % 8 == 0 {
                 let sent = SentRequest {
                     blocks,
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,75 +1,76 @@
-//! What one dispatched attempt means to its caller.
+//! State machine of one dispatched attempt, and the outcome reported to the caller.
 //!
-//! The entry feeds every event of an attempt into an [`AttemptState`] and does
-//! what it says. The rules:
+//! The entry passes every event of an attempt to [`AttemptState::on`] and
+//! carries out the returned [`Action`]. The rules:
 //!
-//! - Data frames are numbered. The next number is delivered, an earlier one
-//!   is a duplicate and dropped, a later one means frames were lost, and the
-//!   answer is cut visibly rather than delivered with a hole.
-//! - An answer is whole only when the end frame's count matches.
-//! - "Not run" is said only when the order was never sent, or the agent
-//!   refused it, or the agent answered a revoke with "will not run".
-//! - Once a revoke is asked, an answer that still arrives is dropped: the
-//!   agent's word on the revoke decides.
-//! - Everything else that ends without an answer is unknown.
+//! - Data frames are numbered. The expected number is delivered, an earlier
+//!   number is a duplicate and dropped, and a later number means that frames
+//!   were lost: the response is aborted rather than delivered with a gap.
+//! - A response is complete only if the end frame's count matches the number
+//!   of delivered data frames.
+//! - The outcome is "not run" only if the run command was never sent, the
+//!   agent refused it, or the agent replied "will not run" to a revoke.
+//! - Response frames that arrive after a revoke was sent are dropped: the
+//!   agent's reply to the revoke decides the outcome.
+//! - In all other cases without a complete response the outcome is unknown.
 
 use crate::outcome::{Outcome, Refusal};
 use crate::start_gate::RevokeReply;
 
-/// Something that happened to the attempt.
+/// An event of the attempt, as input to the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The order was handed to the connection, so bytes may have left.
+    /// The run command was passed to the connection; some of its bytes may have been sent.
     Sent,
-    /// The answer's head arrived.
+    /// The head of the response (status and headers) arrived.
     Head,
     /// Data frame number `seq` arrived; the first is 0.
     Data {
-        /// Position of the frame in the answer.
+        /// Position of the frame in the response.
         seq: u64,
     },
-    /// The explicit end arrived.
+    /// The end frame of the response arrived.
     End {
-        /// Data frames the agent sent in all.
+        /// Total number of data frames that the agent sent.
         frames: u64,
-        /// Whether the target's own answer was whole.
+        /// Whether the agent received the target's complete response.
         is_complete: bool,
     },
-    /// The agent refused the order.
+    /// The agent refused the run command.
     Refused(Refusal),
-    /// The connection to the agent is gone.
+    /// The connection to the agent was lost.
     LinkLost,
-    /// The agent answered a revoke.
+    /// The agent replied to a revoke.
     Revoke(RevokeReply),
-    /// The revoke could not be settled in time.
+    /// The agent did not reply to the revoke in time.
     RevokeTimedOut,
     /// The caller's deadline passed.
     DeadlinePassed,
 }
 
-/// What to do about an event.
+/// What the entry must do in response to an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing more for now.
+    /// Wait for the next event.
     Wait,
-    /// Pass the head or frame on to the caller.
+    /// Forward the head or frame to the caller.
     Deliver,
-    /// Late, duplicate or foreign: drop it and count it.
+    /// Drop the late, duplicate or unexpected frame and count it.
     Drop,
-    /// Ask the agent to revoke the order.
+    /// Ask the agent to revoke the run command.
     SendRevoke,
-    /// The attempt is over.
+    /// End the attempt with this verdict.
     Finish(Verdict),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// What the caller may be told.
+    /// The outcome to report to the caller.
     pub outcome: Outcome,
-    /// Whether the caller already holds a part of the answer.
+    /// Whether a part of the response was already forwarded to the caller.
     pub begun: bool,
-    /// Why the agent refused, where it did.
+    /// Why the agent refused the run command; `None` if it did not.
     pub refusal: Option<Refusal>,
 }
 
@@ -77,9 +78,9 @@
 enum Phase {
     Unsent,
     Sent,
-    Answering,
+    Responding,
     Revoking,
-    Over,
+    Finished,
 }
 
 /// The state of one attempt.
@@ -96,7 +97,7 @@
 }
 
 impl AttemptState {
-    /// An attempt that has not been sent.
+    /// Creates the state of an attempt that has not been sent.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -105,26 +106,26 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Processes one event and returns the action to take.
     pub fn on(&mut self, event: Event) -> Action {
         match (self.phase, event) {
-            (Phase::Over, _) => Action::Drop,
-            (Phase::Unsent, Event::Sent) => self.wait_in(Phase::Sent),
+            (Phase::Finished, _) => Action::Drop,
+            (Phase::Unsent, Event::Sent) => self.enter_and_wait(Phase::Sent),
             (Phase::Unsent, Event::LinkLost | Event::DeadlinePassed) => {
                 self.finish(Outcome::NotRun, None)
             }
             (Phase::Unsent, _) => Action::Drop,
-            (_, Event::Refused(refusal)) => self.refused(refusal),
+            (_, Event::Refused(refusal)) => self.on_refused(refusal),
             (Phase::Sent, Event::Head) => {
-                self.phase = Phase::Answering;
+                self.phase = Phase::Responding;
                 Action::Deliver
             }
-            // The agent could not say more: the run failed before its answer
-            // began, or its record of the key is gone.
+            // An end without a head: the run failed before the target's response
+            // began, or the agent no longer has the record of the key.
             (Phase::Sent, Event::End { .. }) => self.finish(Outcome::Unknown, None),
-            (Phase::Answering, Event::Data { seq }) => self.data(seq),
+            (Phase::Responding, Event::Data { seq }) => self.on_data(seq),
             (
-                Phase::Answering,
+                Phase::Responding,
                 Event::End {
                     frames,
                     is_complete,
@@ -134,7 +135,7 @@
                 self.phase = Phase::Revoking;
                 Action::SendRevoke
             }
-            (Phase::Answering, Event::LinkLost | Event::DeadlinePassed) => {
+            (Phase::Responding, Event::LinkLost | Event::DeadlinePassed) => {
                 self.finish(Outcome::Unknown, None)
             }
             (Phase::Revoking, Event::Revoke(RevokeReply::WillNotRun)) => {
@@ -148,19 +149,19 @@
         }
     }
 
-    fn wait_in(&mut self, phase: Phase) -> Action {
+    fn enter_and_wait(&mut self, phase: Phase) -> Action {
         self.phase = phase;
         Action::Wait
     }
 
-    fn refused(&mut self, refusal: Refusal) -> Action {
+    fn on_refused(&mut self, refusal: Refusal) -> Action {
         match self.phase {
             Phase::Sent | Phase::Revoking => self.finish(Outcome::NotRun, Some(refusal)),
             _ => Action::Drop,
         }
     }
 
-    fn data(&mut self, seq: u64) -> Action {
+    fn on_data(&mut self, seq: u64) -> Action {
         match seq {
             _ if seq < self.next_seq => Action::Drop,
             _ if seq > self.next_seq => self.finish(Outcome::Unknown, None),
@@ -171,8 +172,8 @@
         }
     }
 
-    fn end(&mut self, frames: u64, whole: bool) -> Action {
-        let outcome = if whole && frames == self.next_seq {
+    fn end(&mut self, frames: u64, is_complete: bool) -> Action {
+        let outcome = if is_complete && frames == self.next_seq {
             Outcome::Done
         } else {
             Outcome::Unknown
@@ -181,8 +182,8 @@
     }
 
     fn finish(&mut self, outcome: Outcome, refusal: Option<Refusal>) -> Action {
-        let begun = self.phase == Phase::Answering;
-        self.phase = Phase::Over;
+        let begun = self.phase == Phase::Responding;
+        self.phase = Phase::Finished;
         Action::Finish(Verdict {
             outcome,
             begun,
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -1,46 +1,45 @@
-//! How fast an entry uses up its error budget.
+//! Error-budget burn rates of a service over several time windows.
 //!
-//! Counts are kept in two rings of slots: fine ones for the last hour, coarse
-//! ones for the last days. A process that has run for less than a window
-//! reports what it has seen; nothing is kept over a restart.
+//! Counts are kept in two ring buffers of time slots: fine slots for the last
+//! hour and coarse slots for the last three days. A process that has run for
+//! less than a window reports the counts since its start; nothing is kept
+//! across a restart.
 
 use crate::time::MonoMs;
 
-/// Length of a fine slot.
 const FINE_SLOT_MS: u64 = 15_000;
 
-/// Fine slots kept: an hour.
+/// Number of fine slots: an hour in total.
 const FINE_SLOTS: usize = 240;
 
-/// Length of a coarse slot.
 const COARSE_SLOT_MS: u64 = 300_000;
 
-/// Coarse slots kept: three days.
+/// Number of coarse slots: three days in total.
 const COARSE_SLOTS: usize = 864;
 
-/// The windows reported, in seconds: 5 minutes, 1 hour, 6 hours, 3 days.
+/// Lengths of the reported windows in seconds: 5 minutes, 1 hour, 6 hours, 3 days.
 pub const WINDOWS_S: [u64; 4] = [300, 3_600, 21_600, 259_200];
 
-/// Counts of good and bad events.
+/// Counts of all and of bad events for the service-level objectives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SloCounts {
-    /// Requests that ended, but for those refused by the caller's own fault
-    /// or limit.
+    /// Completed or failed requests, without those refused because of an error or
+    /// a limit of the caller.
     pub requests: u64,
-    /// Of those, the ones not answered whole.
+    /// Requests among them without a complete response.
     pub failed: u64,
-    /// Answers that began.
+    /// Responses whose first token arrived.
     pub first_tokens: u64,
-    /// Of those, the ones that began too late.
+    /// First tokens among them that arrived later than the objective allows.
     pub slow_first_tokens: u64,
-    /// Gaps between two tokens.
+    /// Gaps between two tokens of a response.
     pub gaps: u64,
-    /// Of those, the ones too long.
+    /// Gaps among them that were longer than the objective allows.
     pub slow_gaps: u64,
 }
 
 impl SloCounts {
-    /// Adds another's counts to these.
+    /// Adds the counts of `other` to these.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.failed += other.failed;
@@ -51,12 +50,12 @@
     }
 }
 
-/// The burn rate of `bad` in `all` against an objective.
+/// Returns the burn rate for `bad` events among `all` events.
 ///
-/// 1 uses the budget up exactly over the objective's period; `None` where
-/// nothing was counted.
+/// A burn rate of 1 uses the error budget up exactly over the objective's period.
+/// Returns `None` if there were no events.
 #[must_use]
-#[allow(clippy::cast_precision_loss)] // counts of a few days fit
+#[allow(clippy::cast_precision_loss)] // counts of a few days are exact in an f64
 pub fn burn_rate(bad: u64, all: u64, objective_percent: f64) -> Option<f64> {
     if all == 0 {
         return None;
@@ -65,7 +64,7 @@
     Some(bad as f64 / all as f64 / budget)
 }
 
-/// The counts of one entry over time.
+/// The event counts of one service over the last three days.
 #[derive(Debug)]
 pub struct BurnLog {
     fine: Ring,
@@ -79,7 +78,7 @@
 }
 
 impl BurnLog {
-    /// A log with nothing in it.
+    /// Creates an empty log.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -88,13 +87,13 @@
         }
     }
 
-    /// Adds counts at `now_ms`.
+    /// Adds `counts` to the time slots that contain `now_ms`.
     pub fn record(&mut self, counts: &SloCounts, now_ms: MonoMs) {
         self.fine.record(counts, now_ms);
         self.coarse.record(counts, now_ms);
     }
 
-    /// The counts of the last `window_s` seconds.
+    /// Returns the counts of the last `window_s` seconds.
     #[must_use]
     pub fn window(&self, window_s: u64, now_ms: MonoMs) -> SloCounts {
         let window_ms = window_s * 1_000;
@@ -108,8 +107,9 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
-    /// Which stretch of time the slot holds; slots are reused in turn.
-    number: u64,
+    /// Number of the time interval that the slot holds, counted from 1; slots are
+    /// reused for later intervals.
+    interval: u64,
     counts: SloCounts,
 }
 
@@ -128,12 +128,12 @@
     }
 
     fn record(&mut self, counts: &SloCounts, now_ms: MonoMs) {
-        let number = now_ms.0 / self.slot_ms + 1;
-        let index = self.index(number);
+        let interval = now_ms.0 / self.slot_ms + 1;
+        let index = self.index(interval);
         let slot = &mut self.slots[index];
-        if slot.number != number {
+        if slot.interval != interval {
             *slot = Slot {
-                number,
+                interval,
                 counts: SloCounts::default(),
             };
         }
@@ -145,15 +145,15 @@
         let oldest = newest.saturating_sub(window_ms / self.slot_ms) + 1;
         let mut sum = SloCounts::default();
         for slot in &self.slots {
-            if (oldest..=newest).contains(&slot.number) {
+            if (oldest..=newest).contains(&slot.interval) {
                 sum.add(&slot.counts);
             }
         }
         sum
     }
 
-    #[allow(clippy::cast_possible_truncation)] // reduced below the length first
-    fn index(&self, number: u64) -> usize {
-        (number % self.slots.len() as u64) as usize
+    #[allow(clippy::cast_possible_truncation)] // the remainder is below the length
+    fn index(&self, interval: u64) -> usize {
+        (interval % self.slots.len() as u64) as usize
     }
 }
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -1,33 +1,32 @@
-//! Which requests are the same request, sent again.
+//! Digests that identify repeated requests.
 //!
-//! A caller that repeats a request gives it another attempt id and reaches another
-//! entry, perhaps with another key of its account. What stays is the method, the path
-//! with its query, the client account and the body, and the digest is made of these.
+//! When a caller repeats a request, the attempt id and the entry differ, and the API key
+//! may be another key of the same client account. The method, the path with its query,
+//! the client account and the body stay the same, so the digest covers these four.
 //!
-//! The digest is a cryptographic one. Requests that crash targets are held back by it:
-//! were it possible to make two requests with one digest, a caller could have another
-//! caller's requests held back.
+//! The hash is cryptographic because requests that crash targets are quarantined by
+//! their digest. If collisions could be constructed, one caller could get another
+//! caller's requests rejected.
 //!
-//! Bodies are neither kept nor logged; the digest stands for them.
+//! Request bodies are neither stored nor logged; the digest is used instead.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Bytes of a digest.
 const DIGEST_BYTES: usize = 32;
 
-/// What a request is made of, whoever carries it.
+/// The parts of a request that its digest covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
     /// The path with its query.
     pub path: &'a str,
-    /// The client account's name; `None` where requests carry no key.
+    /// The client account's name; `None` if requests carry no API key.
     pub account: Option<&'a str>,
-    /// The whole body, without its framing.
+    /// The complete body, without transfer framing.
     pub body: &'a [u8],
 }
 
@@ -35,16 +34,16 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
-/// A text that is no digest.
+/// The text is not a valid digest.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no digest; give the 64 hexadecimal digits that a log line has as `digest`")]
+#[error("`{0}` is not a digest; give the 64 hexadecimal digits that a log line has as `digest`")]
 pub struct DigestError(String);
 
 impl RequestDigest {
-    /// The digest of `content`.
+    /// Computes the digest of `content`.
     ///
-    /// Each field is preceded by its length, so that no two contents give the same
-    /// bytes: a path cannot take over the beginning of a body.
+    /// Each field is preceded by its length, so that two different contents never hash
+    /// the same bytes, such as when the end of a path moves to the beginning of the body.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -59,13 +58,13 @@
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// The digest with these bytes.
+    /// Creates a digest from its raw bytes.
     #[must_use]
     pub fn from_bytes(bytes: [u8; DIGEST_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Its bytes.
+    /// Returns the raw bytes.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8; DIGEST_BYTES] {
         &self.0
--- a/crates/core/src/era_guard.rs
+++ b/crates/core/src/era_guard.rs
@@ -1,71 +1,72 @@
-//! When something that a lease protects may be claimed in a restored store.
+//! Delays claims in a restored store until the leases of the previous era have expired.
 //!
-//! A store that comes back from an older copy has lost leases that their holders still act
-//! on: each holder goes on until its own clock says that the lease is over, or until the
-//! store tells it of the new era. A claim made meanwhile finds the key absent and succeeds,
-//! and two processes hold one thing. So after a restore nothing is claimed until every lease
-//! of the era before has run out, whoever held it.
+//! A store that is restored from a backup loses leases on which their holders still act:
+//! each holder continues until the lease expires on its own clock, or until it learns of
+//! the store's new era. A claim made in between finds the key absent and succeeds, and two
+//! processes would hold the same key. After a restore, no key that a lease protects is
+//! therefore claimed until every lease of the previous era has expired.
 //!
-//! A process that starts in a later era cannot tell how long ago the restore was. Whoever
-//! has waited leaves a mark in the store that this era is settled, and those that start
-//! afterwards need not wait.
+//! A process that starts after a restore cannot tell how long ago the restore was. The
+//! process that has waited long enough writes a marker with the era into the store, and
+//! processes that start later and find the marker need not wait.
 //!
 //! Edge cases:
 //!
-//! - A second restore before the wait is over begins it anew.
-//! - A mark that a copy brought back is of a former era and settles nothing.
-//! - A store that was never restored has era 0, which is settled.
+//! - A second restore during the wait restarts the wait.
+//! - A marker that was restored from a backup names an earlier era and is ignored.
+//! - A store that was never restored has era 0, in which claims need no wait.
 
 use crate::time::MonoMs;
 
-/// Decides from when on things may be claimed in an era.
+/// Decides whether keys protected by a lease may be claimed in the store's current era.
 #[derive(Clone, Copy, Debug)]
 pub struct EraGuard {
-    /// Longest time for which a lease of a former era may still be acted on.
-    lease_ms: u64,
+    /// Longest time for which the holder of a lease from an earlier era may still act on it.
+    max_lease_ms: u64,
     era: u64,
-    /// When the era was first heard of.
-    since_ms: MonoMs,
-    is_settled: bool,
+    /// When this process first learned of the era.
+    era_seen_ms: MonoMs,
+    /// Whether all leases of earlier eras are known to have expired.
+    may_claim: bool,
 }
 
 /// Whether a claim may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// It may; the mark stands in the store.
+    /// The claim is allowed, and the store needs no new marker.
     Allow,
-    /// It may, and the mark is to be left.
+    /// The claim is allowed, and the caller must write the marker for this era.
     AllowAndMark,
-    /// Leases of the era before may still be acted on.
+    /// The claim must wait: leases of the previous era may still be in use.
     Wait,
 }
 
 impl EraGuard {
-    /// A guard for leases of that length.
+    /// Creates a guard for leases that are valid for at most `max_lease_ms`.
     #[must_use]
-    pub fn new(lease_ms: u64) -> Self {
+    pub fn new(max_lease_ms: u64) -> Self {
         Self {
-            lease_ms,
+            max_lease_ms,
             era: 0,
-            since_ms: MonoMs(0),
-            is_settled: true,
+            era_seen_ms: MonoMs(0),
+            may_claim: true,
         }
     }
 
-    /// Decides on a claim: the store told this era, and the mark that stands in it.
-    pub fn decide(&mut self, era: u64, mark: Option<u64>, now_ms: MonoMs) -> ClaimDecision {
+    /// Decides on a claim, given the era that the store reports and the marker read from it.
+    pub fn decide(&mut self, era: u64, marker: Option<u64>, now_ms: MonoMs) -> ClaimDecision {
         if era > self.era {
             self.era = era;
-            self.since_ms = now_ms;
-            self.is_settled = false;
+            self.era_seen_ms = now_ms;
+            self.may_claim = false;
         }
-        match mark {
-            _ if self.is_settled => ClaimDecision::Allow,
-            Some(mark) if mark == self.era => {
-                self.is_settled = true;
+        match marker {
+            _ if self.may_claim => ClaimDecision::Allow,
+            Some(marked_era) if marked_era == self.era => {
+                self.may_claim = true;
                 ClaimDecision::Allow
             }
-            _ if now_ms.since(self.since_ms) > self.lease_ms => ClaimDecision::AllowAndMark,
+            _ if now_ms.since(self.era_seen_ms) > self.max_lease_ms => ClaimDecision::AllowAndMark,
             _ => ClaimDecision::Wait,
         }
     }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,29 +1,30 @@
-//! Identifiers that no restart can reuse.
+//! Request identifiers that stay unique across process restarts.
 //!
-//! A counter alone starts again at zero when a process restarts, and a late
-//! answer to the former process's request 7 would then reach the new
-//! process's request 7: somebody else's answer. Every identifier therefore
-//! carries the incarnation, a random number drawn once per process start.
+//! A plain counter starts at zero again when a process restarts. A late
+//! response to request 7 of the previous process would then be taken for the
+//! response to request 7 of the new process and reach the wrong caller. Every
+//! identifier therefore carries the incarnation, a random number drawn once
+//! per process start.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// One run of one process, drawn at random when it starts.
+/// Identifies one run of one process; drawn at random when the process starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// One attempt at one request on one hop.
+/// Identifies one attempt at one request on one hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
     /// The process that issued the identifier.
     pub origin: Incarnation,
-    /// Counts up within that process.
+    /// Incremented for each identifier that the process issues.
     pub counter: u64,
 }
 
-/// The text is not an identifier.
+/// The text is not a valid request identifier.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is not a request id; write it as 16 hex digits, `-`, then hex digits")]
 pub struct ParseIdError(pub String);
@@ -36,13 +37,13 @@
 }
 
 impl IdSource {
-    /// A source for the process that drew `origin`.
+    /// Creates the source for the process whose incarnation is `origin`.
     #[must_use]
     pub fn new(origin: Incarnation) -> Self {
         Self { origin, next: 1 }
     }
 
-    /// The next identifier; never the same twice.
+    /// Returns the next identifier; no identifier is returned twice.
     pub fn issue(&mut self) -> RequestId {
         let counter = self.next;
         self.next += 1;
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,21 +1,23 @@
-//! When the holder of a lease may still act on it.
+//! A lease as its holder sees it.
 //!
-//! The key-value service counts a lease's time from when a renewal *arrived*;
-//! the holder counts from when it *sent* the renewal, on its own monotonic
-//! clock, and gives up a margin early. The holder's right therefore always
-//! ends before the service lets anyone else in, whatever was delayed or lost,
-//! as long as the two clocks run at the same speed to within the margin.
+//! The key-value service counts a lease's time to live from when a renewal
+//! *arrived*. The holder counts from when it *sent* the renewal, on its own
+//! monotonic clock, and treats the lease as expired a margin earlier. The
+//! lease therefore always ends at the holder before the service grants it to
+//! another process, whatever messages were delayed or lost, as long as the
+//! rates of the two clocks differ by no more than the margin.
 //!
-//! A holder that was paused finds its right lapsed at the first check after
-//! it wakes. A check followed by a pause is the caller's matter: see
-//! [`crate::ledger`] for why that is safe for keyed requests.
+//! A holder whose process was paused sees the lease as expired at the first
+//! check after the pause. A pause between a check and the action that relies
+//! on it is not covered here: see [`crate::ledger`] for why that is safe for
+//! requests with an idempotency key.
 
 use crate::time::MonoMs;
 
-/// Clock speeds are assumed equal to within one part in this many.
+/// The rates of two clocks are assumed to differ by at most one part in this many.
 const DRIFT_PARTS: u64 = 50;
 
-/// One lease as its holder sees it.
+/// A lease and the time until which its holder may act on it.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldLease {
     ttl_ms: u64,
@@ -23,7 +25,7 @@
 }
 
 impl HeldLease {
-    /// A lease granted in answer to a call sent at `sent_ms`.
+    /// Creates the state of a lease granted in reply to a call sent at `sent_ms`.
     #[must_use]
     pub fn granted(ttl_ms: u64, sent_ms: MonoMs) -> Self {
         let mut lease = Self {
@@ -34,28 +36,28 @@
         lease
     }
 
-    /// A renewal sent at `sent_ms` was confirmed.
+    /// Extends the lease after the service confirmed a renewal sent at `sent_ms`.
     ///
-    /// A confirmation of an older renewal that arrives late extends nothing.
+    /// A late confirmation of an older renewal has no effect.
     pub fn on_renewed(&mut self, sent_ms: MonoMs) {
         let margin_ms = self.ttl_ms / DRIFT_PARTS + 1;
         let until_ms = sent_ms + self.ttl_ms.saturating_sub(margin_ms);
         self.valid_until_ms = self.valid_until_ms.max(until_ms);
     }
 
-    /// The end of the holder's right, unless it is renewed.
+    /// Returns when the lease ends for its holder unless it is renewed.
     #[must_use]
     pub fn valid_until_ms(&self) -> MonoMs {
         self.valid_until_ms
     }
 
-    /// Whether the holder may still act.
+    /// Whether the holder may still act on the lease.
     #[must_use]
     pub fn is_valid(&self, now_ms: MonoMs) -> bool {
         now_ms < self.valid_until_ms
     }
 
-    /// Whether a renewal is due: a third of the time to live has passed.
+    /// Whether a renewal is due: at least a third of the time to live has passed.
     #[must_use]
     pub fn should_renew(&self, now_ms: MonoMs) -> bool {
         self.valid_until_ms.since(now_ms) <= self.ttl_ms * 2 / 3
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,24 +1,25 @@
-//! At most once: which keyed requests may run, and what a repeat gets.
+//! At-most-once execution of requests with an idempotency key.
 //!
-//! Each shard of idempotency keys has one home agent, which holds a lease on
-//! the shard. The home keeps a record per key and one number, the *floor*: a
-//! key issued at or before the floor that has no record may have run under a
-//! former home, or its record was evicted, so it is answered "unknown" and
-//! never run.
+//! Each shard of idempotency keys has a *home*: the one agent that holds the
+//! lease on the shard. The home keeps a record per key and a *low-water mark*.
+//! A key issued at or before the low-water mark that has no record may have run
+//! under a previous home, or its record was evicted. Such a key gets the
+//! outcome "unknown" and is never run.
 //!
 //! Keys carry their issue time (`UUIDv7`). A home accepts a key only if its
-//! issue time is at most [`ClockBounds::max_caller_skew_ms`] ahead of the home's own
-//! wall clock. A successor sets its floor to its own wall clock plus that
-//! allowance plus [`ClockBounds::max_agent_skew_ms`]. Every key that any former home
-//! ever accepted is then at or below the floor, including one it accepted,
-//! was frozen on, and runs only after waking. No assumption is made about
-//! the callers' clocks, only about the agents'.
+//! issue time is at most [`ClockBounds::max_caller_skew_ms`] ahead of the home's
+//! wall clock. A new home sets its low-water mark to its own wall clock plus that
+//! allowance plus [`ClockBounds::max_agent_skew_ms`]. Every key that any previous
+//! home accepted was therefore issued at or before the mark. That includes a key
+//! that a previous home accepted just before its process was paused and runs
+//! after the pause. No assumption is made about the callers' clocks, only about
+//! the agents' clocks.
 //!
-//! A planned move exports the records and the floor, and the next home
-//! imports them, so it refuses nothing.
+//! In a planned move, the old home exports its records and low-water mark and
+//! the next home imports them, so no key becomes "unknown".
 //!
-//! Eviction raises the floor to the evicted key's issue time, so bounded
-//! memory costs "unknown" answers and never a second run.
+//! Evicting a record raises the low-water mark to the key's issue time. Bounded
+//! memory can therefore cause "unknown" outcomes, but never a second run.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,23 +28,23 @@
 
 use crate::time::WallMs;
 
-/// Shards of an entry's keys, each with one home. More would spread load
-/// better; fewer cost fewer writes when an agent fails.
+/// Number of key shards of a service, each with one home. More shards would spread the
+/// load better; fewer shards need fewer writes when an agent fails.
 pub const KEY_SHARDS: u32 = 16;
 
-/// The shard of a key.
+/// Returns the shard of a key.
 #[must_use]
-#[allow(clippy::cast_possible_truncation)] // reduced below `KEY_SHARDS` first
+#[allow(clippy::cast_possible_truncation)] // the remainder is below `KEY_SHARDS`
 pub fn shard_of(key: u128) -> u32 {
     (key % u128::from(KEY_SHARDS)) as u32
 }
 
-/// What is assumed of wall clocks.
+/// Bounds on the skew between wall clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockBounds {
-    /// How far ahead of the home a key's issue time may be.
+    /// Most that a key's issue time may be ahead of the home's wall clock.
     pub max_caller_skew_ms: u64,
-    /// How far apart two agents' wall clocks may be.
+    /// Most that the wall clocks of two agents may differ.
     pub max_agent_skew_ms: u64,
 }
 
@@ -56,67 +57,68 @@
     }
 }
 
-/// A keyed request as it reaches its home.
+/// A request with an idempotency key, as its home receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyedRequest {
-    /// The idempotency key, with the account mixed in by the entry.
+    /// The idempotency key, hashed together with the client account by the entry.
     pub key: u128,
-    /// The issue time the key carries.
+    /// The issue time contained in the key.
     pub issued_ms: WallMs,
-    /// A digest of the request, to tell a repeat from a reused key.
+    /// Digest of the request, to distinguish a repeat from a reused key.
     pub digest: u64,
 }
 
-/// A recorded answer, shared with whoever repeats the key.
+/// A target's response, recorded to be returned for repeats of the key.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RecordedResponse {
-    /// HTTP status of the target's answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Content type of the target's answer.
+    /// Content type of the response.
     pub content_type: String,
-    /// The body, if it was small enough to keep.
+    /// The body, if it was small enough to be recorded.
     pub body: Option<Vec<u8>>,
 }
 
-/// What the home does with a keyed request.
+/// The home's decision on a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// First sight of the key: run it, then call [`Ledger::finish`].
+    /// The key is new: run the request, then call [`Ledger::finish`],
+    /// [`Ledger::mark_interrupted`] or [`Ledger::discard_not_run`].
     Run,
-    /// The first run has not ended.
+    /// The first run has not ended, or the ledger is full of running requests.
     InProgress,
-    /// The first run ended with this answer.
+    /// The first run ended with this response.
     Repeat(Arc<RecordedResponse>),
-    /// The first run was cut off, or may have happened where no record is.
+    /// The first run was interrupted, or may have happened without a record here.
     Unknown,
-    /// The key's issue time is ahead of the clock: nothing ran.
+    /// The key's issue time is too far ahead of the clock; the request was not run.
     FromFuture,
-    /// The key belongs to a different request: nothing ran.
+    /// The key was first used for a different request; this request was not run.
     Reused,
 }
 
 #[derive(Debug)]
-enum State {
+enum RunState {
     Running,
     Finished(Arc<RecordedResponse>),
-    CutOff,
+    Interrupted,
 }
 
 #[derive(Debug)]
 struct Record {
     issued_ms: WallMs,
     digest: u64,
-    state: State,
+    state: RunState,
 }
 
-/// The records of one shard under one epoch of its home.
+/// The records of one key shard at its home.
 #[derive(Debug)]
 pub struct Ledger {
-    clocks: ClockBounds,
-    floor_ms: WallMs,
+    clock_bounds: ClockBounds,
+    low_water_ms: WallMs,
     capacity: usize,
     records: IndexMap<u128, Record>,
-    /// Records that are not of a running request, oldest first.
+    /// Records of requests that are not running, oldest first.
     evictable: BTreeSet<Evictable>,
 }
 
@@ -126,164 +128,174 @@
     key: u128,
 }
 
-/// A record on its way from one home to the next. The answer's body stays
-/// behind: a repeat at the new home learns the outcome only.
+/// A record that is handed over to the next home, without the response body: a repeat
+/// at the new home gets only the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExportedRecord {
     /// The idempotency key.
     pub key: u128,
-    /// The issue time it carries.
+    /// The issue time contained in the key.
     pub issued_ms: WallMs,
     /// Digest of the request.
     pub digest: u64,
-    /// Status of the recorded answer; nothing where the run was cut off.
+    /// HTTP status of the recorded response; `None` if the run was interrupted.
     pub status: Option<u16>,
 }
 
-/// Everything a planned move hands over.
+/// The state that a home hands over to the next home in a planned move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerExport {
-    /// Keys issued at or before this without a record have an unknown past.
+    /// Keys issued at or before this time that have no record may have run.
     pub low_water_ms: WallMs,
-    /// The records.
+    /// Records of requests that have ended.
     pub records: Vec<ExportedRecord>,
 }
 
 impl Ledger {
-    /// The ledger of a home that takes a shard over with no records.
+    /// Creates the ledger of a home that takes over a shard without its records.
     ///
-    /// `capacity` bounds the records kept; 0 is taken as 1.
+    /// `capacity` limits the number of records; 0 is treated as 1.
     #[must_use]
-    pub fn takeover(clocks: ClockBounds, wall_ms: WallMs, capacity: usize) -> Self {
-        let floor_ms = wall_ms + clocks.max_caller_skew_ms + clocks.max_agent_skew_ms;
-        Self::with_floor(clocks, floor_ms, capacity)
+    pub fn takeover(clock_bounds: ClockBounds, wall_ms: WallMs, capacity: usize) -> Self {
+        let low_water_ms =
+            wall_ms + clock_bounds.max_caller_skew_ms + clock_bounds.max_agent_skew_ms;
+        Self::with_low_water_mark(clock_bounds, low_water_ms, capacity)
     }
 
-    /// The ledger of a shard that is proved never to have had a home.
+    /// Creates the ledger of a shard that provably never had a home.
     #[must_use]
-    pub fn for_new_shard(clocks: ClockBounds, capacity: usize) -> Self {
-        Self::with_floor(clocks, WallMs(0), capacity)
+    pub fn for_new_shard(clock_bounds: ClockBounds, capacity: usize) -> Self {
+        Self::with_low_water_mark(clock_bounds, WallMs(0), capacity)
     }
 
-    /// The ledger of a home that the former home handed its records to.
+    /// Creates the ledger of a home from the records that the previous home exported.
     #[must_use]
-    pub fn import(clocks: ClockBounds, moved: &LedgerExport, capacity: usize) -> Self {
-        let mut ledger = Self::with_floor(clocks, moved.low_water_ms, capacity);
-        for record in &moved.records {
+    pub fn import(clock_bounds: ClockBounds, exported: &LedgerExport, capacity: usize) -> Self {
+        let mut ledger = Self::with_low_water_mark(clock_bounds, exported.low_water_ms, capacity);
+        for record in &exported.records {
             ledger.import_record(*record);
         }
         ledger
     }
 
-    fn with_floor(clocks: ClockBounds, floor_ms: WallMs, capacity: usize) -> Self {
+    fn with_low_water_mark(
+        clock_bounds: ClockBounds,
+        low_water_ms: WallMs,
+        capacity: usize,
+    ) -> Self {
         Self {
-            clocks,
-            floor_ms,
+            clock_bounds,
+            low_water_ms,
             capacity: capacity.max(1),
             records: IndexMap::new(),
             evictable: BTreeSet::new(),
         }
     }
 
-    fn import_record(&mut self, moved: ExportedRecord) {
-        let state = match moved.status {
-            Some(status) => State::Finished(Arc::new(RecordedResponse {
+    fn import_record(&mut self, exported: ExportedRecord) {
+        let state = match exported.status {
+            Some(status) => RunState::Finished(Arc::new(RecordedResponse {
                 status,
                 content_type: String::new(),
                 body: None,
             })),
-            None => State::CutOff,
+            None => RunState::Interrupted,
         };
         self.records.insert(
-            moved.key,
+            exported.key,
             Record {
-                issued_ms: moved.issued_ms,
-                digest: moved.digest,
+                issued_ms: exported.issued_ms,
+                digest: exported.digest,
                 state,
             },
         );
-        self.now_evictable(moved.key);
+        self.mark_evictable(exported.key);
         if self.records.len() > self.capacity {
             self.evict();
         }
     }
 
-    /// What to hand over: at most `most` records, the newest ones.
+    /// Exports the newest records, at most `max_records`, for the next home.
     ///
-    /// Only to be called when nothing is running, after which this ledger
-    /// must admit nothing any more.
+    /// Must only be called when no request is running.
     #[must_use]
-    pub fn export(mut self, most: usize) -> LedgerExport {
-        while self.evictable.len() > most {
+    pub fn export(mut self, max_records: usize) -> LedgerExport {
+        while self.evictable.len() > max_records {
             self.evict();
         }
         let records = self
             .evictable
             .iter()
-            .filter_map(|at| self.records.get(&at.key).map(|record| record.moved(at.key)))
+            .filter_map(|at| {
+                self.records
+                    .get(&at.key)
+                    .map(|record| record.exported(at.key))
+            })
             .collect();
         LedgerExport {
-            low_water_ms: self.floor_ms,
+            low_water_ms: self.low_water_ms,
             records,
         }
     }
 
-    /// Whether a first run has not ended.
+    /// Whether any admitted request is still running.
     #[must_use]
     pub fn has_running_requests(&self) -> bool {
         self.evictable.len() < self.records.len()
     }
 
-    /// The record of a key, without deciding anything about a new one.
+    /// Returns the decision on a repeat of a recorded key, or `None` if the key has no record.
     ///
-    /// A home whose right has lapsed may still say what it knows.
+    /// May also be used by a home whose lease has expired, as it never admits a new key.
     #[must_use]
     pub fn lookup(&self, request: &KeyedRequest) -> Option<Admission> {
         self.records
             .get(&request.key)
-            .map(|record| record.answer_repeat(request.digest))
+            .map(|record| record.admission_of_repeat(request.digest))
     }
 
-    /// Keys issued at or before this have an unknown past.
+    /// Keys issued at or before this time that have no record may have run.
     #[must_use]
     pub fn low_water_ms(&self) -> WallMs {
-        self.floor_ms
+        self.low_water_ms
     }
 
-    /// Records held.
+    /// Number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is held.
+    /// Whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Decides what to do with `request`; a [`Admission::Run`] is recorded.
+    /// Decides whether to run `request`, and records it as running if so.
     ///
-    /// The caller has checked just before that its lease on the shard holds.
+    /// The caller must check just before the call that its lease on the shard is valid.
     pub fn admit(&mut self, request: KeyedRequest, wall_ms: WallMs) -> Admission {
         if let Some(known) = self.lookup(&request) {
             return known;
         }
         match request.issued_ms {
-            issued if issued > wall_ms + self.clocks.max_caller_skew_ms => Admission::FromFuture,
-            issued if issued <= self.floor_ms => Admission::Unknown,
+            issued if issued > wall_ms + self.clock_bounds.max_caller_skew_ms => {
+                Admission::FromFuture
+            }
+            issued if issued <= self.low_water_ms => Admission::Unknown,
             _ => self.record_run(request),
         }
     }
 
     fn record_run(&mut self, request: KeyedRequest) -> Admission {
         if self.records.len() >= self.capacity && !self.evict() {
-            // Every record is of a running request: none can be dropped
-            // without risking a second run, so this one is not admitted.
+            // All records belong to running requests. Evicting any of them could
+            // allow a second run, so the new request is not admitted.
             return Admission::InProgress;
         }
-        // The evicted record may have been issued after this key.
-        if request.issued_ms <= self.floor_ms {
+        // Evicting a record that was issued after this key raised the low-water mark.
+        if request.issued_ms <= self.low_water_ms {
             return Admission::Unknown;
         }
         self.records.insert(
@@ -291,57 +303,58 @@
             Record {
                 issued_ms: request.issued_ms,
                 digest: request.digest,
-                state: State::Running,
+                state: RunState::Running,
             },
         );
         Admission::Run
     }
 
-    /// Records the whole answer of a run.
-    pub fn finish(&mut self, key: u128, answer: Arc<RecordedResponse>) {
-        self.end(key, State::Finished(answer));
+    /// Records the complete response of a run.
+    pub fn finish(&mut self, key: u128, response: Arc<RecordedResponse>) {
+        self.end(key, RunState::Finished(response));
     }
 
-    /// Records that a run was cut off with its effect unknown.
+    /// Records that a run was interrupted and its effect is unknown.
     pub fn mark_interrupted(&mut self, key: u128) {
-        self.end(key, State::CutOff);
+        self.end(key, RunState::Interrupted);
     }
 
-    fn end(&mut self, key: u128, state: State) {
+    fn end(&mut self, key: u128, state: RunState) {
         if let Some(record) = self.records.get_mut(&key) {
             record.state = state;
-            self.now_evictable(key);
+            self.mark_evictable(key);
         }
     }
 
-    fn now_evictable(&mut self, key: u128) {
+    fn mark_evictable(&mut self, key: u128) {
         if let Some(record) = self.records.get(&key) {
             let issued_ms = record.issued_ms;
             self.evictable.insert(Evictable { issued_ms, key });
         }
     }
 
-    /// Forgets a run that is proved not to have reached the target.
+    /// Removes the record of a run that provably did not reach the target.
     pub fn discard_not_run(&mut self, key: u128) {
         self.records.swap_remove(&key);
     }
 
-    /// Drops the oldest record that is not running; false if there is none.
+    /// Evicts the oldest record of a request that is not running; returns false if there
+    /// is none.
     fn evict(&mut self) -> bool {
         let Some(oldest) = self.evictable.pop_first() else {
             return false;
         };
-        self.floor_ms = self.floor_ms.max(oldest.issued_ms);
+        self.low_water_ms = self.low_water_ms.max(oldest.issued_ms);
         self.records.swap_remove(&oldest.key);
         true
     }
 }
 
 impl Record {
-    fn moved(&self, key: u128) -> ExportedRecord {
+    fn exported(&self, key: u128) -> ExportedRecord {
         let status = match &self.state {
-            State::Finished(answer) => Some(answer.status),
-            State::Running | State::CutOff => None,
+            RunState::Finished(response) => Some(response.status),
+            RunState::Running | RunState::Interrupted => None,
         };
         ExportedRecord {
             key,
@@ -351,12 +364,12 @@
         }
     }
 
-    fn answer_repeat(&self, digest: u64) -> Admission {
+    fn admission_of_repeat(&self, digest: u64) -> Admission {
         match &self.state {
             _ if digest != self.digest => Admission::Reused,
-            State::Running => Admission::InProgress,
-            State::Finished(answer) => Admission::Repeat(Arc::clone(answer)),
-            State::CutOff => Admission::Unknown,
+            RunState::Running => Admission::InProgress,
+            RunState::Finished(response) => Admission::Repeat(Arc::clone(response)),
+            RunState::Interrupted => Admission::Unknown,
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,27 +1,27 @@
 //! The decisions of a load balancer for expert-parallel model groups, as pure
 //! state machines.
 //!
-//! Nothing here opens a socket, reads a clock, starts a thread or draws a
-//! random number: events and a monotonic time go in, typed decisions come
-//! out. The daemons wrap these machines in sockets and threads; tests drive
-//! them without sleeping; others can embed them one at a time.
+//! No module opens a socket, starts a thread or draws a random number, and none but
+//! [`time`] reads a clock: the inputs are events and the time, the outputs are typed
+//! decisions. The daemons run these state machines behind sockets and threads, and
+//! tests drive them without sleeping. Each module can be used on its own.
 //!
 //! | Module | Decides |
 //! |---|---|
-//! | [`burn`] | how fast an entry uses up its error budget |
-//! | [`digest`] | which requests are the same request, sent again |
-//! | [`era_guard`] | when something may be claimed in a restored store |
-//! | [`attempt`] | what one dispatched request means to its caller |
-//! | [`start_gate`] | whether an order may still start beside a target |
-//! | [`ledger`] | whether a keyed request may run, and what a repeat gets |
-//! | [`lease`] | whether a holder may still act on a lease it once got |
-//! | [`limit`] | how much of a limit a process may use |
+//! | [`burn`] | how fast an entry (a front-end process) uses up its error budget |
+//! | [`digest`] | whether two requests are the same request, sent again |
+//! | [`era_guard`] | when a key may be claimed in a store restored from a backup |
+//! | [`attempt`] | what the caller is told about one dispatched attempt |
+//! | [`start_gate`] | whether an agent (the process beside a target) may still start a request |
+//! | [`ledger`] | whether a request with an idempotency key may run, and the reply to a repeat |
+//! | [`lease`] | whether the holder of a lease may still act on it |
+//! | [`limit`] | how much of a shared limit a process may use |
 //! | [`position`] | which of two points in a store's history is newer |
-//! | [`quarantine`] | which requests are held back because targets end under them |
-//! | [`retry`] | whether a retry is still affordable |
-//! | [`route`] | which target gets a request |
-//! | [`versions`] | which catalogue version is in force |
-//! | [`liveness`] | when a silent connection is dead |
+//! | [`quarantine`] | which requests are rejected because targets crash while running them |
+//! | [`retry`] | whether a failed request is retried |
+//! | [`route`] | which target a request is sent to |
+//! | [`versions`] | which version of a catalogue item is in force |
+//! | [`liveness`] | when a silent connection is considered dead |
 
 pub mod attempt;
 pub mod burn;
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,20 +1,21 @@
-//! Limits that hold over all processes as a sum, without asking anyone for
-//! each request.
+//! Limits on the total over all processes, without a message per request.
 //!
-//! Each limit has a home, which splits it into shares. A holder uses no more
-//! than its share; unused capacity is given to who needs it. What keeps the
-//! sum below the limit, whatever is lost or late:
+//! Each limit has a *home*, the process that divides it into shares. Each
+//! holder uses at most its share, and the shares follow the holders' demand.
+//! The total stays within the limit, even if messages are lost or late:
 //!
-//! - A share ends on its *holder's* clock, counted from when it sent the
-//!   question. The home counts it as outstanding from when it answered, and
-//!   for longer. So the holder stops before the home gives the share again.
-//! - A holder that gets less lowers at once; the home raises another only
-//!   after the lower share was confirmed or the old one has ended. Requests
-//!   that still run above a lowered share count as using it.
-//! - A new home gives nothing until every share of the former one has ended.
+//! - A share expires on its *holder's* clock, counted from when the holder sent
+//!   the request for it. The home counts the share as outstanding from when it
+//!   sent the reply, and for longer. The holder therefore stops using the share
+//!   before the home grants it to another holder.
+//! - A holder whose share is lowered uses the lower share at once. The home
+//!   raises another holder's share only after the lower share was confirmed or
+//!   the previous one has expired. Running requests that exceed a lowered share
+//!   still count as outstanding.
+//! - A new home grants nothing until all shares of the previous home have expired.
 //!
-//! Lost messages and dead holders therefore waste some of a limit for a
-//! while; they never overrun it.
+//! Lost messages and crashed holders leave a part of the limit unused for a
+//! while, but never cause the limit to be exceeded.
 
 mod bucket;
 mod holder;
--- a/crates/core/src/limit/bucket.rs
+++ b/crates/core/src/limit/bucket.rs
@@ -1,44 +1,44 @@
-//! A rate, enforced.
+//! A token bucket that enforces a rate.
 
 use crate::time::MonoMs;
 
-/// Time over which unused tokens may be saved up.
+/// Time over which unused tokens may accumulate.
 const BURST_MS: f64 = 1_000.0;
 
-/// Admits a number of units a second, with a second's worth in a burst.
+/// Admits a number of units per second, with bursts of up to one second's worth.
 #[derive(Debug)]
 pub struct TokenBucket {
     per_second: f64,
     tokens: f64,
-    filled_ms: MonoMs,
+    refilled_ms: MonoMs,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(per_second: f64, now_ms: MonoMs) -> Self {
         Self {
             per_second,
             tokens: per_second * BURST_MS / 1_000.0,
-            filled_ms: now_ms,
+            refilled_ms: now_ms,
         }
     }
 
-    /// Changes the rate. What was saved up beyond the new burst is lost, so
-    /// that a lowered share is lower at once.
+    /// Changes the rate. Tokens beyond the new burst size are dropped, so that a
+    /// lowered share takes effect at once.
     pub fn set_rate(&mut self, per_second: f64, now_ms: MonoMs) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.per_second = per_second;
-        self.tokens = self.tokens.min(self.most());
+        self.tokens = self.tokens.min(self.max_tokens());
     }
 
-    /// Takes one unit, or says after how many milliseconds there is one.
+    /// Takes one token.
     ///
     /// # Errors
     ///
-    /// The wait until a unit is free.
+    /// If there is no token, returns the time in milliseconds until there is one.
     pub fn take(&mut self, now_ms: MonoMs) -> Result<(), u64> {
-        self.fill(now_ms);
+        self.refill(now_ms);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -46,17 +46,17 @@
         Err(self.wait_ms(1.0))
     }
 
-    /// Takes units that were only known afterwards, such as tokens generated;
-    /// the bucket may go into debt.
+    /// Takes a number of tokens that became known only after the work was done, such
+    /// as the length of a generated text; the bucket may go into debt.
     pub fn charge(&mut self, units: f64, now_ms: MonoMs) {
-        self.fill(now_ms);
+        self.refill(now_ms);
         self.tokens -= units;
     }
 
-    /// After how many milliseconds the bucket is out of debt; 0 if it is.
+    /// Returns the time in milliseconds until the bucket is out of debt, or 0 if it has none.
     #[must_use]
     pub fn debt_ms(&mut self, now_ms: MonoMs) -> u64 {
-        self.fill(now_ms);
+        self.refill(now_ms);
         if self.tokens > 0.0 {
             return 0;
         }
@@ -64,25 +64,25 @@
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped first
-    fn wait_ms(&self, until: f64) -> u64 {
-        /// Longest wait told: a lowered share may be raised before that.
-        const MOST_MS: f64 = 60_000.0;
+    fn wait_ms(&self, target_tokens: f64) -> u64 {
+        /// Longest wait returned; a lowered share may be raised again before that.
+        const MAX_WAIT_MS: f64 = 60_000.0;
         if self.per_second <= 0.0 {
-            return MOST_MS as u64;
+            return MAX_WAIT_MS as u64;
         }
-        let wait_ms = (until - self.tokens) / self.per_second * 1_000.0;
-        wait_ms.ceil().clamp(1.0, MOST_MS) as u64
+        let wait_ms = (target_tokens - self.tokens) / self.per_second * 1_000.0;
+        wait_ms.ceil().clamp(1.0, MAX_WAIT_MS) as u64
     }
 
-    fn most(&self) -> f64 {
+    fn max_tokens(&self) -> f64 {
         (self.per_second * BURST_MS / 1_000.0).max(1.0)
     }
 
     #[allow(clippy::cast_precision_loss)] // milliseconds since the last call
-    fn fill(&mut self, now_ms: MonoMs) {
-        let elapsed_ms = now_ms.since(self.filled_ms) as f64;
-        self.filled_ms = self.filled_ms.max(now_ms);
+    fn refill(&mut self, now_ms: MonoMs) {
+        let elapsed_ms = now_ms.since(self.refilled_ms) as f64;
+        self.refilled_ms = self.refilled_ms.max(now_ms);
         let gained = self.per_second * elapsed_ms / 1_000.0;
-        self.tokens = (self.tokens + gained).min(self.most());
+        self.tokens = (self.tokens + gained).min(self.max_tokens());
     }
 }
--- a/crates/core/src/limit/holder.rs
+++ b/crates/core/src/limit/holder.rs
@@ -1,17 +1,17 @@
-//! The holder's side of a share.
+//! A process's side of its share of a limit.
 
 use crate::time::MonoMs;
 
-/// A home's answer.
+/// The home's reply to a [`ShareRequest`](super::ShareRequest).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantedShare {
-    /// The home's epoch; a higher one supersedes.
+    /// The home's epoch; grants of a lower epoch are ignored.
     pub epoch: u64,
-    /// The question's number, to tell a late answer.
+    /// Sequence number of the request, to detect late replies.
     pub request_seq: u64,
-    /// How much the holder may use.
+    /// How much of the limit the holder may use.
     pub share: f64,
-    /// For how long, counted from when the holder asked.
+    /// How long the share is valid, counted from when the holder sent the request.
     pub valid_ms: u64,
 }
 
@@ -20,51 +20,51 @@
 pub struct ShareHolder {
     epoch: u64,
     share: f64,
-    until_ms: MonoMs,
-    asked: u64,
-    asked_ms: MonoMs,
-    confirmed: u64,
+    valid_until_ms: MonoMs,
+    last_request_seq: u64,
+    last_request_ms: MonoMs,
+    confirmed_seq: u64,
 }
 
 impl ShareHolder {
-    /// A holder with no share.
+    /// Creates a holder without a share.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What may be used now.
+    /// Returns how much of the limit this process may use now.
     #[must_use]
     pub fn share(&self, now_ms: MonoMs) -> f64 {
-        if now_ms < self.until_ms {
+        if now_ms < self.valid_until_ms {
             self.share
         } else {
             0.0
         }
     }
 
-    /// A question is sent; gives its number.
+    /// Records that a request is sent, and returns its sequence number.
     pub fn begin_request(&mut self, now_ms: MonoMs) -> u64 {
-        self.asked += 1;
-        self.asked_ms = now_ms;
-        self.asked
+        self.last_request_seq += 1;
+        self.last_request_ms = now_ms;
+        self.last_request_seq
     }
 
-    /// Number of the last question whose answer arrived; 0 for none.
+    /// Sequence number of the last request whose reply arrived; 0 if there is none.
     #[must_use]
     pub fn confirmed_seq(&self) -> u64 {
-        self.confirmed
+        self.confirmed_seq
     }
 
-    /// Takes an answer. One to an earlier question is dropped: its time is
-    /// counted from a moment that is no longer known.
+    /// Applies the home's reply. A reply to an earlier request is dropped: its validity
+    /// counts from the time of that request, which is no longer known.
     pub fn on_grant(&mut self, grant: &GrantedShare) {
-        if grant.request_seq != self.asked || grant.epoch < self.epoch {
+        if grant.request_seq != self.last_request_seq || grant.epoch < self.epoch {
             return;
         }
         self.epoch = grant.epoch;
-        self.confirmed = grant.request_seq;
+        self.confirmed_seq = grant.request_seq;
         self.share = grant.share;
-        self.until_ms = self.asked_ms + grant.valid_ms;
+        self.valid_until_ms = self.last_request_ms + grant.valid_ms;
     }
 }
--- a/crates/core/src/limit/home.rs
+++ b/crates/core/src/limit/home.rs
@@ -1,4 +1,4 @@
-//! The home's side of a limit.
+//! The home of a limit: the process that divides it into shares.
 
 use indexmap::IndexMap;
 
@@ -6,17 +6,17 @@
 
 use super::GrantedShare;
 
-/// How shares are given.
+/// How long shares are valid, and how much of a limit is divided.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareConfig {
     /// How long a share is valid on its holder's clock.
     pub valid_ms: u64,
-    /// How long the home counts it as outstanding; longer, by more than the
-    /// two clocks can drift apart and an answer can take.
+    /// How long the home counts a share as outstanding. It exceeds `valid_ms` by
+    /// more than the clock drift and the delay of a reply.
     pub outstanding_ms: u64,
-    /// Part of a limit that is never given: each process owns an even piece of
-    /// it, so that a quiet one need not wait for its first request, and one
-    /// that cannot reach the home can still serve some.
+    /// Fraction of a limit that the home does not divide. Each process always has
+    /// an equal part of it, so that a process without a share can serve its first
+    /// request at once, and a process that cannot reach the home can serve some.
     pub static_fraction: f64,
 }
 
@@ -30,139 +30,146 @@
     }
 }
 
-/// A holder's question.
+/// A holder's request for a share.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareRequest {
-    /// Who asks; a restarted process is another holder.
+    /// Identifies the holder; a restarted process is a new holder.
     pub holder: u64,
-    /// The question's number.
+    /// Sequence number of the request.
     pub request_seq: u64,
-    /// How much the holder could use.
+    /// How much of the limit the holder could use.
     pub demand: f64,
-    /// Part of its share that running requests take up; 0 for rates.
+    /// How much of its share running requests occupy; 0 for rate limits.
     pub in_use: f64,
-    /// Number of the last question whose answer arrived.
+    /// Sequence number of the last request whose reply the holder received.
     pub confirmed_seq: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct HolderState {
     demand: f64,
-    /// What the holder may still be using: the largest share given to it that
-    /// has not been confirmed as lowered and has not ended.
+    /// How much the holder may still be using: the largest share granted to it that
+    /// has not expired and not been replaced by a confirmed lower share.
     outstanding: f64,
     outstanding_until_ms: MonoMs,
-    /// The share in the last answer, which may not have arrived.
-    last: f64,
-    last_asked: u64,
+    /// The share in the last reply, which may not have arrived.
+    last_share: f64,
+    last_request_seq: u64,
 }
 
-/// The home of one limit.
+/// Divides one limit into shares for its holders.
 #[derive(Debug)]
 pub struct LimitHome {
     config: ShareConfig,
     limit: f64,
     epoch: u64,
-    gives_from_ms: MonoMs,
-    holders: IndexMap<u64, Given>,
+    grants_from_ms: MonoMs,
+    holders: IndexMap<u64, HolderState>,
 }
 
 impl LimitHome {
-    /// A home that took the limit over at `now_ms`; it gives nothing until
-    /// every share that a former home may have given has ended.
+    /// Creates a home that took over the limit at `now_ms`. It grants nothing until all
+    /// shares that a previous home may have granted have expired.
     #[must_use]
     pub fn takeover(config: ShareConfig, limit: f64, epoch: u64, now_ms: MonoMs) -> Self {
         Self {
             config,
             limit,
             epoch,
-            gives_from_ms: now_ms + config.outstanding_ms,
+            grants_from_ms: now_ms + config.outstanding_ms,
             holders: IndexMap::new(),
         }
     }
 
-    /// Changes the limit. Shares already given run out first where it falls.
+    /// Changes the limit. A lower limit takes full effect once the shares granted
+    /// under the old limit have expired or been lowered.
     pub fn set_limit(&mut self, limit: f64) {
         self.limit = limit;
     }
 
-    /// The epoch in its grants.
+    /// Returns the epoch of this home's grants.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A holder asks.
+    /// Handles a holder's request and returns its new share.
     ///
-    /// The question confirms the share in the last answer if that answer
-    /// arrived: the holder then uses no more than that, but for what its
-    /// running requests still take up. Those cannot be called back, so a
-    /// lowered share is not given to another while they run.
-    pub fn on_request(&mut self, ask: &ShareRequest, now_ms: MonoMs) -> GrantedShare {
-        self.forget_ended(now_ms);
-        let given = self.holders.entry(ask.holder).or_insert(Given {
-            demand: ask.demand,
+    /// If the request confirms the last reply, the holder uses at most the share in
+    /// that reply, apart from requests that are already running. Those cannot be
+    /// cancelled, so the capacity they occupy is not granted to others while they run.
+    pub fn on_request(&mut self, request: &ShareRequest, now_ms: MonoMs) -> GrantedShare {
+        self.remove_expired(now_ms);
+        let holder_state = self.holders.entry(request.holder).or_insert(HolderState {
+            demand: request.demand,
             outstanding: 0.0,
             outstanding_until_ms: now_ms,
-            last: 0.0,
-            last_asked: 0,
+            last_share: 0.0,
+            last_request_seq: 0,
         });
-        given.demand = ask.demand;
-        if ask.confirmed_seq == Some(given.last_asked) {
-            given.outstanding = given.last.max(ask.in_use);
+        holder_state.demand = request.demand;
+        if request.confirmed_seq == Some(holder_state.last_request_seq) {
+            holder_state.outstanding = holder_state.last_share.max(request.in_use);
         }
-        let share = if now_ms < self.gives_from_ms {
+        let share = if now_ms < self.grants_from_ms {
             0.0
         } else {
-            self.share_of(ask.holder)
+            self.available_share(request.holder)
         };
-        self.note(ask, share, now_ms);
+        self.record_grant(request, share, now_ms);
         GrantedShare {
             epoch: self.epoch,
-            request_seq: ask.request_seq,
+            request_seq: request.request_seq,
             share,
             valid_ms: self.config.valid_ms,
         }
     }
 
-    /// A fair part of the limit, and never more than is not outstanding.
-    fn share_of(&self, holder: u64) -> f64 {
-        let others: f64 = self
+    /// Returns the holder's fair share, limited to what is not outstanding at others.
+    fn available_share(&self, holder: u64) -> f64 {
+        let used_by_others: f64 = self
             .holders
             .iter()
             .filter(|(other, _)| **other != holder)
-            .map(|(_, given)| given.outstanding)
+            .map(|(_, holder_state)| holder_state.outstanding)
             .sum();
-        let free = (self.given_out() - others).max(0.0);
-        self.fair_part(holder).min(free)
+        let free = (self.divided_limit() - used_by_others).max(0.0);
+        self.fair_share(holder).min(free)
     }
 
-    fn given_out(&self) -> f64 {
+    fn divided_limit(&self) -> f64 {
         self.limit * (1.0 - self.config.static_fraction)
     }
 
-    /// In proportion to demand; evenly where there is none.
+    /// Divides the limit in proportion to demand, or evenly if there is no demand.
     #[allow(clippy::cast_precision_loss)] // a few hundred holders
-    fn fair_part(&self, holder: u64) -> f64 {
-        let demand = self.holders.get(&holder).map_or(0.0, |given| given.demand);
-        let all: f64 = self.holders.values().map(|given| given.demand).sum();
-        if all <= 0.0 {
-            return self.given_out() / self.holders.len() as f64;
+    fn fair_share(&self, holder: u64) -> f64 {
+        let demand = self
+            .holders
+            .get(&holder)
+            .map_or(0.0, |holder_state| holder_state.demand);
+        let total_demand: f64 = self
+            .holders
+            .values()
+            .map(|holder_state| holder_state.demand)
+            .sum();
+        if total_demand <= 0.0 {
+            return self.divided_limit() / self.holders.len() as f64;
         }
-        self.given_out() * demand / all
+        self.divided_limit() * demand / total_demand
     }
 
-    fn note(&mut self, ask: &ShareRequest, share: f64, now_ms: MonoMs) {
-        if let Some(given) = self.holders.get_mut(&ask.holder) {
-            given.outstanding = given.outstanding.max(share).max(ask.in_use);
-            given.outstanding_until_ms = now_ms + self.config.outstanding_ms;
-            given.last = share;
-            given.last_asked = ask.request_seq;
+    fn record_grant(&mut self, request: &ShareRequest, share: f64, now_ms: MonoMs) {
+        if let Some(holder_state) = self.holders.get_mut(&request.holder) {
+            holder_state.outstanding = holder_state.outstanding.max(share).max(request.in_use);
+            holder_state.outstanding_until_ms = now_ms + self.config.outstanding_ms;
+            holder_state.last_share = share;
+            holder_state.last_request_seq = request.request_seq;
         }
     }
 
-    fn forget_ended(&mut self, now_ms: MonoMs) {
+    fn remove_expired(&mut self, now_ms: MonoMs) {
         self.holders
-            .retain(|_, given| given.outstanding_until_ms > now_ms);
+            .retain(|_, holder_state| holder_state.outstanding_until_ms > now_ms);
     }
 }
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -1,25 +1,26 @@
-//! When a silent connection is dead, and whether its peer is.
+//! Detects dead connections by heartbeats.
 //!
-//! A connection can go silent for good without a reset: a middlebox has
-//! forgotten it, while new connections work. Waiting for TCP to notice takes
-//! minutes. Each side pings inside the connection itself; silence starts a
-//! probe over a fresh connection, which tells a dead connection (redial, the
-//! agent can still be asked about its orders) from a dead peer.
+//! A connection can go silent without a reset, such as when a middlebox has
+//! dropped its state while new connections still work. TCP takes minutes to
+//! detect that. Each side therefore sends pings inside the connection. When
+//! they get no reply, a new connection is dialled: if it succeeds, only the old
+//! connection was dead, and the agent can still be asked about its commands;
+//! if it fails, the peer itself is unreachable.
 
 use crate::time::MonoMs;
 
-/// Timing of the checks.
+/// Intervals and timeouts of the heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessConfig {
     /// Time between pings.
     pub ping_interval_ms: u64,
-    /// Silence after which the connection is given up.
+    /// Time without any received data after which the connection counts as dead.
     pub silence_timeout_ms: u64,
-    /// How many times longer both are while nobody waits for the connection.
+    /// Factor applied to both while no request is waiting on the connection.
     pub idle_factor: u64,
-    /// First wait before dialling again.
+    /// Upper bound of the delay before the first redial.
     pub redial_min_ms: u64,
-    /// Longest wait before dialling again.
+    /// Upper bound of the delay before any redial.
     pub redial_max_ms: u64,
 }
 
@@ -35,80 +36,80 @@
     }
 }
 
-/// What to do about a connection now.
+/// The result of [`LinkHealth::check`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessAction {
-    /// Nothing.
+    /// Do nothing until the next check.
     Wait,
     /// Send a ping.
     Ping,
-    /// Give the connection up and dial a fresh one.
+    /// Close the connection and dial a new one.
     Reconnect,
 }
 
-/// One connection's signs of life.
+/// Heartbeat state of one connection.
 #[derive(Debug)]
 pub struct LinkHealth {
     config: LivenessConfig,
-    pinged_ms: MonoMs,
-    /// When the first ping was sent that nothing has followed yet.
-    unanswered_ms: Option<MonoMs>,
+    last_ping_ms: MonoMs,
+    /// When the first ping was sent since data was last received.
+    unanswered_ping_ms: Option<MonoMs>,
 }
 
 impl LinkHealth {
-    /// A connection that was opened at `now_ms`.
+    /// Creates the state of a connection that was opened at `now_ms`.
     #[must_use]
     pub fn new(config: LivenessConfig, now_ms: MonoMs) -> Self {
         Self {
             config,
-            pinged_ms: now_ms,
-            unanswered_ms: None,
+            last_ping_ms: now_ms,
+            unanswered_ping_ms: None,
         }
     }
 
-    /// Anything arrived on the connection.
+    /// Records that data arrived on the connection at `at_ms`.
     pub fn on_received(&mut self, at_ms: MonoMs) {
-        self.unanswered_ms = self.unanswered_ms.filter(|pinged_ms| at_ms < *pinged_ms);
+        self.unanswered_ping_ms = self.unanswered_ping_ms.filter(|sent_ms| at_ms < *sent_ms);
     }
 
-    /// Decides what to do now.
+    /// Decides whether to ping or to reconnect.
     ///
-    /// A connection that nobody waits for (`is_idle`) is looked at less often:
-    /// an entry has more than a hundred of them, and their pings would be most
-    /// of what it sends. Silence counts from a ping, so a connection that
-    /// becomes busy is asked before it is given up.
+    /// Idle connections (`is_idle`, no request is waiting) are pinged less often:
+    /// an entry has more than a hundred of them, and their pings would make up
+    /// most of its traffic. Silence is measured from an unanswered ping, so a
+    /// connection that becomes busy is always pinged before it counts as dead.
     ///
-    /// A process that was itself paused finds the peer silent through no
-    /// fault of the peer's: the first check after a pause only pings, and
-    /// the silence counts from there.
+    /// A process that was paused itself has received nothing, although its peer
+    /// is healthy: the first check after a pause only sends a ping, and silence
+    /// is measured from that ping.
     pub fn check(&mut self, is_idle: bool, now_ms: MonoMs) -> LivenessAction {
         let factor = if is_idle { self.config.idle_factor } else { 1 };
         let ping_interval_ms = self.config.ping_interval_ms * factor;
-        let patience_ms = self.config.silence_timeout_ms * factor - ping_interval_ms;
-        let paused_ms = self.config.ping_interval_ms * self.config.idle_factor * 3;
-        let since_ping_ms = now_ms.since(self.pinged_ms);
-        match self.unanswered_ms {
-            _ if since_ping_ms > paused_ms => {
-                self.unanswered_ms = None;
+        let reply_timeout_ms = self.config.silence_timeout_ms * factor - ping_interval_ms;
+        let pause_threshold_ms = self.config.ping_interval_ms * self.config.idle_factor * 3;
+        let since_ping_ms = now_ms.since(self.last_ping_ms);
+        match self.unanswered_ping_ms {
+            _ if since_ping_ms > pause_threshold_ms => {
+                self.unanswered_ping_ms = None;
                 self.ping(now_ms)
             }
-            Some(pinged_ms) if now_ms.since(pinged_ms) >= patience_ms => LivenessAction::Reconnect,
+            Some(sent_ms) if now_ms.since(sent_ms) >= reply_timeout_ms => LivenessAction::Reconnect,
             _ if since_ping_ms >= ping_interval_ms => self.ping(now_ms),
             _ => LivenessAction::Wait,
         }
     }
 
     fn ping(&mut self, now_ms: MonoMs) -> LivenessAction {
-        self.pinged_ms = now_ms;
-        self.unanswered_ms = self.unanswered_ms.or(Some(now_ms));
+        self.last_ping_ms = now_ms;
+        self.unanswered_ping_ms = self.unanswered_ping_ms.or(Some(now_ms));
         LivenessAction::Ping
     }
 }
 
-/// The wait before dial number `attempt` (from 0), spread by `random`.
+/// Returns the delay before redial number `attempt` (from 0), with jitter from `random`.
 ///
-/// Doubles up to the longest wait; the jitter keeps a thousand peers of a
-/// restarted process from dialling it in the same millisecond.
+/// The delay doubles up to the configured maximum. The jitter keeps a thousand peers
+/// of a restarted process from dialling it in the same millisecond.
 #[must_use]
 pub fn redial_delay_ms(config: &LivenessConfig, attempt: u32, random: u64) -> u64 {
     let doubled = config
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,21 +1,21 @@
-//! What a caller is told about a request, as a closed set.
+//! The outcomes reported to callers, and the reasons why an agent refuses a request.
 
 use std::fmt;
 
-/// The three things a caller can be told.
+/// The outcome of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The target ran the request and its whole answer follows.
+    /// The target ran the request and its complete response was received.
     Done,
-    /// The request did not run and never will; it is safe to send again.
+    /// The request did not run and never will; it is safe to send it again.
     NotRun,
-    /// It may or may not have run. Only a repeat under the same idempotency
-    /// key is safe.
+    /// The request may or may not have run. Only a repeat with the same
+    /// idempotency key is safe.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the outcome header.
+    /// Returns the value of the outcome header.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -32,31 +32,31 @@
     }
 }
 
-/// Why a request was refused before it could run.
+/// Why an agent refused to run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The agent is stopping or its target is leaving.
+    /// The agent is shutting down or its target is draining.
     Draining,
-    /// The agent already runs as much as it may.
+    /// The agent is at its limit of concurrent requests.
     Busy,
-    /// The start deadline had passed when the order arrived.
+    /// The start deadline had passed when the command arrived.
     TooLate,
-    /// The order was revoked before it arrived.
+    /// The command was revoked before it arrived.
     Revoked,
-    /// The order named another incarnation of the agent.
+    /// The command was addressed to another incarnation of the agent.
     WrongIncarnation,
-    /// The agent does not hold the key's shard, or may no longer act on it.
+    /// The agent is not the home of the idempotency key's shard, or its lease on it expired.
     NotHome,
-    /// The key claims an issue time ahead of the agent's clock.
+    /// The issue time in the idempotency key is ahead of the agent's clock.
     KeyFromFuture,
-    /// The same key came with a different request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
-    /// The target refused the connection, so nothing reached it.
+    /// The target refused the connection, so the request did not reach it.
     TargetUnreachable,
 }
 
 impl Refusal {
-    /// All refusals, in wire order.
+    /// All refusal reasons, in wire order.
     pub const ALL: [Self; 9] = [
         Self::Draining,
         Self::Busy,
@@ -69,7 +69,7 @@
         Self::TargetUnreachable,
     ];
 
-    /// The name used on the wire and in logs.
+    /// Returns the name used on the wire and in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -85,13 +85,13 @@
         }
     }
 
-    /// The refusal of that wire name, if there is one.
+    /// Returns the refusal with this wire name, if there is one.
     #[must_use]
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// Whether another target may accept what this one refused.
+    /// Whether another target may accept the request.
     #[must_use]
     pub fn is_retryable_elsewhere(self) -> bool {
         !matches!(self, Self::KeyFromFuture | Self::KeyReused)
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,15 +1,17 @@
-//! Which target gets a request.
+//! Selects the target for a request.
 //!
-//! Engines report their load late, so a report is corrected by what this
-//! process has dispatched since; cache events come late and with gaps, so
-//! what this process itself sent where counts as known too. Only a few
-//! sampled targets are compared: if every entry picked the best by the same
-//! late reports, all of them would herd onto one target.
+//! Load reports of model engines arrive late, so a report is corrected by the
+//! requests that this process has dispatched since. Cache events arrive late
+//! and with gaps, so the prompts that this process sent to a target also count
+//! as cached there. Only a few sampled targets are compared: if every entry
+//! picked the best target by the same late reports, all entries would send
+//! their requests to one target (the herd effect).
 //!
-//! The score is an estimate of the time to the first token: the wait in the
-//! target's queue, plus the part of the prompt that is not cached, scaled by
-//! how much slower than expected this target has been lately. A target that
-//! has gone silent is slow by at least how overdue its oldest request is.
+//! The score is an estimate of the time to first token: the wait in the target's
+//! queue plus the time to read the uncached part of the prompt, multiplied by
+//! the target's recent slowdown relative to earlier estimates. If the target's
+//! oldest pending request is overdue, the multiplier is at least the ratio of its
+//! waiting time to its expected time, so that silent targets are avoided.
 
 mod prefix;
 mod score;
@@ -23,31 +25,31 @@
 
 use crate::time::MonoMs;
 
-/// A target within one process.
+/// Identifies a target within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetId(pub u32);
 
-/// Whether a target may get new work.
+/// Whether a target may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Connected, and neither it nor the platform says it is leaving.
+    /// Connected, and neither the target nor the platform has announced that it stops.
     Up,
-    /// Leaving: finishes what it has.
+    /// Draining: finishes its running requests and gets no new ones.
     Leaving,
     /// Not connected.
     Down,
 }
 
-/// How targets are compared.
+/// Parameters of the target selection.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteConfig {
-    /// Targets sampled at random for each request.
+    /// Number of targets sampled at random for each request.
     pub samples: usize,
-    /// Prefix blocks remembered.
+    /// Maximum number of blocks in the prefix index.
     pub prefix_capacity: usize,
-    /// Time to first token assumed of a target not yet measured.
+    /// Time to first token assumed for a target without measurements.
     pub initial_first_token_ms: f64,
-    /// Time one uncached prefix block takes to read.
+    /// Time that a target takes to read one uncached prompt block.
     pub block_ms: f64,
 }
 
@@ -62,25 +64,25 @@
     }
 }
 
-/// A request to be placed.
+/// A request for which a target is selected.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// Chained hashes of the prompt's blocks; empty where unknown.
+    /// Chained hashes of the prompt's blocks; empty if unknown.
     pub blocks: &'a [u64],
-    /// Targets that already failed this request.
+    /// Targets at which this request has already failed.
     pub exclude: &'a [TargetId],
 }
 
-/// A request that was sent.
+/// A request that was sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct SentRequest<'a> {
-    /// Chained hashes of the prompt's blocks; empty where unknown.
+    /// Chained hashes of the prompt's blocks; empty if unknown.
     pub blocks: &'a [u64],
-    /// Whether its answer comes token by token, or all at the end.
+    /// Whether the response is streamed token by token instead of sent as a whole at the end.
     pub is_stream: bool,
 }
 
-/// The targets of one catalogue entry as this process knows them.
+/// The targets of one service and their load, as known to this process.
 #[derive(Debug)]
 pub struct Router {
     config: RouteConfig,
@@ -90,7 +92,7 @@
 }
 
 impl Router {
-    /// A router that knows no target.
+    /// Creates a router without targets.
     #[must_use]
     pub fn new(config: RouteConfig) -> Self {
         Self {
@@ -120,32 +122,32 @@
         }
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove(&mut self, id: TargetId) {
         self.set_availability(id, Availability::Down);
         self.targets.swap_remove(&id);
     }
 
-    /// Targets that may get new work.
+    /// Number of targets that may get new requests.
     #[must_use]
     pub fn up_count(&self) -> usize {
         self.up.len()
     }
 
-    /// What is known of a target.
+    /// Returns the known load of a target.
     #[must_use]
     pub fn load(&self, id: TargetId) -> Option<&TargetLoad> {
         self.targets.get(&id)
     }
 
-    /// Changes what is known of a target.
+    /// Returns the known load of a target, to be updated.
     pub fn load_mut(&mut self, id: TargetId) -> Option<&mut TargetLoad> {
         self.targets.get_mut(&id)
     }
 
-    /// Picks a target; `random` gives a fresh number at each call.
+    /// Picks a target; `random` returns a new random number at each call.
     ///
-    /// `None` if no target that is up is left.
+    /// Returns `None` if all targets that are up are excluded.
     pub fn pick(
         &self,
         query: &RouteQuery<'_>,
@@ -157,19 +159,19 @@
             let Some(score) = self.score(id, query, now_ms) else {
                 return;
             };
-            if best.is_none_or(|(least, _)| score < least) {
+            if best.is_none_or(|(min_score, _)| score < min_score) {
                 best = Some((score, id));
             }
         };
         for id in self.prefixes.holders(query.blocks) {
             consider(id);
         }
-        for id in self.sample(random) {
+        for id in self.sample_targets(random) {
             consider(id);
         }
         match best {
             Some((_, id)) => Some(id),
-            // Every sampled target was excluded: look at all of them.
+            // All sampled targets were excluded: take the first other target.
             None => self
                 .up
                 .iter()
@@ -178,14 +180,14 @@
         }
     }
 
-    fn sample(&self, random: &mut dyn FnMut() -> u64) -> Vec<TargetId> {
+    fn sample_targets(&self, random: &mut dyn FnMut() -> u64) -> Vec<TargetId> {
         let count = self.up.len();
         if count <= self.config.samples {
             return self.up.clone();
         }
         let mut picked = Vec::with_capacity(self.config.samples);
         for _ in 0..self.config.samples {
-            #[allow(clippy::cast_possible_truncation)] // reduced below `count` first
+            #[allow(clippy::cast_possible_truncation)] // the remainder is below `count`
             let index = (random() % count as u64) as usize;
             picked.push(self.up[index]);
         }
@@ -200,7 +202,8 @@
         Some(target.estimate_ms(self.reading_ms(query.blocks, id), now_ms))
     }
 
-    /// Estimated time to first token of a request at `id`.
+    /// Estimates the time to first token of a request sent to target `id`; `None` if the
+    /// target is unknown or not up.
     #[must_use]
     pub fn estimate_ms(&self, id: TargetId, blocks: &[u64], now_ms: MonoMs) -> Option<f64> {
         let query = RouteQuery {
@@ -210,14 +213,14 @@
         self.score(id, &query, now_ms)
     }
 
-    /// Time to read the part of a prompt that `id` does not hold.
+    /// Estimates the time to read the part of a prompt that target `id` has not cached.
     #[allow(clippy::cast_precision_loss)] // block counts are small
     fn reading_ms(&self, blocks: &[u64], id: TargetId) -> f64 {
         let uncached = blocks.len() - self.prefixes.cached_blocks(blocks, id);
         uncached as f64 * self.config.block_ms
     }
 
-    /// A request was sent to `id`.
+    /// Records that a request was sent to target `id`.
     pub fn on_dispatch(&mut self, id: TargetId, sent: &SentRequest<'_>, now_ms: MonoMs) {
         let reading_ms = self.reading_ms(sent.blocks, id);
         if let Some(target) = self.targets.get_mut(&id) {
@@ -226,7 +229,8 @@
         self.prefixes.insert(sent.blocks, id);
     }
 
-    /// The target has dropped these blocks, or its cache events had a gap.
+    /// Records that the target no longer caches these blocks, or that its cache events had
+    /// a gap and it may have dropped them.
     pub fn on_cache_dropped(&mut self, id: TargetId, blocks: &[u64]) {
         self.prefixes.remove(blocks, id);
     }
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -1,23 +1,24 @@
-//! Which targets probably hold which prompt prefixes.
+//! An index of the prompt prefixes that targets have probably cached.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::TargetId;
 
-/// Bytes of prompt in one block.
+/// Bytes of prompt text in one block.
 const BLOCK_BYTES: usize = 256;
 
-/// Blocks of a prompt that are looked at.
+/// Blocks at the beginning of a prompt that are hashed; the rest is ignored.
 const MAX_BLOCKS: usize = 32;
 
-/// Targets remembered for one block.
-const HOLDERS: usize = 4;
+/// Maximum number of targets stored per block.
+const MAX_HOLDERS: usize = 4;
 
-/// Chained hashes of the first blocks of `prompt`.
+/// Returns the chained hashes of the first blocks of `prompt`.
 ///
-/// Each hash covers all text before it, so two prompts share hashes exactly
-/// as far as they share a prefix. An unfinished last block is left out.
+/// Each hash covers all text up to the end of its block, so two prompts have
+/// equal hashes exactly as far as they share a prefix. An incomplete last block
+/// is left out.
 #[must_use]
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut previous = 0;
@@ -31,27 +32,27 @@
         .collect()
 }
 
-/// The last targets each block was sent to, most recent first.
+/// The targets that each block was last sent to, most recent first.
 #[derive(Debug)]
 pub struct PrefixIndex {
     capacity: usize,
     blocks: IndexMap<u64, Vec<TargetId>>,
-    /// Next position to overwrite when full.
-    hand: usize,
+    /// Position of the next block to evict when the index is full.
+    next_evicted: usize,
 }
 
 impl PrefixIndex {
-    /// An index of at most `capacity` blocks.
+    /// Creates an index of at most `capacity` blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
             blocks: IndexMap::new(),
-            hand: 0,
+            next_evicted: 0,
         }
     }
 
-    /// Records that `target` will hold `blocks`.
+    /// Records that `target` will have `blocks` in its cache.
     pub fn insert(&mut self, blocks: &[u64], target: TargetId) {
         for block in blocks {
             if self.blocks.len() >= self.capacity && !self.blocks.contains_key(block) {
@@ -60,11 +61,11 @@
             let holders = self.blocks.entry(*block).or_default();
             holders.retain(|holder| *holder != target);
             holders.insert(0, target);
-            holders.truncate(HOLDERS);
+            holders.truncate(MAX_HOLDERS);
         }
     }
 
-    /// Records that `target` no longer holds `blocks`.
+    /// Records that `target` no longer has `blocks` in its cache.
     pub fn remove(&mut self, blocks: &[u64], target: TargetId) {
         for block in blocks {
             if let Some(holders) = self.blocks.get_mut(block) {
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Records that `target` holds nothing.
+    /// Records that `target` has no blocks in its cache.
     pub fn remove_target(&mut self, target: TargetId) {
         for holders in self.blocks.values_mut() {
             holders.retain(|holder| *holder != target);
         }
     }
 
-    /// Targets that hold the longest known prefix.
+    /// Returns the targets that have cached the longest known prefix of `blocks`.
     pub fn holders(&self, blocks: &[u64]) -> impl Iterator<Item = TargetId> {
         blocks
             .iter()
@@ -92,7 +93,7 @@
             .copied()
     }
 
-    /// How many leading blocks `target` holds.
+    /// Returns how many leading blocks `target` has cached.
     #[must_use]
     pub fn cached_blocks(&self, blocks: &[u64], target: TargetId) -> usize {
         blocks
@@ -105,12 +106,12 @@
             .count()
     }
 
-    /// Drops one block, going round.
+    /// Evicts one block, in round-robin order.
     fn evict(&mut self) {
-        if self.hand >= self.blocks.len() {
-            self.hand = 0;
+        if self.next_evicted >= self.blocks.len() {
+            self.next_evicted = 0;
         }
-        self.blocks.swap_remove_index(self.hand);
-        self.hand += 1;
+        self.blocks.swap_remove_index(self.next_evicted);
+        self.next_evicted += 1;
     }
 }
--- a/crates/core/src/route/subset.rs
+++ b/crates/core/src/route/subset.rs
@@ -1,13 +1,14 @@
-//! Which targets a process connects to when there are very many.
+//! Selects the targets that a process connects to in a large fleet.
 //!
-//! Every entry connecting to every target costs entries times targets
-//! connections and heartbeats. Each entry takes a bounded subset instead, by
-//! rendezvous hash: when a target comes or goes, an entry's subset changes by
-//! at most one, and targets are taken by about equally many entries.
+//! If every entry connected to every target, the number of connections and
+//! heartbeats would be entries times targets. Each entry instead connects to a
+//! bounded subset, selected by rendezvous hashing: when a target is added or
+//! removed, an entry's subset changes by at most one target, and each target is
+//! in the subsets of about equally many entries.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The `size` members of `targets` that the process `own` connects to.
+/// Returns the `size` members of `targets` that the process named `own` connects to.
 #[must_use]
 pub fn subset<'a>(own: &str, targets: &[&'a str], size: usize) -> Vec<&'a str> {
     let seed = xxh3_64_with_seed(own.as_bytes(), 0);
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,8 +1,8 @@
-//! Points in time, kept apart by the clock that gave them.
+//! Timestamps, with a separate type for each kind of clock.
 //!
-//! A lease or deadline is only ever compared with a reading of the clock it
-//! was made from. Two types keep a wall-clock reading from slipping into a
-//! monotonic comparison, where a stepped clock would extend a lapsed right.
+//! A lease or deadline must only be compared with a reading of the clock it
+//! was computed from. The two types keep wall-clock readings out of monotonic
+//! comparisons, where a clock step could revive an expired lease.
 
 use std::ops::Add;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -26,7 +26,7 @@
 }
 
 impl WallMs {
-    /// This machine's wall clock; one that stands before 1970 is taken for 1970.
+    /// Reads this machine's wall clock; a time before 1970 is returned as 1970.
     #[must_use]
     pub fn now() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -1,13 +1,13 @@
-//! Which version of each item is in force, and how two processes find out
-//! what the other lacks.
+//! The version of each catalogue item in force, and anti-entropy between processes.
 //!
-//! A version only ever replaces a lower one, so an older snapshot from a peer
-//! or a late watch event reverts nothing. Whoever offers a version has
-//! checked its value first: an invalid value is never offered, and the last
-//! valid one stays in force.
+//! A version only replaces a lower one, so an older snapshot from a peer or a
+//! late watch event cannot revert an item. Callers validate a value before they
+//! offer it: an invalid value is never offered, and the last valid value stays
+//! in force.
 //!
-//! Comparing two maps costs a fixed [`BUCKETS`] hashes; only the versions in
-//! buckets that differ are listed, and only the items that differ are sent.
+//! Two processes compare their maps by exchanging [`BUCKETS`] hashes, whatever
+//! the number of items. Only the versions in buckets that differ are listed,
+//! and only the items that differ are sent.
 
 use std::fmt::Display;
 use std::hash::Hash;
@@ -15,27 +15,27 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hashes in a [`VersionSummary`].
+/// Number of buckets, and so of hashes in a [`VersionSummary`].
 pub const BUCKETS: usize = 64;
 
-/// One hash per bucket of items.
+/// One hash per bucket of items, over their names and versions.
 pub type VersionSummary = [u64; BUCKETS];
 
 /// An item's version with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// Counts up from 1 for each item.
+    /// Version of the item; the first is 1.
     pub version: u64,
-    /// The value of that version.
+    /// The item's value in this version.
     pub value: T,
 }
 
-/// What became of an offered version.
+/// The result of [`VersionMap::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is now in force.
+    /// The offered version is now in force.
     Applied,
-    /// A version at least as high was in force already.
+    /// The same or a higher version was already in force.
     NotNewer,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl<K: Hash + Eq + Display, T> VersionMap<K, T> {
-    /// Takes `value` up if its version is higher than the one in force.
+    /// Puts `value` in force if `version` is higher than the version in force.
     pub fn offer(&mut self, key: K, version: u64, value: T) -> OfferOutcome {
         let current = self.version(&key);
         if version <= current {
@@ -72,58 +72,58 @@
         OfferOutcome::Applied
     }
 
-    /// The version in force; 0 where there is none.
+    /// Returns the item's version in force, or 0 if there is none.
     #[must_use]
     pub fn version(&self, key: &K) -> u64 {
         self.items.get(key).map_or(0, |item| item.version)
     }
 
-    /// The item in force.
+    /// Returns the item's version and value in force.
     #[must_use]
     pub fn get(&self, key: &K) -> Option<&Versioned<T>> {
         self.items.get(key)
     }
 
-    /// All items in force.
+    /// Iterates over all items in force.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &Versioned<T>)> {
         self.items.iter()
     }
 
-    /// How many items are in force.
+    /// Number of items in force.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing is in force yet.
+    /// Whether no item is in force.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// The hashes to compare with a peer's.
+    /// Returns the hashes to compare with a peer's.
     #[must_use]
     pub fn summary(&self) -> &VersionSummary {
         &self.summary
     }
 
-    /// The items in buckets that differ from the peer's summary.
+    /// Iterates over the items in buckets that differ from the peer's summary.
     pub fn differing<'a>(
         &'a self,
         peer: &'a VersionSummary,
     ) -> impl Iterator<Item = (&'a K, &'a Versioned<T>)> {
         self.items
             .iter()
-            .filter(move |(key, _)| self.differs(peer, &key.to_string()))
+            .filter(move |(key, _)| self.is_bucket_different(peer, &key.to_string()))
     }
 
-    fn differs(&self, peer: &VersionSummary, name: &str) -> bool {
+    fn is_bucket_different(&self, peer: &VersionSummary, name: &str) -> bool {
         let bucket = bucket_of(name);
         self.summary[bucket] != peer[bucket]
     }
 }
 
-#[allow(clippy::cast_possible_truncation)] // reduced below BUCKETS first
+#[allow(clippy::cast_possible_truncation)] // the remainder is below `BUCKETS`
 fn bucket_of(name: &str) -> usize {
     (xxh3_64(name.as_bytes()) % BUCKETS as u64) as usize
 }
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The request path's decisions, without sockets or clocks.
+//! Tests of the decisions on the request path, without sockets or clocks.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 
 const AGENT: Incarnation = Incarnation(7);
 
-fn order(counter: u64, start_by_ms: u64) -> RunCommand {
+fn command(counter: u64, start_by_ms: u64) -> RunCommand {
     RunCommand {
         id: RequestId {
             origin: Incarnation(1),
@@ -38,7 +38,7 @@
     }
 }
 
-fn answer() -> Arc<RecordedResponse> {
+fn response() -> Arc<RecordedResponse> {
     Arc::new(RecordedResponse {
         status: 200,
         content_type: String::new(),
@@ -47,57 +47,57 @@
 }
 
 proptest! {
-    /// Whatever order starts, revokes and time come in, an order whose revoke
-    /// was answered "will not run" never starts.
+    /// In any order of starts, revokes and waits, a command whose revoke was
+    /// answered with "will not run" never starts.
     #[test]
-    fn a_promise_not_to_run_is_kept(
-        moves in proptest::collection::vec((0..4u64, any::<bool>(), 0..400u64), 1..200)
+    fn a_command_reported_as_will_not_run_never_starts(
+        steps in proptest::collection::vec((0..4u64, any::<bool>(), 0..400u64), 1..200)
     ) {
         let mut gate = StartGate::new(AGENT, 1_000);
         let mut now_ms = MonoMs(0);
-        let mut promised = [false; 4];
-        for (counter, is_start, wait_ms) in moves {
+        let mut will_not_run = [false; 4];
+        for (counter, is_start, wait_ms) in steps {
             now_ms = now_ms + wait_ms;
-            let order = order(counter, 2_000);
+            let command = command(counter, 2_000);
             if is_start {
-                let started = gate.start(order, now_ms).is_ok();
-                prop_assert!(!started || !promised[usize::try_from(counter).unwrap()]);
-            } else if gate.revoke(order, now_ms) == RevokeReply::WillNotRun {
-                promised[usize::try_from(counter).unwrap()] = true;
+                let started = gate.start(command, now_ms).is_ok();
+                prop_assert!(!started || !will_not_run[usize::try_from(counter).unwrap()]);
+            } else if gate.revoke(command, now_ms) == RevokeReply::WillNotRun {
+                will_not_run[usize::try_from(counter).unwrap()] = true;
             }
         }
     }
 
-    /// A key runs at most once over any sequence of homes, whichever planned
-    /// moves, takeovers, evictions and clocks within the allowance there are.
+    /// A key runs at most once over any sequence of homes, with planned moves,
+    /// takeovers, evictions and clock skew within the bounds.
     #[test]
     fn a_key_runs_at_most_once_over_all_homes(
-        moves in proptest::collection::vec((0..6u8, 0..24u128, 0..300u64, 0..400u64), 1..300)
+        steps in proptest::collection::vec((0..6u8, 0..24u128, 0..300u64, 0..400u64), 1..300)
     ) {
-        let clocks = ClockBounds::default();
-        let mut true_ms = 100_000u64;
-        let mut ledger = Ledger::for_new_shard(clocks, 4);
+        let clock_bounds = ClockBounds::default();
+        let mut reference_ms = 100_000u64;
+        let mut ledger = Ledger::for_new_shard(clock_bounds, 4);
         let mut skew_ms = 0;
         let mut issued = [0u64; 24];
         let mut runs = [0u32; 24];
-        for (what, key, wait_ms, skew) in moves {
-            true_ms += wait_ms;
+        for (action, key, wait_ms, skew) in steps {
+            reference_ms += wait_ms;
             let index = usize::try_from(key).unwrap();
-            let wall_ms = WallMs(true_ms + skew_ms);
-            match what {
+            let wall_ms = WallMs(reference_ms + skew_ms);
+            match action {
                 0 => {
                     skew_ms = skew;
-                    ledger = Ledger::takeover(clocks, WallMs(true_ms + skew_ms), 4);
+                    ledger = Ledger::takeover(clock_bounds, WallMs(reference_ms + skew_ms), 4);
                 }
                 1 if !ledger.has_running_requests() => {
-                    let moved = ledger.export(3);
-                    ledger = Ledger::import(clocks, &moved, 4);
+                    let exported = ledger.export(3);
+                    ledger = Ledger::import(clock_bounds, &exported, 4);
                 }
-                2 => ledger.finish(key, answer()),
+                2 => ledger.finish(key, response()),
                 3 => ledger.mark_interrupted(key),
                 _ => {
                     if issued[index] == 0 {
-                        issued[index] = true_ms;
+                        issued[index] = reference_ms;
                     }
                     let request = keyed(key, issued[index]);
                     if ledger.admit(request, wall_ms) == Admission::Run {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Versions only rise, and two maps that exchange what differs agree.
+    /// Versions only increase, and two maps that exchange their differing items converge.
     #[test]
     fn versions_converge_and_never_revert(
         left in proptest::collection::vec((0..20u32, 1..9u64), 0..60),
@@ -143,15 +143,15 @@
         prop_assert_eq!(left.summary(), right.summary());
     }
 
-    /// Whatever frames come in whatever order, an answer is only called done
-    /// if every frame up to its end was delivered once and in order.
+    /// With any frames in any order, a response counts as done only if every frame up
+    /// to its end was delivered once and in order.
     #[test]
-    fn only_whole_answers_are_done(
+    fn only_complete_responses_are_done(
         frames in proptest::collection::vec((0..6u64, any::<bool>()), 0..40)
     ) {
-        let mut exchange = AttemptState::new();
-        exchange.on(Event::Sent);
-        exchange.on(Event::Head);
+        let mut attempt = AttemptState::new();
+        attempt.on(Event::Sent);
+        attempt.on(Event::Head);
         let mut delivered = Vec::new();
         for (number, is_end) in frames {
             let event = if is_end {
@@ -159,7 +159,7 @@
             } else {
                 Event::Data { seq: number }
             };
-            match exchange.on(event) {
+            match attempt.on(event) {
                 Action::Deliver => delivered.push(number),
                 Action::Finish(verdict) if verdict.outcome == Outcome::Done => {
                     let expected: Vec<u64> = (0..number).collect();
@@ -172,11 +172,11 @@
 }
 
 #[test]
-fn an_order_for_a_former_incarnation_is_refused_and_not_answered_for() {
+fn a_command_for_a_previous_incarnation_is_refused_and_has_no_record() {
     let mut gate = StartGate::new(AGENT, 10);
     let old = RunCommand {
         for_incarnation: Incarnation(6),
-        ..order(1, 1_000)
+        ..command(1, 1_000)
     };
 
     let started = gate.start(old, MonoMs(0));
@@ -187,22 +187,21 @@
 }
 
 #[test]
-fn after_its_start_deadline_an_order_is_refused_and_silence_proves_nothing() {
+fn after_the_start_deadline_a_command_is_refused_and_a_revoke_finds_no_record() {
     let mut gate = StartGate::new(AGENT, 10);
 
-    let started = gate.start(order(1, 1_000), MonoMs(1_001));
-    let revoked = gate.revoke(order(2, 1_000), MonoMs(1_001));
+    let started = gate.start(command(1, 1_000), MonoMs(1_001));
+    let revoked = gate.revoke(command(2, 1_000), MonoMs(1_001));
 
     assert_eq!(started, Err(Refusal::TooLate));
     assert_eq!(revoked, RevokeReply::NoRecord);
 }
 
-/// Symptom: two homes start requests in the same shard.
-/// Sequence: a renewal is delayed on its way; the service counts from its
-/// arrival.
-/// Cause: the holder counts from the sending, so it always stops first.
+/// Guards against two homes that run requests of one shard at the same time. The store
+/// counts a lease from when a delayed renewal arrives; the holder must count from when
+/// it sent the renewal, so that its lease ends first.
 #[test]
-fn a_right_ends_on_the_holders_clock_counted_from_the_sending() {
+fn a_lease_ends_on_the_holders_clock_counted_from_when_the_renewal_was_sent() {
     let mut lease = HeldLease::granted(10_000, MonoMs(0));
 
     lease.on_renewed(MonoMs(4_000));
@@ -225,7 +224,7 @@
 }
 
 #[test]
-fn a_process_that_was_paused_does_not_blame_its_peer() {
+fn after_a_pause_of_the_process_the_peer_is_pinged_before_reconnecting() {
     let mut health = LinkHealth::new(LivenessConfig::default(), MonoMs(0));
 
     let after_pause = health.check(false, MonoMs(60_000));
@@ -237,11 +236,10 @@
     assert_eq!(still_silent, LivenessAction::Reconnect);
 }
 
-/// Symptom: a fault in the targets doubles the load on them.
-/// Sequence: every attempt fails.
-/// Cause: without a budget each request would be sent several times.
+/// Guards against retries that multiply the load on failing targets: when every attempt
+/// fails, each request would be sent several times without a budget.
 #[test]
-fn retries_stay_within_their_share_of_first_attempts() {
+fn retries_stay_within_the_budget() {
     let mut budget = RetryBudget::new(10);
     let failed = Verdict {
         outcome: Outcome::Unknown,
@@ -259,7 +257,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_retried_unless_that_does_no_harm() {
+fn a_request_that_may_have_run_is_retried_only_if_safe_to_repeat() {
     let mut budget = RetryBudget::new(100);
     let lost = Verdict {
         outcome: Outcome::Unknown,
@@ -283,7 +281,7 @@
 }
 
 #[test]
-fn a_silent_target_is_avoided_and_a_leaving_one_never_picked() {
+fn a_silent_target_is_avoided_and_a_leaving_target_is_never_picked() {
     let mut router = Router::new(RouteConfig::default());
     for id in 0..3 {
         router.set_availability(TargetId(id), Availability::Up);
@@ -317,7 +315,7 @@
 }
 
 #[test]
-fn a_subset_changes_by_at_most_one_when_a_target_goes() {
+fn a_subset_changes_by_at_most_one_when_a_target_is_removed() {
     let names: Vec<String> = (0..500).map(|number| format!("target-{number}")).collect();
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     let before = subset("entry-1", &all, 64);
@@ -329,16 +327,15 @@
         .collect();
     let now = subset("entry-1", &without, 64);
 
-    let kept = now.iter().filter(|name| before.contains(name)).count();
-    assert_eq!(kept, 63);
+    let retained = now.iter().filter(|name| before.contains(name)).count();
+    assert_eq!(retained, 63);
 }
 
-/// Symptom: callers are told that a healthy target is too busy.
-/// Sequence: somebody asks for a long answer all at once; nothing of it comes
-/// for seconds.
-/// Cause: taken for a late first token, it would make the target look silent.
+/// Guards against a healthy target that counts as too busy. A long response that is not
+/// streamed arrives only after seconds; if it were judged as a late first token, the
+/// target would look silent.
 #[test]
-fn an_answer_that_comes_all_at_once_does_not_make_its_target_look_silent() {
+fn a_response_that_is_not_streamed_does_not_make_its_target_look_silent() {
     let mut router = Router::new(RouteConfig::default());
     router.set_availability(TargetId(0), Availability::Up);
     if let Some(load) = router.load_mut(TargetId(0)) {
@@ -363,24 +360,22 @@
     assert!(estimate_ms.is_some_and(|ms| ms < 100.0), "{estimate_ms:?}");
 }
 
-/// Symptom: a healthy connection is dropped as soon as a request uses it.
-/// Sequence: an idle connection was pinged a second ago, which is often enough
-/// while it is idle; then a request makes it busy.
-/// Cause: the shorter bound for busy connections, held against silence from
-/// before anything was asked.
+/// Guards against closing a healthy connection as soon as a request uses it. The last
+/// ping of the idle connection was a second ago, which is within the idle interval but
+/// exceeds the shorter silence timeout that applies once the connection is busy.
 #[test]
-fn a_connection_that_becomes_busy_is_pinged_before_it_is_given_up() {
+fn a_connection_that_becomes_busy_is_pinged_before_reconnecting() {
     let mut health = LinkHealth::new(LivenessConfig::default(), MonoMs(0));
     assert_eq!(health.check(true, MonoMs(900)), LivenessAction::Ping);
     health.on_received(MonoMs(901));
 
     let idle = health.check(true, MonoMs(1_700));
     let busy = health.check(false, MonoMs(1_950));
-    let just_asked = health.check(false, MonoMs(2_000));
-    let never_answered = health.check(false, MonoMs(2_650));
+    let just_pinged = health.check(false, MonoMs(2_000));
+    let no_reply = health.check(false, MonoMs(2_650));
 
     assert_eq!(idle, LivenessAction::Wait);
     assert_eq!(busy, LivenessAction::Ping);
-    assert_eq!(just_asked, LivenessAction::Wait);
-    assert_eq!(never_answered, LivenessAction::Reconnect);
+    assert_eq!(just_pinged, LivenessAction::Wait);
+    assert_eq!(no_reply, LivenessAction::Reconnect);
 }
--- a/crates/core/tests/digest.rs
+++ b/crates/core/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same one.
+//! Tests of the request digest.
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_part_of_the_content_counts() {
+fn each_field_of_the_content_changes_the_digest() {
     let others = [
         RequestContent {
             method: "PUT",
@@ -50,9 +50,9 @@
     }
 }
 
-// Symptom: a caller's requests are held back although they harm nothing. Sequence:
-// somebody moves the end of a path into the body until both give the same bytes.
-// Cause: fields that are joined without their lengths.
+// Guards against colliding digests, by which harmless requests would be quarantined: if
+// the fields were hashed without their lengths, moving the end of the path to the
+// beginning of the body would give the same bytes.
 #[test]
 fn fields_cannot_be_shifted_into_each_other() {
     let long_path = RequestContent {
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn a_digest_reads_back_from_its_text() {
+fn a_digest_round_trips_through_its_text() {
     let digest = RequestDigest::of(&content());
 
     assert_eq!(digest.to_string().parse(), Ok(digest));
 }
 
 #[test]
-fn a_text_that_is_no_digest_is_refused_with_the_remedy() {
+fn an_invalid_text_is_rejected_with_the_expected_format() {
     let error = "beef"
         .parse::<RequestDigest>()
-        .expect_err("it is too short");
+        .expect_err("the text is too short for a digest");
 
     assert!(
         error.to_string().contains("64 hexadecimal digits"),
--- a/crates/core/tests/limit.rs
+++ b/crates/core/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The shares of a limit never add up to more than is given out.
+//! Tests that the shares of a limit never exceed the part of it that the home divides.
 
 use berylhook_core::limit::{
     GrantedShare, LimitHome, ShareConfig, ShareHolder, ShareRequest, TokenBucket,
@@ -9,40 +9,40 @@
 const LIMIT: f64 = 100.0;
 const HOLDERS: usize = 4;
 
-/// What may happen next.
+/// A step of the random test.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// A holder asks for this much; the question or the answer may be lost,
-    /// or arrive this much later.
-    Ask {
+enum Step {
+    /// A holder requests a share. Request and reply take the given times; without
+    /// `reply_ms`, the reply is lost.
+    Request {
         holder: usize,
         demand: f64,
-        question_ms: u64,
-        answer_ms: Option<u64>,
+        request_ms: u64,
+        reply_ms: Option<u64>,
     },
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
-    /// Another process becomes home.
+    /// Another process becomes the home.
     NewHome,
-    /// A holder restarts and forgets its share.
+    /// A holder restarts and loses its share.
     Restart(usize),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..HOLDERS, 0.0..200.0f64, 0..400u64, proptest::option::of(0..400u64)).prop_map(
-            |(holder, demand, question_ms, answer_ms)| Happening::Ask {
-                holder, demand, question_ms, answer_ms,
+            |(holder, demand, request_ms, reply_ms)| Step::Request {
+                holder, demand, request_ms, reply_ms,
             }
         ),
-        3 => (0..2_000u64).prop_map(Happening::Wait),
-        1 => Just(Happening::NewHome),
-        1 => (0..HOLDERS).prop_map(Happening::Restart),
+        3 => (0..2_000u64).prop_map(Step::Wait),
+        1 => Just(Step::NewHome),
+        1 => (0..HOLDERS).prop_map(Step::Restart),
     ]
 }
 
-/// A grant on its way.
-struct Flying {
+/// A grant that is still in transit.
+struct InTransit {
     holder: usize,
     identity: u64,
     arrives_ms: MonoMs,
@@ -55,7 +55,7 @@
     epoch: u64,
     holders: Vec<ShareHolder>,
     identities: Vec<u64>,
-    flying: Vec<Flying>,
+    in_transit: Vec<InTransit>,
 }
 
 impl World {
@@ -67,21 +67,22 @@
             epoch: 1,
             holders: (0..HOLDERS).map(|_| ShareHolder::new()).collect(),
             identities: (0..HOLDERS as u64).collect(),
-            flying: Vec::new(),
+            in_transit: Vec::new(),
         }
     }
 
     fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
-        self.flying.sort_by_key(|flying| flying.arrives_ms);
-        while let Some(flying) = self.flying.first() {
-            if flying.arrives_ms > until_ms {
+        self.in_transit
+            .sort_by_key(|in_transit| in_transit.arrives_ms);
+        while let Some(in_transit) = self.in_transit.first() {
+            if in_transit.arrives_ms > until_ms {
                 break;
             }
-            let flying = self.flying.remove(0);
-            self.now_ms = self.now_ms.max(flying.arrives_ms);
-            if self.identities[flying.holder] == flying.identity {
-                self.holders[flying.holder].on_grant(&flying.grant);
+            let in_transit = self.in_transit.remove(0);
+            self.now_ms = self.now_ms.max(in_transit.arrives_ms);
+            if self.identities[in_transit.holder] == in_transit.identity {
+                self.holders[in_transit.holder].on_grant(&in_transit.grant);
             }
             self.check();
         }
@@ -89,46 +90,47 @@
         self.check();
     }
 
-    fn happen(&mut self, happening: &Happening) {
-        match *happening {
-            Happening::Wait(ms) => self.advance(ms),
-            Happening::NewHome => {
+    fn run_step(&mut self, step: &Step) {
+        match *step {
+            Step::Wait(ms) => self.advance(ms),
+            Step::NewHome => {
                 self.epoch += 1;
                 let config = ShareConfig::default();
                 self.home = LimitHome::takeover(config, LIMIT, self.epoch, self.now_ms);
             }
-            Happening::Restart(holder) => {
+            Step::Restart(holder) => {
                 self.holders[holder] = ShareHolder::new();
                 self.identities[holder] += 1_000;
             }
-            Happening::Ask {
+            Step::Request {
                 holder,
                 demand,
-                question_ms,
-                answer_ms,
-            } => self.ask(holder, demand, question_ms, answer_ms),
+                request_ms,
+                reply_ms,
+            } => self.request(holder, demand, request_ms, reply_ms),
         }
         self.check();
     }
 
-    fn ask(&mut self, holder: usize, demand: f64, question_ms: u64, answer_ms: Option<u64>) {
-        let confirmed = Some(self.holders[holder].confirmed_seq()).filter(|asked| *asked > 0);
-        let asked = self.holders[holder].begin_request(self.now_ms);
+    fn request(&mut self, holder: usize, demand: f64, request_ms: u64, reply_ms: Option<u64>) {
+        let confirmed_seq =
+            Some(self.holders[holder].confirmed_seq()).filter(|request_seq| *request_seq > 0);
+        let request_seq = self.holders[holder].begin_request(self.now_ms);
         let identity = self.identities[holder];
-        self.advance(question_ms);
-        let ask = ShareRequest {
+        self.advance(request_ms);
+        let request = ShareRequest {
             holder: identity,
-            request_seq: asked,
+            request_seq,
             demand,
             in_use: 0.0,
-            confirmed_seq: confirmed,
+            confirmed_seq,
         };
-        let grant = self.home.on_request(&ask, self.now_ms);
-        if let Some(answer_ms) = answer_ms {
-            self.flying.push(Flying {
+        let grant = self.home.on_request(&request, self.now_ms);
+        if let Some(reply_ms) = reply_ms {
+            self.in_transit.push(InTransit {
                 holder,
                 identity,
-                arrives_ms: self.now_ms + answer_ms,
+                arrives_ms: self.now_ms + reply_ms,
                 grant,
             });
         }
@@ -140,25 +142,24 @@
             .iter()
             .map(|holder| holder.share(self.now_ms))
             .sum();
-        let given_out = LIMIT * (1.0 - ShareConfig::default().static_fraction);
-        assert!(sum <= given_out + 1e-9, "shares add up to {sum}");
+        let divided_limit = LIMIT * (1.0 - ShareConfig::default().static_fraction);
+        assert!(sum <= divided_limit + 1e-9, "shares add up to {sum}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Symptom: an account gets more than its limit over all entries.
-    /// Sequence: any: lost and late questions and answers, holders that
-    /// restart, homes that are replaced.
-    /// Cause: a share given again before its last holder has stopped using it.
+    /// Guards against a client account that gets more than its limit over all entries,
+    /// because a share is granted again before its previous holder has stopped using it.
+    /// Messages are lost and late, holders restart and homes are replaced.
     #[test]
     fn shares_never_exceed_the_limit(
-        happenings in proptest::collection::vec(happening(), 1..120)
+        steps in proptest::collection::vec(step(), 1..120)
     ) {
         let mut world = World::new();
-        for happening in &happenings {
-            world.happen(happening);
+        for step in &steps {
+            world.run_step(step);
         }
     }
 }
@@ -167,9 +168,9 @@
 fn a_share_follows_demand() {
     let mut world = World::new();
     for _ in 0..20 {
-        world.ask(0, 90.0, 1, Some(1));
+        world.request(0, 90.0, 1, Some(1));
         world.advance(250);
-        world.ask(1, 10.0, 1, Some(1));
+        world.request(1, 10.0, 1, Some(1));
         world.advance(250);
     }
 
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_bucket_says_when_to_come_back() {
+fn an_empty_bucket_returns_the_time_until_the_next_token() {
     let mut bucket = TokenBucket::new(2.0, MonoMs(0));
     assert_eq!(bucket.take(MonoMs(0)), Ok(()));
     assert_eq!(bucket.take(MonoMs(0)), Ok(()));
@@ -192,34 +193,33 @@
     assert_eq!(bucket.take(MonoMs(500)), Ok(()));
 }
 
-/// Symptom: an account has eleven requests at a time under a limit of ten.
-/// Sequence: an entry fills its share with long requests; demand moves to
-/// another entry; the first one's share is lowered and confirmed.
-/// Cause: running requests cannot be called back, so the lowered share is
-/// still in use.
+/// Guards against exceeding a concurrency limit, such as eleven requests under a limit of
+/// ten. An entry fills its share with long requests, demand moves to another entry, and
+/// the first entry's share is lowered and confirmed. Its running requests cannot be
+/// cancelled and still occupy the old share.
 #[test]
-fn a_lowered_share_is_not_given_while_requests_run_above_it() {
+fn a_lowered_share_is_not_granted_to_others_while_requests_run_above_it() {
     let config = ShareConfig::default();
     let mut home = LimitHome::takeover(config, LIMIT, 1, MonoMs(0));
-    let mut ask = |holder, asked, demand, in_use, now_ms| {
-        let ask = ShareRequest {
+    let mut request = |holder, request_seq, demand, in_use, now_ms| {
+        let request = ShareRequest {
             holder,
-            request_seq: asked,
+            request_seq,
             demand,
             in_use,
-            confirmed_seq: Some(asked - 1).filter(|asked| *asked > 0),
+            confirmed_seq: Some(request_seq - 1).filter(|request_seq| *request_seq > 0),
         };
-        home.on_request(&ask, MonoMs(now_ms)).share
+        home.on_request(&request, MonoMs(now_ms)).share
     };
-    let first = ask(1, 1, 80.0, 0.0, 10_000);
-
-    let lowered = ask(1, 2, 40.0, 70.0, 10_500);
-    let other = ask(2, 1, 200.0, 0.0, 10_600);
-    ask(1, 3, 40.0, 70.0, 11_000);
-    let other_later = ask(2, 2, 200.0, 0.0, 11_100);
-    ask(1, 4, 0.0, 0.0, 11_500);
-    ask(1, 5, 0.0, 0.0, 12_000);
-    let other_at_last = ask(2, 3, 200.0, 0.0, 12_100);
+    let first = request(1, 1, 80.0, 0.0, 10_000);
+
+    let lowered = request(1, 2, 40.0, 70.0, 10_500);
+    let other = request(2, 1, 200.0, 0.0, 10_600);
+    request(1, 3, 40.0, 70.0, 11_000);
+    let other_later = request(2, 2, 200.0, 0.0, 11_100);
+    request(1, 4, 0.0, 0.0, 11_500);
+    request(1, 5, 0.0, 0.0, 12_000);
+    let other_at_last = request(2, 3, 200.0, 0.0, 12_100);
 
     assert!(first >= 79.0, "{first}");
     assert!(lowered <= 80.0);
--- a/crates/core/tests/restored_claims.rs
+++ b/crates/core/tests/restored_claims.rs
@@ -1,8 +1,8 @@
-//! At most once over a store that is restored from older copies, in many random orders.
+//! Randomized tests of at-most-once execution with a store that is restored from backups.
 //!
-//! Two agents claim one shard, renew leases, run keys that callers repeat, hand records
-//! over and are frozen, while the store loses what it has acknowledged. Each step is taken
-//! by itself, and a caller may send a key again at either agent at any time.
+//! Two agents claim one key shard, renew leases, run keys that callers repeat, hand over
+//! records, restart and pause, while restores of the store discard acknowledged writes. The
+//! steps interleave at random, and a caller may repeat a key at either agent at any time.
 
 use berylhook_core::era_guard::{ClaimDecision, EraGuard};
 use berylhook_core::lease::HeldLease;
@@ -16,19 +16,19 @@
 const STEPS: usize = 300;
 const LEASE_MS: u64 = 4_000;
 
-/// A restored copy is one of so many last ones.
-const COPIES: usize = 3;
+/// A restore uses one of this many latest backups.
+const RECENT_BACKUPS: usize = 3;
 
-/// Records that a ledger keeps.
+/// Capacity of each ledger.
 const CAPACITY: usize = 64;
 
-/// Random orders played by a usual test run.
-const PLAYS: u64 = 20_000;
+/// Default number of random runs.
+const DEFAULT_RUNS: u64 = 20_000;
 
-/// Names another number of plays, such as `BERYLHOOK_PLAYS=3000000`.
-const PLAYS_VARIABLE: &str = "BERYLHOOK_PLAYS";
+/// Environment variable that sets another number of runs, such as `BERYLHOOK_PLAYS=3000000`.
+const RUNS_VARIABLE: &str = "BERYLHOOK_PLAYS";
 
-/// Numbers that look random: the finalizer of splitmix64 over a counter.
+/// Pseudo-random number generator (splitmix64).
 struct Random(u64);
 
 impl Random {
@@ -41,28 +41,29 @@
     }
 
     fn pick(&mut self, count: usize) -> usize {
-        usize::try_from(self.below(count as u64)).expect("it is small")
+        usize::try_from(self.below(count as u64)).expect("the number is below `count`")
     }
 }
 
-/// What is in the store, and in each copy of it.
+/// The contents of the store and of each backup.
 #[derive(Clone, Default)]
 struct Contents {
-    /// The shard's home, by the claim's number, and until when its lease lasts.
+    /// The number of the home's claim on the shard, and when its lease expires.
     home: Option<(u64, u64)>,
     was_claimed: bool,
     handover: Option<Handover>,
-    /// Counts the records that were left.
+    /// Revision of the last handover.
     revision: u64,
-    settled: Option<u64>,
+    /// The last era that an agent marked as safe for claims.
+    marked_era: Option<u64>,
 }
 
-/// Records that a home left for the next one.
+/// Records that a home exported for the next home.
 #[derive(Clone)]
 struct Handover {
     era: u64,
     revision: u64,
-    moved: LedgerExport,
+    exported: LedgerExport,
 }
 
 impl Contents {
@@ -74,11 +75,11 @@
 #[derive(Default)]
 struct Store {
     era: u64,
-    now: Contents,
-    copies: Vec<Contents>,
+    contents: Contents,
+    backups: Vec<Contents>,
 }
 
-struct Home {
+struct ShardHome {
     claim: u64,
     ledger: Ledger,
 }
@@ -87,10 +88,9 @@
     guard: EraGuard,
     /// The lease and the era of its grant.
     lease: Option<(HeldLease, u64)>,
-    home: Option<Home>,
-    /// A claim that was decided on what the store had: the era, and the records to begin
-    /// with.
-    read: Option<(u64, Contents)>,
+    home: Option<ShardHome>,
+    /// The era and the contents that the agent read as the basis of a claim.
+    claim_basis: Option<(u64, Contents)>,
 }
 
 impl Agent {
@@ -99,14 +99,14 @@
             guard: EraGuard::new(LEASE_MS),
             lease: None,
             home: None,
-            read: None,
+            claim_basis: None,
         }
     }
 
     fn lose_lease(&mut self) {
         self.lease = None;
         self.home = None;
-        self.read = None;
+        self.claim_basis = None;
     }
 }
 
@@ -115,7 +115,7 @@
     now_ms: u64,
     store: Store,
     agents: [Agent; AGENTS],
-    /// When each key was issued, and how often it ran.
+    /// When each key was issued, and the number of times it ran.
     keys: IndexMap<u128, (u64, u32)>,
     claims: u64,
 }
@@ -137,115 +137,117 @@
         let agent = self.random.pick(AGENTS);
         match self.random.below(60) {
             0 => self.restore(),
-            1 | 2 => self.store.copies.push(self.store.now.clone()),
+            1 | 2 => self.store.backups.push(self.store.contents.clone()),
             3 => self.agents[agent] = Agent::new(),
             4 | 5 => self.hand_over(agent),
             6..=19 => self.renew(agent),
-            20..=29 => self.read(agent),
+            20..=29 => self.read_for_claim(agent),
             30..=39 => self.claim(agent),
-            _ => self.order(agent),
+            _ => self.send_request(agent),
         }
     }
 
     fn restore(&mut self) {
-        self.store.copies.push(self.store.now.clone());
-        let newest = self.store.copies.len() - 1;
-        let at = newest.saturating_sub(self.random.pick(COPIES));
-        self.store.copies.truncate(at + 1);
-        self.store.now = self.store.copies[at].clone();
+        self.store.backups.push(self.store.contents.clone());
+        let newest = self.store.backups.len() - 1;
+        let at = newest.saturating_sub(self.random.pick(RECENT_BACKUPS));
+        self.store.backups.truncate(at + 1);
+        self.store.contents = self.store.backups[at].clone();
         self.store.era += 1;
     }
 
     fn home_in_store(&self) -> Option<u64> {
-        let held = self
+        let valid = self
             .store
-            .now
+            .contents
             .home
-            .filter(|(_, until)| self.now_ms < *until);
-        held.map(|(claim, _)| claim)
+            .filter(|(_, expires_ms)| self.now_ms < *expires_ms);
+        valid.map(|(claim, _)| claim)
     }
 
-    /// Renews or asks for a lease.
+    /// Renews the agent's lease, or requests one.
     fn renew(&mut self, agent: usize) {
         let era = self.store.era;
         let now_ms = MonoMs(self.now_ms);
-        let held = self.agents[agent].home.as_ref().map(|home| home.claim);
+        let own_claim = self.agents[agent].home.as_ref().map(|home| home.claim);
         match &mut self.agents[agent].lease {
             Some((_, granted_in)) if *granted_in != era => self.agents[agent].lose_lease(),
             Some((lease, _)) if !lease.is_valid(now_ms) => self.agents[agent].lose_lease(),
             Some((lease, _)) => {
                 lease.on_renewed(now_ms);
-                self.extend_home(held);
+                self.extend_home(own_claim);
             }
             lease @ None => *lease = Some((HeldLease::granted(LEASE_MS, now_ms), era)),
         }
     }
 
     fn extend_home(&mut self, claim: Option<u64>) {
-        let until = self.now_ms + LEASE_MS;
-        match &mut self.store.now.home {
-            Some((holder, ends)) if Some(*holder) == claim => *ends = until,
+        let expires_ms = self.now_ms + LEASE_MS;
+        match &mut self.store.contents.home {
+            Some((holder, ends_ms)) if Some(*holder) == claim => *ends_ms = expires_ms,
             _ => {}
         }
     }
 
-    /// Reads what the store has of the shard, if a claim may be made.
-    fn read(&mut self, agent: usize) {
+    /// Reads the store's contents as the basis of a claim, if the era guard allows a claim.
+    fn read_for_claim(&mut self, agent: usize) {
         let era = self.store.era;
-        let mark = self.store.now.settled;
+        let marker = self.store.contents.marked_era;
         let now_ms = MonoMs(self.now_ms);
-        match self.agents[agent].guard.decide(era, mark, now_ms) {
+        match self.agents[agent].guard.decide(era, marker, now_ms) {
             ClaimDecision::Wait => return,
-            ClaimDecision::AllowAndMark => self.store.now.settled = Some(era),
+            ClaimDecision::AllowAndMark => self.store.contents.marked_era = Some(era),
             ClaimDecision::Allow => {}
         }
-        self.agents[agent].read = Some((era, self.store.now.clone()));
+        self.agents[agent].claim_basis = Some((era, self.store.contents.clone()));
     }
 
-    /// Claims the shard on what was read.
+    /// Claims the shard, if its state is unchanged since it was read.
     fn claim(&mut self, agent: usize) {
         let era = self.store.era;
-        let Some((read_in, state)) = self.agents[agent].read.take() else {
+        let Some((read_in, state)) = self.agents[agent].claim_basis.take() else {
             return;
         };
         let Some((lease, granted_in)) = self.agents[agent].lease else {
             return;
         };
         let is_free = self.home_in_store().is_none()
-            && state.home.is_none_or(|(_, until)| self.now_ms >= until);
-        let is_unchanged = state.handover_revision() == self.store.now.handover_revision()
-            && state.was_claimed == self.store.now.was_claimed;
+            && state
+                .home
+                .is_none_or(|(_, expires_ms)| self.now_ms >= expires_ms);
+        let is_unchanged = state.handover_revision() == self.store.contents.handover_revision()
+            && state.was_claimed == self.store.contents.was_claimed;
         if !is_free || !is_unchanged {
             return;
         }
         self.claims += 1;
-        let until = lease.valid_until_ms().0.max(self.now_ms) + LEASE_MS / 10;
-        self.store.now.home = Some((self.claims, until));
-        self.store.now.was_claimed = true;
-        self.store.now.handover = None;
+        let expires_ms = lease.valid_until_ms().0.max(self.now_ms) + LEASE_MS / 10;
+        self.store.contents.home = Some((self.claims, expires_ms));
+        self.store.contents.was_claimed = true;
+        self.store.contents.handover = None;
         if granted_in != era || read_in != era || !lease.is_valid(MonoMs(self.now_ms)) {
             return;
         }
         let ledger = self.ledger(era, state);
-        self.agents[agent].home = Some(Home {
+        self.agents[agent].home = Some(ShardHome {
             claim: self.claims,
             ledger,
         });
     }
 
     fn ledger(&self, era: u64, state: Contents) -> Ledger {
-        let clocks = ClockBounds::default();
-        let moved = state.handover.filter(|left| left.era == era);
-        match moved {
-            Some(left) => Ledger::import(clocks, &left.moved, CAPACITY),
+        let clock_bounds = ClockBounds::default();
+        let exported = state.handover.filter(|handover| handover.era == era);
+        match exported {
+            Some(handover) => Ledger::import(clock_bounds, &handover.exported, CAPACITY),
             None if state.was_claimed || era > 0 => {
-                Ledger::takeover(clocks, WallMs(self.now_ms), CAPACITY)
+                Ledger::takeover(clock_bounds, WallMs(self.now_ms), CAPACITY)
             }
-            None => Ledger::for_new_shard(clocks, CAPACITY),
+            None => Ledger::for_new_shard(clock_bounds, CAPACITY),
         }
     }
 
-    /// Leaves the records for the next home.
+    /// Ends the agent's role as home and exports its records for the next home.
     fn hand_over(&mut self, agent: usize) {
         let era = self.store.era;
         let Some(home) = self.agents[agent].home.take() else {
@@ -256,18 +258,18 @@
         }
         let granted_in = self.agents[agent].lease.map(|(_, era)| era);
         if granted_in == Some(era) {
-            self.store.now.home = None;
-            self.store.now.revision += 1;
-            self.store.now.handover = Some(Handover {
+            self.store.contents.home = None;
+            self.store.contents.revision += 1;
+            self.store.contents.handover = Some(Handover {
                 era,
-                revision: self.store.now.revision,
-                moved: home.ledger.export(CAPACITY),
+                revision: self.store.contents.revision,
+                exported: home.ledger.export(CAPACITY),
             });
         }
     }
 
-    /// A caller sends a new key or an old one.
-    fn order(&mut self, agent: usize) {
+    /// A caller sends a request with a new or a known key to the agent.
+    fn send_request(&mut self, agent: usize) {
         let number = match self.random.pick(self.keys.len() + 1) {
             new if new == self.keys.len() => {
                 let key = self.keys.len() as u128;
@@ -276,76 +278,78 @@
             }
             known => known,
         };
-        let (key, (issued_ms, _)) = self.keys.get_index(number).expect("it was issued");
+        let (key, (issued_ms, _)) = self.keys.get_index(number).expect("the key was issued");
         let request = KeyedRequest {
             key: *key,
             issued_ms: WallMs(*issued_ms),
             digest: 1,
         };
-        if self.runs(agent, request) {
+        if self.try_run(agent, request) {
             let (issued_ms, runs) = &mut self.keys[number];
             *runs += 1;
             assert_eq!(*runs, 1, "the key issued at {issued_ms} ran again");
         }
     }
 
-    fn runs(&mut self, agent: usize, request: KeyedRequest) -> bool {
+    fn try_run(&mut self, agent: usize, request: KeyedRequest) -> bool {
         let agent = &mut self.agents[agent];
         let now_ms = MonoMs(self.now_ms);
-        let holds = agent.lease.is_some_and(|(lease, _)| lease.is_valid(now_ms));
-        let Some(home) = agent.home.as_mut().filter(|_| holds) else {
+        let is_lease_valid = agent.lease.is_some_and(|(lease, _)| lease.is_valid(now_ms));
+        let Some(home) = agent.home.as_mut().filter(|_| is_lease_valid) else {
             return false;
         };
         let admission = home.ledger.admit(request, WallMs(self.now_ms));
         if admission != Admission::Run {
             return false;
         }
-        let answer = RecordedResponse {
+        let response = RecordedResponse {
             status: 200,
             content_type: String::new(),
             body: None,
         };
-        home.ledger.finish(request.key, answer.into());
+        home.ledger.finish(request.key, response.into());
         true
     }
 }
 
-fn plays() -> u64 {
-    let named = std::env::var(PLAYS_VARIABLE);
-    named.map_or(PLAYS, |plays| plays.parse().expect("a number of plays"))
+fn run_count() -> u64 {
+    let value = std::env::var(RUNS_VARIABLE);
+    value.map_or(DEFAULT_RUNS, |text| {
+        text.parse().expect("the value is a number of runs")
+    })
 }
 
-/// Guards against a second run: the claim is lost in a restore, and another agent claims the
-/// shard while the first one still runs keys.
+/// Guards against a second run of a key: a restore discards the home's claim, and another
+/// agent claims the shard while the previous home still runs requests.
 #[test]
-fn no_key_runs_twice_whatever_is_restored() {
+fn no_key_runs_twice_after_restores() {
     let mut runs = 0;
-    for seed in 0..plays() {
+    for seed in 0..run_count() {
         let mut world = World::new(seed);
         for _ in 0..STEPS {
             world.step();
         }
         runs += world.keys.values().filter(|(_, runs)| *runs > 0).count();
     }
-    assert!(runs > 0, "some key runs");
+    assert!(runs > 0, "no key ran");
 }
 
-/// Guards against a wait that another restore cuts short, and against a mark that a copy
-/// brought back.
+/// Guards against a wait that a second restore cuts short, and against accepting a marker
+/// that was restored from a backup.
 #[test]
-fn leases_of_an_era_before_are_waited_for_once() {
+fn claims_wait_for_the_leases_of_the_previous_era() {
     let mut guard = EraGuard::new(LEASE_MS);
-    let mut late = EraGuard::new(LEASE_MS);
+    let mut other_guard = EraGuard::new(LEASE_MS);
 
-    let at_first = guard.decide(1, None, MonoMs(0));
-    let restored = guard.decide(2, Some(1), MonoMs(LEASE_MS - 1));
+    let first_decision = guard.decide(1, None, MonoMs(0));
+    let after_second_restore = guard.decide(2, Some(1), MonoMs(LEASE_MS - 1));
     let too_soon = guard.decide(2, None, MonoMs(LEASE_MS + 1));
     let in_time = guard.decide(2, None, MonoMs(2 * LEASE_MS));
-    let settled = guard.decide(2, Some(2), MonoMs(2 * LEASE_MS));
-    let of_another = late.decide(2, Some(2), MonoMs(0));
+    let marked = guard.decide(2, Some(2), MonoMs(2 * LEASE_MS));
+    let other_marked = other_guard.decide(2, Some(2), MonoMs(0));
 
     assert_eq!(
-        [at_first, restored, too_soon],
+        [first_decision, after_second_restore, too_soon],
         [
             ClaimDecision::Wait,
             ClaimDecision::Wait,
@@ -353,5 +357,5 @@
         ]
     );
     assert_eq!(in_time, ClaimDecision::AllowAndMark);
-    assert_eq!([settled, of_another], [ClaimDecision::Allow; 2]);
+    assert_eq!([marked, other_marked], [ClaimDecision::Allow; 2]);
 }
