--- a/crates/backpressure/src/coordinator.rs
+++ b/crates/backpressure/src/coordinator.rs
@@ -1,10 +1,13 @@
-//! Who is home for a service's limits, who asks, and who is told.
+//! Selects the home for a service's limits, grants permits there, and selects the entries
+//! to notify of limits.
 //!
-//! The entries order themselves by rendezvous hashing of the service's name with their
-//! addresses; the first one is home. One that does not answer is passed over until it is
-//! heard again, which it is at once: whoever takes itself for home tells all entries that
-//! it does not hear. The next one takes its place only once it does not reach it either: an
-//! entry that alone is cut off from the home gets no permits, and there are no two homes.
+//! All entries rank each other by rendezvous hashing of the service's name with their
+//! addresses; the highest-ranked entry is the home. An entry that does not reply is
+//! skipped until a message from it arrives again. That happens soon, because an entry that
+//! considers itself the home notifies all entries from which it receives nothing. The next
+//! entry in the ranking acts as home only once it cannot reach the skipped entry either:
+//! an entry that is the only one cut off from the home gets no permits, and there are
+//! never two homes.
 
 use std::hash::Hash;
 use std::net::{IpAddr, SocketAddr};
@@ -16,93 +19,100 @@
 use crate::messages::{PermitGrant, PermitRequest};
 use crate::rate::RequestRate;
 
-/// Questions in a row without an answer after which an entry is passed over. One is lost
-/// now and then.
-const UNANSWERED_TO_PASS: u32 = 2;
+/// Consecutive requests without a reply after which an entry is skipped. A single message
+/// is lost now and then.
+const FAILURES_TO_SKIP: u32 = 2;
 
-/// How long an entry is passed over from which nothing is heard.
-const PASSED_OVER_MS: u64 = 10_000;
+/// How long an entry from which nothing arrives is skipped.
+const SKIP_DURATION_MS: u64 = 10_000;
 
-/// An entry that sent nothing for this long is not heard: a few questions.
-const HEARD_WITHIN_MS: u64 = 1_000;
+/// Time without a message after which an entry counts as out of contact; entries send a
+/// few requests in this time.
+const CONTACT_TIMEOUT_MS: u64 = 1_000;
 
-/// A ration that nobody asked for in this time is begun anew, since another entry may have
-/// been home meanwhile.
-const RATION_KEPT_MS: u64 = 1_000;
+/// An allocation without requests for this long is created anew, since another entry may
+/// have been the home in the meantime.
+const ALLOCATION_RETENTION_MS: u64 = 1_000;
 
-/// Odd numbers with their bits evenly spread.
-const HASH_START: u64 = 0xcbf2_9ce4_8422_2325;
-const HASH_FACTOR: u64 = 0x0000_0100_0000_01b3;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// An odd multiplier whose bits are evenly distributed.
 const MIX_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The entries, as one of them knows them.
+/// The entries known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    /// Those that take requests, the entry itself among them.
+    /// Entries that accept requests, including the entry itself.
     pub present: Vec<SocketAddr>,
-    /// All that may send, also those that did not answer of late.
+    /// All entries that may send requests to targets, including those that have not replied
+    /// recently.
     pub known: Vec<SocketAddr>,
 }
 
-/// How a question went without an answer.
+/// Why a request to another entry got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestFailure {
-    /// Nothing came in time.
+    /// No reply arrived in time.
     NoReply,
-    /// Nobody listens there, or what listens does not know such questions.
+    /// The connection was refused, or the listening process does not serve such requests.
     Refused,
 }
 
-/// Questions to one entry that brought no answer.
+/// Recent requests to one entry that got no reply.
 #[derive(Clone, Copy, Debug)]
 struct Failures {
-    in_a_row: u32,
+    consecutive: u32,
     last_ms: MonoMs,
-    how: RequestFailure,
+    /// The last failure.
+    failure: RequestFailure,
 }
 
-/// One service's limits, as one entry deals with them.
+/// One entry's state for the target limits of one service: home selection, and the permit
+/// allocations while this entry is the home.
 #[derive(Debug)]
 pub struct PermitCoordinator<T> {
     own: SocketAddr,
     service: u64,
-    unanswered: IndexMap<SocketAddr, Failures>,
-    heard: IndexMap<SocketAddr, MonoMs>,
-    rations: IndexMap<T, (Allocation, MonoMs)>,
-    /// What all were told last.
-    told: Vec<(T, Option<RequestRate>)>,
+    failures: IndexMap<SocketAddr, Failures>,
+    /// When the last message from each entry arrived.
+    last_contact_ms: IndexMap<SocketAddr, MonoMs>,
+    /// The allocation for each target, and when it was last requested.
+    allocations: IndexMap<T, (Allocation, MonoMs)>,
+    /// The limits that were last sent to all entries.
+    published_limits: Vec<(T, Option<RequestRate>)>,
 }
 
 impl<T: Clone + Eq + Hash> PermitCoordinator<T> {
-    /// The part of the entry that answers its peers at `own`.
+    /// Creates the state of the entry with the peer address `own`.
     #[must_use]
     pub fn new(own: SocketAddr, service: &str) -> Self {
         Self {
             own,
-            service: hash(HASH_START, service.as_bytes()),
-            unanswered: IndexMap::new(),
-            heard: IndexMap::new(),
-            rations: IndexMap::new(),
-            told: Vec::new(),
+            service: hash(FNV_OFFSET_BASIS, service.as_bytes()),
+            failures: IndexMap::new(),
+            last_contact_ms: IndexMap::new(),
+            allocations: IndexMap::new(),
+            published_limits: Vec::new(),
         }
     }
 
-    /// The home, as far as this entry can tell.
+    /// Returns the home according to this entry: the highest-ranked entry that is not skipped.
     #[must_use]
     pub fn home(&self, members: &Members, now_ms: MonoMs) -> SocketAddr {
         let present = members.present.iter().copied();
-        let reached =
-            present.filter(|member| *member == self.own || !self.is_passed_over(*member, now_ms));
-        reached
+        let candidates =
+            present.filter(|member| *member == self.own || !self.is_skipped(*member, now_ms));
+        candidates
             .max_by_key(|member| (self.weight(*member), *member))
             .unwrap_or(self.own)
     }
 
-    fn is_passed_over(&self, member: SocketAddr, now_ms: MonoMs) -> bool {
-        let unanswered = self.unanswered.get(&member);
-        unanswered.is_some_and(|failures| {
-            failures.in_a_row >= UNANSWERED_TO_PASS
-                && now_ms.since(failures.last_ms) < PASSED_OVER_MS
+    fn is_skipped(&self, member: SocketAddr, now_ms: MonoMs) -> bool {
+        let failures = self.failures.get(&member);
+        failures.is_some_and(|failures| {
+            failures.consecutive >= FAILURES_TO_SKIP
+                && now_ms.since(failures.last_ms) < SKIP_DURATION_MS
         })
     }
 
@@ -111,38 +121,47 @@
             IpAddr::V4(ip) => hash(self.service, &ip.octets()),
             IpAddr::V6(ip) => hash(self.service, &ip.octets()),
         };
-        mixed(hash(hashed, &member.port().to_be_bytes()))
+        mix(hash(hashed, &member.port().to_be_bytes()))
     }
 
-    /// An entry did not answer.
-    pub fn on_request_failed(&mut self, member: SocketAddr, how: RequestFailure, now_ms: MonoMs) {
-        let before = self.unanswered.get(&member).map_or(0, |it| it.in_a_row);
-        let in_a_row = match how {
-            RequestFailure::NoReply => before + 1,
-            RequestFailure::Refused => UNANSWERED_TO_PASS,
+    /// Records that a request to another entry got no reply.
+    pub fn on_request_failed(
+        &mut self,
+        member: SocketAddr,
+        failure: RequestFailure,
+        now_ms: MonoMs,
+    ) {
+        let previous = self
+            .failures
+            .get(&member)
+            .map_or(0, |failures| failures.consecutive);
+        let consecutive = match failure {
+            RequestFailure::NoReply => previous + 1,
+            RequestFailure::Refused => FAILURES_TO_SKIP,
         };
         let last_ms = now_ms;
-        self.unanswered.insert(
+        self.failures.insert(
             member,
             Failures {
-                in_a_row,
+                consecutive,
                 last_ms,
-                how,
+                failure,
             },
         );
     }
 
-    /// An entry has sent or answered something.
+    /// Records that a message from another entry arrived.
     pub fn on_received(&mut self, member: SocketAddr, now_ms: MonoMs) {
-        self.unanswered.shift_remove(&member);
-        self.heard.insert(member, now_ms);
+        self.failures.shift_remove(&member);
+        self.last_contact_ms.insert(member, now_ms);
     }
 
-    /// An entry, maybe this one, asks for permits; `None` if this one is not home.
+    /// Handles permit requests of an entry, which may be this one, and returns the grants;
+    /// `None` if this entry is not the home.
     pub fn on_permit_requests(
         &mut self,
         from: SocketAddr,
-        wishes: &[PermitRequest<T>],
+        requests: &[PermitRequest<T>],
         limit_of: impl Fn(&T) -> Option<RequestRate>,
         members: &Members,
         now_ms: MonoMs,
@@ -151,28 +170,28 @@
         if self.home(members, now_ms) != self.own {
             return None;
         }
-        let part = self.part(members, now_ms);
+        let fraction = self.granted_fraction(members, now_ms);
         let holders: Vec<SocketAddr> = self.senders(members).collect();
-        self.rations
-            .retain(|_, (_, asked_ms)| now_ms.since(*asked_ms) < RATION_KEPT_MS);
+        self.allocations
+            .retain(|_, (_, requested_ms)| now_ms.since(*requested_ms) < ALLOCATION_RETENTION_MS);
         let mut grants = Vec::new();
-        for wish in wishes {
-            let Some(limit) = limit_of(&wish.target) else {
+        for request in requests {
+            let Some(limit) = limit_of(&request.target) else {
                 continue;
             };
-            let begun = || (Allocation::after_takeover(limit, now_ms), now_ms);
-            let (ration, asked_ms) = self
-                .rations
-                .entry(wish.target.clone())
-                .or_insert_with(begun);
-            *asked_ms = now_ms;
-            if let Some(held) = wish.held {
-                ration.on_held_permits(from, held, &holders);
+            let new_allocation = || (Allocation::after_takeover(limit, now_ms), now_ms);
+            let (allocation, requested_ms) = self
+                .allocations
+                .entry(request.target.clone())
+                .or_insert_with(new_allocation);
+            *requested_ms = now_ms;
+            if let Some(held) = request.held {
+                allocation.on_held_permits(from, held, &holders);
             }
-            let permits = ration.grant(limit, part, (from, wish.requests), now_ms);
+            let permits = allocation.grant(limit, fraction, (from, request.requests), now_ms);
             if permits > 0 {
                 grants.push(PermitGrant {
-                    target: wish.target.clone(),
+                    target: request.target.clone(),
                     permits,
                     valid_ms: Allocation::permit_ttl_ms(limit),
                 });
@@ -181,61 +200,65 @@
         Some(grants)
     }
 
-    /// The part of a limit that this home gives out: all of it where it hears a majority
-    /// of the entries that have not ended.
+    /// Returns the fraction of a limit that this home grants: 1 if it is in contact with a
+    /// majority of the entries that have not exited.
     #[allow(clippy::cast_precision_loss)] // a few thousand entries
-    fn part(&self, members: &Members, now_ms: MonoMs) -> f64 {
-        let others = self.heard.iter().filter(|(member, at_ms)| {
-            **member != self.own && now_ms.since(**at_ms) < HEARD_WITHIN_MS
+    fn granted_fraction(&self, members: &Members, now_ms: MonoMs) -> f64 {
+        let others = self.last_contact_ms.iter().filter(|(member, at_ms)| {
+            **member != self.own && now_ms.since(**at_ms) < CONTACT_TIMEOUT_MS
         });
-        let heard = others.count() + 1;
+        let in_contact = others.count() + 1;
         let known = self.senders(members).count();
-        if heard * 2 > known {
+        if in_contact * 2 > known {
             1.0
         } else {
-            heard as f64 / known as f64
+            in_contact as f64 / known as f64
         }
     }
 
-    /// The entries that may send, without those that have ended.
+    /// Returns the entries that may send requests to targets, without those that have exited.
     fn senders<'a>(&'a self, members: &'a Members) -> impl Iterator<Item = SocketAddr> + 'a {
-        let has_ended = |member: &SocketAddr| {
-            let failures = self.unanswered.get(member);
-            failures.is_some_and(|failures| failures.how == RequestFailure::Refused)
+        let has_exited = |member: &SocketAddr| {
+            let failures = self.failures.get(member);
+            failures.is_some_and(|failures| failures.failure == RequestFailure::Refused)
         };
         let known = members.known.iter().copied();
-        known.filter(move |member| !has_ended(member))
+        known.filter(move |member| !has_exited(member))
     }
 
-    /// Whom this home tells of the limits: all if any has changed, else those that it does
-    /// not hear.
+    /// Returns the entries that this home must notify of the limits: all if any limit has
+    /// changed, otherwise those it is not in contact with.
     pub fn peers_to_notify(
         &mut self,
         limits: Vec<(T, Option<RequestRate>)>,
         members: &Members,
         now_ms: MonoMs,
     ) -> Vec<SocketAddr> {
-        let is_changed = self.told != limits;
-        self.told = limits;
-        let others = members.present.iter().copied().filter(|it| *it != self.own);
-        let is_heard = |member: &SocketAddr| {
-            let heard_ms = self.heard.get(member);
-            heard_ms.is_some_and(|at_ms| now_ms.since(*at_ms) < HEARD_WITHIN_MS)
+        let is_changed = self.published_limits != limits;
+        self.published_limits = limits;
+        let others = members
+            .present
+            .iter()
+            .copied()
+            .filter(|member| *member != self.own);
+        let is_in_contact = |member: &SocketAddr| {
+            let contact_ms = self.last_contact_ms.get(member);
+            contact_ms.is_some_and(|at_ms| now_ms.since(*at_ms) < CONTACT_TIMEOUT_MS)
         };
         others
-            .filter(|member| is_changed || !is_heard(member))
+            .filter(|member| is_changed || !is_in_contact(member))
             .collect()
     }
 }
 
-/// FNV-1a. All entries have to come to the same, also those of another version.
+/// FNV-1a hash. All entries, also those of other versions, must compute the same value.
 fn hash(start: u64, bytes: &[u8]) -> u64 {
-    let next = |hashed: u64, byte: &u8| (hashed ^ u64::from(*byte)).wrapping_mul(HASH_FACTOR);
+    let next = |hashed: u64, byte: &u8| (hashed ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
     bytes.iter().fold(start, next)
 }
 
-/// Spreads the difference of near addresses over all bits.
-fn mixed(hashed: u64) -> u64 {
+/// Distributes the differences between similar addresses over all bits.
+fn mix(hashed: u64) -> u64 {
     let mixed = (hashed ^ (hashed >> 32)).wrapping_mul(MIX_FACTOR);
     mixed ^ (mixed >> 29)
 }
--- a/crates/backpressure/src/lib.rs
+++ b/crates/backpressure/src/lib.rs
@@ -1,30 +1,36 @@
-//! Back-pressure: what targets say of how much they take, and what follows from it.
+//! Back-pressure: request rate limits and backoff times that targets announce, and their
+//! enforcement by the entries (the front-end processes).
 //!
-//! A limit that a target names holds over all entries together. Each entry sends there
-//! under *permits*. One entry, the *home*, gives them out at the rate of the limit, to
-//! whoever wants to send. No request waits for a message: an entry asks for permits ahead,
-//! by what it could have sent of late, and sends to other targets meanwhile. While no
-//! target names a limit there are no messages at all.
+//! A rate limit announced by a target applies to the sum over all entries. An entry needs
+//! a *permit* for each request to such a target. One entry, the *home*, grants permits at
+//! the rate of the limit to the entries that request them. No request waits for a permit
+//! message: an entry requests permits in advance, according to its recent demand, and
+//! sends requests to other targets in the meantime. While no target announces a limit,
+//! the entries exchange no messages.
 //!
-//! What keeps the sum below the limit:
+//! The sum over all entries stays within the limit because of these rules:
 //!
-//! - A permit ends on its holder's clock, counted from when it *asked*.
-//! - A home begins in debt by what a former home may have given out, until all who may have
-//!   got permits from it have told how many they have.
-//! - An entry is home only while it reaches no entry that goes before it.
-//! - A home that hears from no majority of the entries gives out the part of the limit
-//!   that those it hears are of all.
+//! - A permit expires on its holder's clock, counted from when the holder *requested* it.
+//! - A new home starts in debt by the number of permits that a previous home may have
+//!   granted, until all entries that may have such permits have reported how many they
+//!   hold.
+//! - An entry acts as home only while it cannot reach any entry that precedes it in the
+//!   ranking.
+//! - A home that is not in contact with a majority of the entries grants only a fraction
+//!   of the limit: the number of entries it is in contact with, itself included, divided
+//!   by the number of all entries.
 //!
-//! Lost messages and entries that end waste permits for a second or two; they add none.
+//! Lost messages and exiting entries waste permits for one or two seconds but never cause
+//! additional permits.
 //!
-//! | Module | Job |
+//! | Module | Purpose |
 //! |---|---|
-//! | [`rate`] | a limit in requests a second, within sensible bounds |
-//! | [`signal`] | what one answer says |
-//! | [`gate`] | what one target has said last, and whether it may get a request now |
-//! | [`allocation`] | gives out the permits for one target |
-//! | [`coordinator`] | who is home, who asks, and who is told |
-//! | [`messages`] | what entries tell each other |
+//! | [`rate`] | a rate limit in requests per second, clamped to a valid range |
+//! | [`signal`] | back-pressure signals in a response of a target |
+//! | [`gate`] | admission control for one target, according to its last signals |
+//! | [`allocation`] | the home's allocation of permits for one target |
+//! | [`coordinator`] | home selection, permit requests and notification of peers |
+//! | [`messages`] | messages between entries |
 
 pub mod allocation;
 pub mod coordinator;
--- a/crates/backpressure/src/messages.rs
+++ b/crates/backpressure/src/messages.rs
@@ -1,6 +1,6 @@
-//! What entries tell each other of targets that name a limit.
+//! Messages between entries about targets that announce a rate limit.
 //!
-//! `T` names an incarnation of a target.
+//! The type parameter `T` identifies an incarnation of a target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,61 +9,62 @@
 
 use crate::rate::RequestRate;
 
-/// What a target said, as far as the sender knows.
+/// The last limit of a target that the sender knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport<T> {
     /// The target's incarnation.
     pub target: T,
-    /// Its limit, or that it names none any more.
+    /// The target's limit; `None` if it no longer announces one.
     pub limit: Option<RequestRate>,
-    /// How long ago it said so. Clocks of two processes cannot be compared.
+    /// Time since the target announced this. It is an age because the clocks of two
+    /// processes cannot be compared.
     pub age_ms: u64,
 }
 
-/// How many requests an entry would send to a target.
+/// An entry's request for permits for one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest<T> {
     /// The target's incarnation.
     pub target: T,
-    /// Requests that it would send soon, beyond the permits that it has.
+    /// Requests that the entry expects to send soon, beyond the permits it holds.
     pub requests: u32,
-    /// Permits that it has; `None` from an entry of a version that does not tell.
+    /// Permits that the entry holds; `None` from entries of versions that do not report it.
     #[serde(default)]
     pub held: Option<u32>,
 }
 
-/// A question to the home, or news from it.
+/// A request for permits to the home, or a notification of limits from the home.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitMessage<T> {
-    /// Where the sender answers its peers.
+    /// Address at which the sender serves requests of its peers.
     pub from: SocketAddr,
     /// The service that the targets belong to.
     pub service: Arc<str>,
-    /// What the sender knows.
+    /// The limits known to the sender.
     pub reports: Vec<LimitReport<T>>,
-    /// What it would send; empty in news.
+    /// The sender's permit requests; empty in a notification.
     #[serde(rename = "wishes")]
     pub permit_requests: Vec<PermitRequest<T>>,
 }
 
-/// Permits for one target.
+/// Permits granted for one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitGrant<T> {
     /// The target's incarnation.
     pub target: T,
-    /// Requests that may be sent there.
+    /// Number of requests that may be sent to the target.
     pub permits: u32,
-    /// For how long, counted from when the holder asked.
+    /// How long the permits are valid, counted from when the holder sent its request.
     pub valid_ms: u64,
 }
 
-/// The answer to a question.
+/// The reply to a [`LimitMessage`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReply<T> {
-    /// Whether the answering entry is home; if not, it grants nothing.
+    /// Whether the replying entry is the home; if not, it grants no permits.
     pub is_home: bool,
-    /// What the answering entry knows.
+    /// The limits known to the replying entry.
     pub reports: Vec<LimitReport<T>>,
-    /// Permits.
+    /// The permits granted to the sender of the message.
     pub grants: Vec<PermitGrant<T>>,
 }
--- a/crates/backpressure/src/rate.rs
+++ b/crates/backpressure/src/rate.rs
@@ -1,40 +1,40 @@
-//! A limit in requests a second.
+//! A rate limit in requests per second.
 //!
-//! Targets in trouble send what they will, so a limit is brought within bounds in which
-//! sharing it makes sense. None of them lifts it.
+//! An overloaded target may announce any value, so the limit is clamped to a range in
+//! which sharing it among entries works. No value removes the limit.
 
 use serde::{Deserialize, Serialize};
 
-/// Least limit, in requests a second. A target that names none at all, or less, still gets
-/// a request each ten seconds: only an answer can tell that it takes more again.
-const LEAST_PER_S: f64 = 0.1;
+/// Lowest limit in requests per second. A target that announces zero or less still gets
+/// a request every ten seconds, because only a response can announce a higher limit.
+const MIN_PER_S: f64 = 0.1;
 
-/// Largest limit, in requests a second: more than all entries send to one target.
-const MOST_PER_S: f64 = 1_000_000.0;
+/// Highest limit in requests per second; more than all entries together send to a target.
+const MAX_PER_S: f64 = 1_000_000.0;
 
-/// Limit of a target that names one which can't be read, in requests a second. It is in
-/// need, and says so with each answer.
+/// Limit in requests per second for a target whose announced limit cannot be parsed. The
+/// target is overloaded, and repeats the announcement with each response.
 const UNREADABLE_PER_S: f64 = 1.0;
 
-/// Requests a second, neither zero nor infinite.
+/// A rate in requests per second, neither zero nor infinite.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(from = "f64", into = "f64")]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// Taken where the limit can't be read.
+    /// The rate used if the announced limit cannot be parsed.
     pub const UNREADABLE: Self = Self(UNREADABLE_PER_S);
 
-    /// That rate, or the nearest one within bounds.
+    /// Returns the rate clamped to the valid range; NaN gives [`Self::UNREADABLE`].
     #[must_use]
     pub fn clamped(per_s: f64) -> Self {
         if per_s.is_nan() {
             return Self::UNREADABLE;
         }
-        Self(per_s.clamp(LEAST_PER_S, MOST_PER_S))
+        Self(per_s.clamp(MIN_PER_S, MAX_PER_S))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     #[must_use]
     pub fn per_s(self) -> f64 {
         self.0
--- a/crates/backpressure/tests/fleet.rs
+++ b/crates/backpressure/tests/fleet.rs
@@ -1,217 +1,224 @@
-//! The limit of a target over all entries, on a model of a fleet and its messages.
+//! Tests that the entries together keep to a target's limit, in a simulated fleet.
 
 mod common;
 
-use crate::common::{Fault, Outcome, Play, Way, play};
+use crate::common::{Fault, Outcome, Scenario, SharingPolicy, simulate};
 
 const FLEETS: [usize; 4] = [2, 6, 20, 53];
 const LIMITS_PER_S: [f64; 4] = [0.5, 1.0, 5.0, 50.0];
 const SEEDS: u64 = 3;
 
-/// The users' rule begins three seconds after a limit is named.
-const BOUND_FROM_MS: u64 = 3_000;
+/// The service's objective applies from three seconds after a limit is announced.
+const OBJECTIVE_FROM_MS: u64 = 3_000;
 
-/// Most that is aimed at under faults, in parts of what the users allow.
-const MOST_UNDER_FAULTS: f64 = 1.25;
+/// Highest accepted ratio of sent to allowed requests under faults.
+const MAX_RATIO_UNDER_FAULTS: f64 = 1.25;
 
-/// Part of the limit that is aimed to be used while there is demand.
-const LEAST_USED: f64 = 0.9;
+/// Lowest accepted fraction of the limit that is used while there is demand.
+const MIN_USED_FRACTION: f64 = 0.9;
 
-/// Plays each fleet with each limit and some seeds.
-fn in_each_fleet(change: impl Fn(&mut Play), check: impl Fn(&Play, &Outcome)) {
+/// Simulates each fleet size with each limit and several seeds.
+fn in_each_fleet(modify: impl Fn(&mut Scenario), check: impl Fn(&Scenario, &Outcome)) {
     for entries in FLEETS {
         for limit_per_s in LIMITS_PER_S {
             for seed in 0..SEEDS {
-                let mut made = Play::even(Way::Permits, entries, limit_per_s, seed);
-                change(&mut made);
-                check(&made, &play(made.clone()));
+                let mut scenario =
+                    Scenario::even(SharingPolicy::Permits, entries, limit_per_s, seed);
+                modify(&mut scenario);
+                check(&scenario, &simulate(scenario.clone()));
             }
         }
     }
 }
 
-fn assert_bound(made: &Play, outcome: &Outcome, most: f64) {
-    let worst = outcome.worst_part(made.limit_per_s, BOUND_FROM_MS);
-    assert!(worst <= most, "{worst:.2} of what is allowed in {made:?}");
+fn assert_max_ratio(scenario: &Scenario, outcome: &Outcome, max_ratio: f64) {
+    let ratio = outcome.max_ratio_to_allowed(scenario.limit_per_s, OBJECTIVE_FROM_MS);
+    assert!(
+        ratio <= max_ratio,
+        "{ratio:.2} times the allowed requests in {scenario:?}"
+    );
 }
 
-fn assert_used(made: &Play, outcome: &Outcome, from_ms: u64, to_ms: u64) {
-    let used = outcome.rate_per_s(from_ms, to_ms) / made.limit_per_s;
+fn assert_min_used(scenario: &Scenario, outcome: &Outcome, from_ms: u64, to_ms: u64) {
+    let used = outcome.rate_per_s(from_ms, to_ms) / scenario.limit_per_s;
     assert!(
-        used >= LEAST_USED,
-        "{used:.2} of the limit is used in {made:?}"
+        used >= MIN_USED_FRACTION,
+        "{used:.2} of the limit is used in {scenario:?}"
     );
 }
 
-/// Has the first entries meet a fault, each for a while.
-fn one_after_the_other(made: &mut Play, fault: impl Fn(usize) -> Fault) {
-    let entries = 0..made.entries.min(6);
+/// Gives the first entries a fault one after the other, each for 2.5 s.
+fn add_consecutive_faults(scenario: &mut Scenario, fault: impl Fn(usize) -> Fault) {
+    let entries = 0..scenario.entries.min(6);
     let faults = entries.map(|entry| {
         let at_ms = 5_000 + 3_000 * entry as u64;
         (fault(entry), at_ms, at_ms + 2_500)
     });
-    made.faults = faults.collect();
+    scenario.faults = faults.collect();
 }
 
-// Guards against entries that each keep to the limit and exceed it together.
+// Guards against entries that each keep to the limit but exceed it together.
 #[test]
-fn the_sum_over_all_entries_keeps_to_the_limit_and_uses_it() {
+fn the_sum_over_all_entries_stays_within_the_limit_and_uses_it() {
     in_each_fleet(
         |_| {},
-        |made, outcome| {
-            assert_bound(made, outcome, 1.0);
-            // At half a request a second one request more or less counts for a tenth.
-            if made.limit_per_s >= 1.0 {
-                assert_used(made, outcome, 4_000, 24_000);
+        |scenario, outcome| {
+            assert_max_ratio(scenario, outcome, 1.0);
+            // At half a request per second, a single request changes the result by a tenth.
+            if scenario.limit_per_s >= 1.0 {
+                assert_min_used(scenario, outcome, 4_000, 24_000);
             }
         },
     );
 }
 
-// Guards against permits that are saved up while nothing is sent, one at each entry.
+// Guards against permits that accumulate at the entries while there is no demand and are
+// then used at once.
 #[test]
-fn callers_that_come_all_at_once_after_a_quiet_time_do_not_break_the_sum() {
+fn a_burst_after_a_time_without_demand_stays_within_the_allowed_requests() {
     in_each_fleet(
-        |made| made.quiet_ms = (4_000, 12_000),
-        |made, outcome| assert_bound(made, outcome, 1.0),
+        |scenario| scenario.no_demand_ms = (4_000, 12_000),
+        |scenario, outcome| assert_max_ratio(scenario, outcome, 1.0),
     );
 }
 
-// Guards against a limit that is mostly unused because one entry has all the callers.
+// Guards against a limit that is mostly unused because one entry has all the demand.
 #[test]
 fn one_entry_with_all_the_demand_gets_the_whole_limit() {
     in_each_fleet(
-        |made| {
-            let all = made.demand_per_s.iter().sum();
-            made.demand_per_s = vec![0.0; made.entries];
-            made.demand_per_s[made.entries / 2] = all;
+        |scenario| {
+            let total_demand_per_s = scenario.demand_per_s.iter().sum();
+            scenario.demand_per_s = vec![0.0; scenario.entries];
+            scenario.demand_per_s[scenario.entries / 2] = total_demand_per_s;
         },
-        |made, outcome| {
-            assert_bound(made, outcome, 1.0);
-            if made.limit_per_s >= 5.0 {
-                assert_used(made, outcome, 4_000, 24_000);
+        |scenario, outcome| {
+            assert_max_ratio(scenario, outcome, 1.0);
+            if scenario.limit_per_s >= 5.0 {
+                assert_min_used(scenario, outcome, 4_000, 24_000);
             }
         },
     );
 }
 
-// Guards against a sum that is broken by messages which do not arrive.
+// Guards against exceeding the allowed requests when messages between entries are lost.
 #[test]
-fn lost_messages_do_not_break_the_sum() {
+fn requests_stay_bounded_when_messages_are_lost() {
     in_each_fleet(
-        |made| made.lost_part = 0.2,
-        |made, outcome| assert_bound(made, outcome, MOST_UNDER_FAULTS),
+        |scenario| scenario.loss_probability = 0.2,
+        |scenario, outcome| assert_max_ratio(scenario, outcome, MAX_RATIO_UNDER_FAULTS),
     );
 }
 
-// Guards against restarted entries that send as if there were no limit, and against homes
-// whose permits are given out a second time by their successors.
+// Guards against restarted entries that send as if there were no limit, and against permits
+// that a new home grants a second time.
 #[test]
-fn entries_that_end_and_start_again_one_after_the_other_do_not_break_the_sum() {
+fn requests_stay_bounded_when_entries_restart_one_after_the_other() {
     in_each_fleet(
-        |made| {
-            let entries = 0..made.entries as u64;
-            let times = entries.map(|entry| (entry, 6_000 + entry * 16_000 / made.entries as u64));
-            made.faults = times
+        |scenario| {
+            let entries = 0..scenario.entries as u64;
+            let times =
+                entries.map(|entry| (entry, 6_000 + entry * 16_000 / scenario.entries as u64));
+            scenario.faults = times
                 .map(|(entry, at_ms)| {
                     let entry = usize::try_from(entry).expect("a small number");
                     (Fault::Killed(entry), at_ms, at_ms + 1_500)
                 })
                 .collect();
         },
-        |made, outcome| assert_bound(made, outcome, MOST_UNDER_FAULTS),
+        |scenario, outcome| assert_max_ratio(scenario, outcome, MAX_RATIO_UNDER_FAULTS),
     );
 }
 
-// Guards against two homes: one that stood still, and the one that took its place.
+// Guards against two homes: a paused one that resumes, and the one that replaced it.
 #[test]
-fn entries_that_stand_still_for_a_while_do_not_break_the_sum() {
+fn requests_stay_bounded_when_entries_are_paused() {
     in_each_fleet(
-        |made| one_after_the_other(made, Fault::Frozen),
-        |made, outcome| assert_bound(made, outcome, MOST_UNDER_FAULTS),
+        |scenario| add_consecutive_faults(scenario, Fault::Paused),
+        |scenario, outcome| assert_max_ratio(scenario, outcome, MAX_RATIO_UNDER_FAULTS),
     );
 }
 
-// Guards against an entry that hears the others and isn't heard, and gets permits twice.
+// Guards against an entry whose messages are lost while it still receives those of others,
+// so that permits are granted twice.
 #[test]
-fn entries_that_are_cut_off_one_way_do_not_break_the_sum() {
+fn requests_stay_bounded_when_outbound_messages_of_entries_are_lost() {
     in_each_fleet(
-        |made| one_after_the_other(made, Fault::Mute),
-        |made, outcome| assert_bound(made, outcome, MOST_UNDER_FAULTS),
+        |scenario| add_consecutive_faults(scenario, Fault::OutboundLoss),
+        |scenario, outcome| assert_max_ratio(scenario, outcome, MAX_RATIO_UNDER_FAULTS),
     );
 }
 
-// Guards against both sides of a split using the whole limit.
+// Guards against both sides of a network partition using the whole limit.
 #[test]
-fn a_fleet_in_two_parts_does_not_break_the_sum() {
+fn requests_stay_bounded_during_a_network_partition() {
     in_each_fleet(
-        |made| made.faults = vec![(Fault::Split(made.entries / 2), 6_000, 12_000)],
-        |made, outcome| assert_bound(made, outcome, MOST_UNDER_FAULTS),
+        |scenario| scenario.faults = vec![(Fault::Partition(scenario.entries / 2), 6_000, 12_000)],
+        |scenario, outcome| assert_max_ratio(scenario, outcome, MAX_RATIO_UNDER_FAULTS),
     );
 }
 
-// Guards against a limit that nobody gives out after its home has ended.
+// Guards against a limit for which no entry grants permits after its home has exited.
 #[test]
-fn the_end_of_any_entry_strands_the_limit_for_two_seconds_at_most() {
+fn after_the_exit_of_any_entry_the_limit_is_used_again_within_two_seconds() {
     for entries in [6, 20, 53] {
-        for ended in 0..entries {
-            // The second one is without power: nothing refuses a connection there.
-            for fault in [Fault::Killed(ended), Fault::Frozen(ended)] {
-                let mut made = Play::even(Way::Permits, entries, 50.0, 1);
-                made.faults = vec![(fault, 8_000, 60_000)];
+        for exited in 0..entries {
+            // With `Paused`, as on a VM without power, nothing refuses connections.
+            for fault in [Fault::Killed(exited), Fault::Paused(exited)] {
+                let mut scenario = Scenario::even(SharingPolicy::Permits, entries, 50.0, 1);
+                scenario.faults = vec![(fault, 8_000, 60_000)];
 
-                let outcome = play(made.clone());
+                let outcome = simulate(scenario.clone());
 
-                assert_used(&made, &outcome, 10_000, 18_000);
+                assert_min_used(&scenario, &outcome, 10_000, 18_000);
             }
         }
     }
 }
 
-// Guards against a target that stays limited after it has stopped naming a limit.
+// Guards against limiting a target after it has stopped announcing a limit.
 #[test]
-fn a_limit_that_is_over_is_forgotten_everywhere_within_two_seconds() {
+fn a_removed_limit_is_removed_at_all_entries_within_two_seconds() {
     for entries in FLEETS {
         for limit_per_s in [1.0, 5.0, 50.0] {
-            let mut made = Play::even(Way::Permits, entries, limit_per_s, 1);
-            made.changes = vec![(10_000, 0.0)];
-            let all: f64 = made.demand_per_s.iter().sum();
+            let mut scenario = Scenario::even(SharingPolicy::Permits, entries, limit_per_s, 1);
+            scenario.limit_changes = vec![(10_000, 0.0)];
+            let total_demand_per_s: f64 = scenario.demand_per_s.iter().sum();
 
-            let outcome = play(made.clone());
+            let outcome = simulate(scenario.clone());
 
-            let after = outcome.rate_per_s(12_000, 24_000);
+            let rate_per_s = outcome.rate_per_s(12_000, 24_000);
             assert!(
-                after >= all * LEAST_USED,
-                "{after} a second of {all} in {made:?}"
+                rate_per_s >= total_demand_per_s * MIN_USED_FRACTION,
+                "{rate_per_s} of {total_demand_per_s} requests per second are sent in {scenario:?}"
             );
         }
     }
 }
 
-// Guards against entries that go on with a limit that has been lowered.
+// Guards against entries that continue to use the previous limit after it was lowered.
 #[test]
-fn a_limit_that_falls_is_kept_to() {
+fn a_lowered_limit_is_enforced() {
     for entries in FLEETS {
-        let mut made = Play::even(Way::Permits, entries, 50.0, 1);
-        made.changes = vec![(10_000, 5.0)];
+        let mut scenario = Scenario::even(SharingPolicy::Permits, entries, 50.0, 1);
+        scenario.limit_changes = vec![(10_000, 5.0)];
 
-        let outcome = play(made);
+        let outcome = simulate(scenario);
 
-        let worst = outcome.worst_part(5.0, 13_000);
+        let ratio = outcome.max_ratio_to_allowed(5.0, 13_000);
         assert!(
-            worst <= 1.0,
-            "{worst:.2} of what is allowed with {entries} entries"
+            ratio <= 1.0,
+            "{ratio:.2} times the allowed requests with {entries} entries"
         );
     }
 }
 
-// Guards against entries that talk to each other about limits while there are none.
+// Guards against messages about limits between entries while there is no limit.
 #[test]
-fn no_message_is_sent_while_no_target_names_a_limit() {
-    let mut made = Play::even(Way::Permits, 20, 5.0, 1);
-    made.changes = vec![(0, 0.0)];
+fn no_message_is_sent_while_no_target_announces_a_limit() {
+    let mut scenario = Scenario::even(SharingPolicy::Permits, 20, 5.0, 1);
+    scenario.limit_changes = vec![(0, 0.0)];
 
-    let outcome = play(made);
+    let outcome = simulate(scenario);
 
     assert_eq!(outcome.messages, 0);
 }
--- a/crates/backpressure/tests/gate.rs
+++ b/crates/backpressure/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What one target has said last, and whether it may get a request now.
+//! Tests of the admission gate of one target.
 
 use berylhook_backpressure::gate::{AdmissionGate, WithheldReason};
 use berylhook_backpressure::rate::RequestRate;
@@ -9,15 +9,16 @@
     LimitSignal::Named(RequestRate::clamped(per_s))
 }
 
-fn limited(per_s: f64) -> AdmissionGate {
+fn gate_with_limit(per_s: f64) -> AdmissionGate {
     let mut gate = AdmissionGate::default();
     gate.on_limit_signal(named(per_s), MonoMs(1));
     gate
 }
 
-// Guards against a request that was placed before the limit was named, and sent after it.
+// Guards against sending a request without a permit because it was placed before the target
+// announced its limit.
 #[test]
-fn a_request_that_was_placed_before_the_limit_needs_a_permit_too() {
+fn a_request_placed_before_the_limit_needs_a_permit() {
     let mut gate = AdmissionGate::default();
     gate.place();
     gate.on_limit_signal(named(1.0), MonoMs(1));
@@ -27,24 +28,24 @@
     assert_eq!(admitted, Err(WithheldReason::Limit));
 }
 
-// Guards against two requests that are placed on one permit.
+// Guards against placing two requests on one permit.
 #[test]
-fn a_permit_has_room_for_one_request() {
-    let mut gate = limited(1.0);
+fn a_permit_allows_one_request() {
+    let mut gate = gate_with_limit(1.0);
     gate.add_permits(1, MonoMs(1_000));
-    let had_room = gate.can_place(MonoMs(2));
+    let could_place = gate.can_place(MonoMs(2));
     gate.place();
 
-    assert!(had_room);
+    assert!(could_place);
     assert!(!gate.can_place(MonoMs(2)));
     assert_eq!(gate.admit(MonoMs(3)), Ok(()));
     assert!(!gate.can_place(MonoMs(3)));
 }
 
-// Guards against a permit that is lost with a caller who left before the request was sent.
+// Guards against losing a permit when the caller disconnects before the request is sent.
 #[test]
-fn a_request_that_leaves_unsent_gives_its_permit_back() {
-    let mut gate = limited(1.0);
+fn a_cancelled_placement_returns_its_permit() {
+    let mut gate = gate_with_limit(1.0);
     gate.add_permits(1, MonoMs(1_000));
     gate.place();
 
@@ -54,8 +55,8 @@
 }
 
 #[test]
-fn a_permit_ends_with_its_time() {
-    let mut gate = limited(1.0);
+fn a_permit_expires() {
+    let mut gate = gate_with_limit(1.0);
     gate.add_permits(1, MonoMs(1_000));
     gate.place();
 
@@ -63,42 +64,42 @@
     assert_eq!(gate.admit(MonoMs(1_000)), Err(WithheldReason::Limit));
 }
 
-// Guards against a limit that comes back with a message that was long on its way.
+// Guards against restoring a removed limit when a delayed report of it arrives.
 #[test]
-fn what_a_peer_heard_earlier_changes_nothing() {
-    let mut gate = limited(1.0);
+fn an_older_report_of_a_peer_changes_nothing() {
+    let mut gate = gate_with_limit(1.0);
     gate.on_limit_signal(LimitSignal::Absent, MonoMs(100));
 
-    let news = gate.on_peer_report(Some(RequestRate::clamped(1.0)), MonoMs(50));
+    let change = gate.on_peer_report(Some(RequestRate::clamped(1.0)), MonoMs(50));
 
-    assert_eq!(news, None);
+    assert_eq!(change, None);
     assert!(gate.can_place(MonoMs(101)));
 }
 
-// Guards against an entry that has just started and ignores what its peers heard before.
+// Guards against an entry that, after its start, ignores limits announced before its start.
 #[test]
-fn what_a_peer_heard_before_this_process_started_is_taken_over() {
+fn a_limit_announced_before_this_process_started_is_applied() {
     let mut gate = AdmissionGate::default();
 
-    let news = gate.on_peer_report(Some(RequestRate::clamped(1.0)), MonoMs(0));
+    let change = gate.on_peer_report(Some(RequestRate::clamped(1.0)), MonoMs(0));
 
-    assert!(news.is_some());
+    assert!(change.is_some());
     assert!(!gate.can_place(MonoMs(200)));
 }
 
-// Guards against a target whose limit can't be read any more and counts as none.
+// Guards against treating a limit that can no longer be parsed as no limit.
 #[test]
-fn an_unreadable_limit_leaves_the_one_known_in_force() {
-    let mut gate = limited(3.0);
+fn an_unreadable_limit_leaves_the_last_valid_limit_in_force() {
+    let mut gate = gate_with_limit(3.0);
 
-    let news = gate.on_limit_signal(LimitSignal::Unreadable, MonoMs(100));
+    let change = gate.on_limit_signal(LimitSignal::Unreadable, MonoMs(100));
 
-    assert_eq!(news, None);
+    assert_eq!(change, None);
     assert_eq!(gate.limit(), Some(RequestRate::clamped(3.0)));
 }
 
 #[test]
-fn an_unreadable_limit_that_comes_first_is_a_small_one() {
+fn an_unreadable_first_limit_gives_the_fallback_rate() {
     let mut gate = AdmissionGate::default();
 
     gate.on_limit_signal(LimitSignal::Unreadable, MonoMs(1));
@@ -106,10 +107,10 @@
     assert_eq!(gate.limit(), Some(RequestRate::UNREADABLE));
 }
 
-// Guards against permits of a former limit that are used under the next one.
+// Guards against using permits of a removed limit under the next limit.
 #[test]
-fn permits_end_with_the_limit() {
-    let mut gate = limited(5.0);
+fn permits_are_dropped_when_the_limit_is_removed() {
+    let mut gate = gate_with_limit(5.0);
     gate.add_permits(5, MonoMs(5_000));
     gate.on_limit_signal(LimitSignal::Absent, MonoMs(100));
 
@@ -119,8 +120,8 @@
 }
 
 #[test]
-fn others_are_told_for_a_while_that_a_limit_is_over() {
-    let mut gate = limited(1.0);
+fn a_removed_limit_is_reported_for_a_limited_time() {
+    let mut gate = gate_with_limit(1.0);
     gate.on_limit_signal(LimitSignal::Absent, MonoMs(100));
 
     let soon = gate.state(MonoMs(200)).map(|state| state.limit);
@@ -131,8 +132,8 @@
 }
 
 #[test]
-fn wishes_are_what_was_kept_back_beyond_the_permits_at_hand() {
-    let mut gate = limited(5.0);
+fn permits_are_requested_for_withheld_requests_beyond_the_permits_held() {
+    let mut gate = gate_with_limit(5.0);
     for _ in 0..4 {
         gate.withhold(MonoMs(10));
     }
@@ -145,15 +146,15 @@
     assert_eq!(next.requested, 0);
 }
 
-fn resting(rest_ms: u64) -> AdmissionGate {
+fn gate_in_backoff(backoff_ms: u64) -> AdmissionGate {
     let mut gate = AdmissionGate::default();
-    gate.start_backoff(rest_ms, 0, MonoMs(1_000));
+    gate.start_backoff(backoff_ms, 0, MonoMs(1_000));
     gate
 }
 
-// Guards against a request that was placed before the target asked for rest, and sent in it.
+// Guards against sending a request during a backoff because it was placed before the backoff.
 #[test]
-fn a_request_that_was_placed_before_a_rest_is_not_sent_in_it() {
+fn a_request_placed_before_a_backoff_is_not_sent_during_it() {
     let mut gate = AdmissionGate::default();
     gate.place();
     gate.start_backoff(3_000, 0, MonoMs(1_000));
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn a_rest_lasts_as_long_as_was_asked_and_no_spread_ends_it_sooner() {
+fn a_backoff_lasts_at_least_as_long_as_requested() {
     for random in 0..2_000 {
         let mut gate = AdmissionGate::default();
         gate.start_backoff(2_000, random, MonoMs(1_000));
@@ -174,10 +175,10 @@
     }
 }
 
-// Guards against a rest that a later word cuts short: the earlier one still holds.
+// Guards against shortening a backoff when the target later requests a shorter one.
 #[test]
-fn a_rest_that_is_asked_for_again_is_never_shortened() {
-    let mut gate = resting(3_000);
+fn a_repeated_backoff_is_never_shortened() {
+    let mut gate = gate_in_backoff(3_000);
     let was_left_ms = gate.start_backoff(500, 0, MonoMs(1_100));
     assert_eq!(was_left_ms, 2_900);
     assert_eq!(gate.backoff_left_ms(MonoMs(1_100)), 2_900);
@@ -187,51 +188,51 @@
     assert_eq!(gate.backoff_left_ms(MonoMs(1_200)), 10_000);
 }
 
-// Guards against an answer of an earlier request that is taken for the end of the rest.
+// Guards against ending a backoff when the response to an earlier request arrives.
 #[test]
-fn what_is_accepted_in_a_rest_does_not_end_it() {
-    let mut gate = resting(3_000);
+fn a_request_accepted_during_a_backoff_does_not_end_it() {
+    let mut gate = gate_in_backoff(3_000);
 
     assert!(!gate.on_accepted(MonoMs(1_010)));
     assert!(!gate.can_place(MonoMs(1_011)));
 }
 
-// Guards against all that waited being sent at the end of a rest.
+// Guards against sending all waiting requests at once at the end of a backoff.
 #[test]
-fn one_request_tries_a_target_after_its_rest_and_the_others_follow_once_it_is_accepted() {
-    let mut gate = resting(1_000);
+fn after_a_backoff_one_trial_request_is_sent_and_others_follow_once_it_is_accepted() {
+    let mut gate = gate_in_backoff(1_000);
     gate.place();
     assert!(!gate.can_place(MonoMs(2_000)));
     assert_eq!(gate.admit(MonoMs(2_000)), Ok(()));
     assert!(!gate.can_place(MonoMs(2_001)));
 
-    let is_over = gate.on_accepted(MonoMs(2_050));
+    let ends_trial = gate.on_accepted(MonoMs(2_050));
 
-    assert!(is_over);
+    assert!(ends_trial);
     assert!(gate.can_place(MonoMs(2_051)));
 }
 
-// Guards against a target that is lost for good with the answer to the request that tried it.
+// Guards against never using a target again after the response to its trial request was lost.
 #[test]
-fn a_target_is_tried_again_where_the_first_try_brought_no_answer() {
-    let mut gate = resting(1_000);
+fn a_second_trial_request_follows_if_the_first_gets_no_response() {
+    let mut gate = gate_in_backoff(1_000);
     gate.place();
-    gate.admit(MonoMs(2_000)).expect("its rest is over");
+    gate.admit(MonoMs(2_000)).expect("the backoff is over");
 
     assert!(!gate.can_place(MonoMs(2_999)));
     assert!(gate.can_place(MonoMs(3_000)));
 }
 
 #[test]
-fn an_absurd_rest_ends_after_an_hour() {
-    let gate = resting(u64::MAX);
+fn a_backoff_is_limited_to_an_hour() {
+    let gate = gate_in_backoff(u64::MAX);
 
     assert_eq!(gate.backoff_left_ms(MonoMs(1_000)), 3_600_000);
 }
 
 #[test]
-fn a_target_that_rests_and_names_a_limit_needs_both_to_allow_a_request() {
-    let mut gate = limited(1.0);
+fn a_request_needs_both_the_backoff_and_the_limit_to_allow_it() {
+    let mut gate = gate_with_limit(1.0);
     gate.start_backoff(1_000, 0, MonoMs(1_000));
     gate.add_permits(1, MonoMs(9_000));
 
