--- a/crates/backpressure/src/allocation.rs
+++ b/crates/backpressure/src/allocation.rs
@@ -121,13 +121,13 @@
 
     /// Returns how long permits under `limit` are valid.
     #[must_use]
-    #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped first
+    #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped, positive
     pub fn permit_ttl_ms(limit: RequestRate) -> u64 {
         let ttl_ms = OUTSTANDING_PERMITS / limit.per_s() * MS_PER_S;
         ttl_ms.clamp(MIN_PERMIT_TTL_MS, MAX_PERMIT_TTL_MS) as u64
     }
 
-    #[allow(clippy::cast_precision_loss)] // milliseconds since the last request
+    #[allow(clippy::cast_precision_loss)] // short durations are exact in an f64
     fn refill(&mut self, per_s: f64, now_ms: MonoMs) {
         let elapsed_ms = now_ms.since(self.refilled_ms) as f64;
         self.refilled_ms = self.refilled_ms.max(now_ms);
--- a/crates/backpressure/src/coordinator.rs
+++ b/crates/backpressure/src/coordinator.rs
@@ -202,7 +202,7 @@
 
     /// Returns the fraction of a limit that this home grants: 1 if it is in contact with a
     /// majority of the entries that have not exited.
-    #[allow(clippy::cast_precision_loss)] // a few thousand entries
+    #[allow(clippy::cast_precision_loss)] // a few thousand entries are exact in an f64
     fn granted_fraction(&self, members: &Members, now_ms: MonoMs) -> f64 {
         let others = self.last_contact_ms.iter().filter(|(member, at_ms)| {
             **member != self.own && now_ms.since(**at_ms) < CONTACT_TIMEOUT_MS
--- a/crates/backpressure/tests/common/mod.rs
+++ b/crates/backpressure/tests/common/mod.rs
@@ -207,7 +207,7 @@
 /// Time after which an unreachable entry is not in [`Members::known`].
 const FORGOTTEN_AFTER_MS: u64 = 12_000;
 
-struct Model {
+struct Simulation {
     scenario: Scenario,
     random: Random,
     now_ms: u64,
@@ -233,12 +233,12 @@
 
 /// Runs the simulation of a scenario.
 pub fn simulate(scenario: Scenario) -> Outcome {
-    let mut model = Model::new(scenario);
-    model.run();
-    model.outcome
+    let mut simulation = Simulation::new(scenario);
+    simulation.run();
+    simulation.outcome
 }
 
-impl Model {
+impl Simulation {
     fn new(scenario: Scenario) -> Self {
         let mut random = Random(scenario.seed);
         let entries = (0..scenario.entries).map(|entry| Entry {
--- a/crates/core/src/limit/bucket.rs
+++ b/crates/core/src/limit/bucket.rs
@@ -63,7 +63,7 @@
         self.wait_ms(0.0).max(1)
     }
 
-    #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped first
+    #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped, positive
     fn wait_ms(&self, target_tokens: f64) -> u64 {
         /// Longest wait returned; a lowered share may be raised again before that.
         const MAX_WAIT_MS: f64 = 60_000.0;
@@ -78,7 +78,7 @@
         (self.per_second * BURST_MS / 1_000.0).max(1.0)
     }
 
-    #[allow(clippy::cast_precision_loss)] // milliseconds since the last call
+    #[allow(clippy::cast_precision_loss)] // short durations are exact in an f64
     fn refill(&mut self, now_ms: MonoMs) {
         let elapsed_ms = now_ms.since(self.refilled_ms) as f64;
         self.refilled_ms = self.refilled_ms.max(now_ms);
--- a/crates/core/src/limit/home.rs
+++ b/crates/core/src/limit/home.rs
@@ -142,7 +142,7 @@
     }
 
     /// Divides the limit in proportion to demand, or evenly if there is no demand.
-    #[allow(clippy::cast_precision_loss)] // a few hundred holders
+    #[allow(clippy::cast_precision_loss)] // a few hundred holders are exact in an f64
     fn fair_share(&self, holder: u64) -> f64 {
         let demand = self
             .holders
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -9,9 +9,9 @@
 //!
 //! The score is an estimate of the time to first token: the wait in the target's
 //! queue plus the time to read the uncached part of the prompt, multiplied by
-//! the target's recent slowdown relative to earlier estimates. If the target's
-//! oldest pending request is overdue, the multiplier is at least the ratio of its
-//! waiting time to its expected time, so that silent targets are avoided.
+//! the target's slowdown, the recent ratio of measured to estimated times. If the
+//! target's oldest pending request is overdue, the multiplier is at least the ratio
+//! of its waiting time to its estimated time, so that silent targets are avoided.
 
 mod prefix;
 mod score;
@@ -147,7 +147,7 @@
 
     /// Picks a target; `random` returns a new random number at each call.
     ///
-    /// Returns `None` if all targets that are up are excluded.
+    /// Returns `None` if no target is up or all targets that are up are excluded.
     pub fn pick(
         &self,
         query: &RouteQuery<'_>,
@@ -214,7 +214,7 @@
     }
 
     /// Estimates the time to read the part of a prompt that target `id` has not cached.
-    #[allow(clippy::cast_precision_loss)] // block counts are small
+    #[allow(clippy::cast_precision_loss)] // block counts are exact in an f64
     fn reading_ms(&self, blocks: &[u64], id: TargetId) -> f64 {
         let uncached = blocks.len() - self.prefixes.cached_blocks(blocks, id);
         uncached as f64 * self.config.block_ms
--- a/crates/core/src/route/score.rs
+++ b/crates/core/src/route/score.rs
@@ -115,7 +115,7 @@
     }
 
     /// Records that the first token of the request sent at `sent_ms` arrived.
-    #[allow(clippy::cast_precision_loss)] // milliseconds of one request
+    #[allow(clippy::cast_precision_loss)] // request durations are exact in an f64
     pub fn on_first_token(&mut self, sent_ms: MonoMs, now_ms: MonoMs) {
         let took_ms = now_ms.since(sent_ms) as f64;
         self.first_token_ms += EWMA_WEIGHT * (took_ms - self.first_token_ms);
@@ -128,7 +128,7 @@
     }
 
     /// Records that the request sent at `sent_ms` ended, with or without a response.
-    #[allow(clippy::cast_precision_loss)] // milliseconds of one request
+    #[allow(clippy::cast_precision_loss)] // request durations are exact in an f64
     pub fn on_request_end(&mut self, sent_ms: MonoMs, now_ms: MonoMs) {
         let took_ms = now_ms.since(sent_ms) as f64;
         self.slot_time_ms += EWMA_WEIGHT * (took_ms - self.slot_time_ms);
@@ -204,7 +204,7 @@
                 .max(self.overdue_factor(now_ms))
     }
 
-    #[allow(clippy::cast_precision_loss)] // milliseconds of one process's life
+    #[allow(clippy::cast_precision_loss)] // process uptimes are exact in an f64
     fn decayed_slowdown(&self, now_ms: MonoMs) -> f64 {
         let age_ms = now_ms.since(self.slowdown_ms) as f64;
         let remaining = SLOWDOWN_DECAY_MS / (SLOWDOWN_DECAY_MS + age_ms);
@@ -213,7 +213,7 @@
 
     /// Returns the ratio of waiting time to expected time of the oldest pending request.
     /// A target that has become silent is detected by this ratio only.
-    #[allow(clippy::cast_precision_loss)] // milliseconds of one request
+    #[allow(clippy::cast_precision_loss)] // request durations are exact in an f64
     fn overdue_factor(&self, now_ms: MonoMs) -> f64 {
         self.pending.first().map_or(0.0, |oldest| {
             now_ms.since(oldest.sent_ms) as f64 / oldest.expected_ms
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -18,7 +18,7 @@
 pub struct WallMs(pub u64);
 
 impl MonoMs {
-    /// Milliseconds from `earlier` to `self`; zero where `earlier` is later.
+    /// Milliseconds from `earlier` to `self`; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -47,8 +47,8 @@
 }
 
 proptest! {
-    /// In any order of starts, revokes and waits, a command whose revoke was
-    /// answered with "will not run" never starts.
+    /// In any order of starts, revokes and waits, a command never starts after the
+    /// gate has replied "will not run" to its revoke.
     #[test]
     fn a_command_reported_as_will_not_run_never_starts(
         steps in proptest::collection::vec((0..4u64, any::<bool>(), 0..400u64), 1..200)
