--- a/crates/backpressure/tests/common/mod.rs
+++ b/crates/backpressure/tests/common/mod.rs
@@ -69,13 +69,13 @@
     /// times the limit in total, but at least eight requests per second each.
     pub fn even(policy: SharingPolicy, entries: usize, limit_per_s: f64, seed: u64) -> Self {
         let count = u32::try_from(entries).expect("a small fleet");
-        let each = (limit_per_s * 6.0 / f64::from(count)).max(8.0);
+        let demand_per_entry = (limit_per_s * 6.0 / f64::from(count)).max(8.0);
         Self {
             policy,
             entries,
             limit_per_s,
             limit_changes: Vec::new(),
-            demand_per_s: vec![each; entries],
+            demand_per_s: vec![demand_per_entry; entries],
             no_demand_ms: (0, 0),
             loss_probability: 0.0,
             faults: Vec::new(),
@@ -99,7 +99,7 @@
     /// The service's objective allows 1.5 times the limit plus five requests.
     pub fn max_ratio_to_allowed(&self, limit_per_s: f64, from_ms: u64) -> f64 {
         let allowed = limit_per_s * 4.0 * 1.5 + 5.0;
-        let counted: Vec<u64> = self
+        let sent_after_start: Vec<u64> = self
             .sent_ms
             .iter()
             .copied()
@@ -107,7 +107,7 @@
             .collect();
         let mut window = VecDeque::new();
         let mut max_in_window = 0;
-        for at_ms in counted {
+        for at_ms in sent_after_start {
             window.push_back(at_ms);
             while window.front().is_some_and(|first| first + 4_000 <= at_ms) {
                 window.pop_front();
--- a/crates/backpressure/tests/handover.rs
+++ b/crates/backpressure/tests/handover.rs
@@ -26,7 +26,7 @@
     let members = members(&all);
     let coordinator_of = |own: SocketAddr| PermitCoordinator::<u32>::new(own, "drafts");
     let home = coordinator_of(all[0]).home(&members, MonoMs(FIRST_REQUEST_MS));
-    let others = all.into_iter().filter(|it| *it != home).collect();
+    let others = all.into_iter().filter(|member| *member != home).collect();
     (coordinator_of(home), home, others)
 }
 
--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -77,9 +77,9 @@
             body: &number.to_le_bytes(),
         })
     };
-    let mut full = Quarantine::default();
+    let mut quarantine_state = Quarantine::default();
     for target in 0..256 {
-        full.on_exit(&TargetExit {
+        quarantine_state.on_exit(&TargetExit {
             target: format!("i-{target}").into(),
             at_ms: MonoMs(target * 10),
             suspects: (0..64)
@@ -97,7 +97,8 @@
         ("unknown", unknown),
     ] {
         criterion.bench_function(&format!("standing of a request {name}"), |bencher| {
-            bencher.iter(|| full.status(black_box(requested), MonoMs(3_000), WallMs(1)));
+            bencher
+                .iter(|| quarantine_state.status(black_box(requested), MonoMs(3_000), WallMs(1)));
         });
     }
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -70,10 +70,10 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || ParseIdError(text.to_owned());
-        let (origin, counter) = text.split_once('-').ok_or_else(bad)?;
-        let origin = u64::from_str_radix(origin, 16).map_err(|_| bad())?;
-        let counter = u64::from_str_radix(counter, 16).map_err(|_| bad())?;
+        let parse_error = || ParseIdError(text.to_owned());
+        let (origin, counter) = text.split_once('-').ok_or_else(parse_error)?;
+        let origin = u64::from_str_radix(origin, 16).map_err(|_| parse_error())?;
+        let counter = u64::from_str_radix(counter, 16).map_err(|_| parse_error())?;
         Ok(Self {
             origin: Incarnation(origin),
             counter,
--- a/crates/core/tests/limit.rs
+++ b/crates/core/tests/limit.rs
@@ -49,7 +49,7 @@
     grant: GrantedShare,
 }
 
-struct World {
+struct Simulation {
     now_ms: MonoMs,
     home: LimitHome,
     epoch: u64,
@@ -58,7 +58,7 @@
     in_transit: Vec<InTransit>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let config = ShareConfig::default();
         Self {
@@ -84,10 +84,10 @@
             if self.identities[in_transit.holder] == in_transit.identity {
                 self.holders[in_transit.holder].on_grant(&in_transit.grant);
             }
-            self.check();
+            self.assert_shares_within_limit();
         }
         self.now_ms = until_ms;
-        self.check();
+        self.assert_shares_within_limit();
     }
 
     fn run_step(&mut self, step: &Step) {
@@ -109,7 +109,7 @@
                 reply_ms,
             } => self.request(holder, demand, request_ms, reply_ms),
         }
-        self.check();
+        self.assert_shares_within_limit();
     }
 
     fn request(&mut self, holder: usize, demand: f64, request_ms: u64, reply_ms: Option<u64>) {
@@ -136,7 +136,7 @@
         }
     }
 
-    fn check(&self) {
+    fn assert_shares_within_limit(&self) {
         let sum: f64 = self
             .holders
             .iter()
@@ -157,25 +157,25 @@
     fn shares_never_exceed_the_limit(
         steps in proptest::collection::vec(step(), 1..120)
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.run_step(step);
+            simulation.run_step(step);
         }
     }
 }
 
 #[test]
 fn a_share_follows_demand() {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for _ in 0..20 {
-        world.request(0, 90.0, 1, Some(1));
-        world.advance(250);
-        world.request(1, 10.0, 1, Some(1));
-        world.advance(250);
+        simulation.request(0, 90.0, 1, Some(1));
+        simulation.advance(250);
+        simulation.request(1, 10.0, 1, Some(1));
+        simulation.advance(250);
     }
 
-    let busy = world.holders[0].share(world.now_ms);
-    let quiet = world.holders[1].share(world.now_ms);
+    let busy = simulation.holders[0].share(simulation.now_ms);
+    let quiet = simulation.holders[1].share(simulation.now_ms);
 
     assert!(busy > 65.0, "{busy}");
     assert!(quiet < 15.0, "{quiet}");
--- a/crates/core/tests/restored_claims.rs
+++ b/crates/core/tests/restored_claims.rs
@@ -68,7 +68,7 @@
 
 impl Contents {
     fn handover_revision(&self) -> Option<u64> {
-        self.handover.as_ref().map(|it| it.revision)
+        self.handover.as_ref().map(|handover| handover.revision)
     }
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     random: Random,
     now_ms: u64,
     store: Store,
@@ -120,7 +120,7 @@
     claims: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: Random(seed),
@@ -325,11 +325,15 @@
 fn no_key_runs_twice_after_restores() {
     let mut runs = 0;
     for seed in 0..run_count() {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        runs += world.keys.values().filter(|(_, runs)| *runs > 0).count();
+        runs += simulation
+            .keys
+            .values()
+            .filter(|(_, runs)| *runs > 0)
+            .count();
     }
     assert!(runs > 0, "no key ran");
 }
