--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -22,13 +22,13 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 
-use crate::answers::{Body, Own, held_back, own};
 use crate::backpressure;
 use crate::call::{self, Answer, CallError, SendResult};
 use crate::health_check::HealthCheck;
 use crate::metrics::Metrics;
 use crate::quarantine::place;
 use crate::queue::{Hold, Patience, Refused, ServiceQueue};
+use crate::responses::{Body, Own, held_back, own};
 use crate::shared::Shared;
 
 /// Part of its goal that a request waits for a place. A refusal within it
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,13 +5,11 @@
 //! thread holds control state (the store, peers, settings), another carries
 //! traffic. The decisions are those of `berylhook-traffic`.
 
-mod answers;
 mod backpressure;
 mod call;
 mod connection_headers;
 mod control;
-mod eras;
-mod follow;
+mod era_tracker;
 mod health_check;
 mod job;
 mod limits;
@@ -22,10 +20,12 @@
 mod queue;
 pub mod readiness;
 mod request;
+mod responses;
 mod run;
 mod server;
 pub mod settings;
 mod shared;
+mod store_watch;
 mod streaming;
 
 pub use run::run;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -7,16 +7,16 @@
 //!
 //! | Part | Job |
 //! |---|---|
-//! | `sharing` | who shares the targets, and how much demand each has |
+//! | `membership` | who shares the targets, and how much demand each has |
 //! | `limits` | who shares the limits of targets, and what a new entry is told of them |
-//! | `notices` | what a leader tells its peers, and whom it transfers to |
+//! | `leadership` | what a leader tells its peers, and whom it transfers to |
 //!
 //! Plain HTTP is used for this: a request and reply library of its own would
 //! bring threads and wake-ups that cost more than the few questions do.
 
+mod leadership;
 mod limits;
-mod notices;
-mod sharing;
+mod membership;
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -40,8 +40,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use self::notices::{NOTICE_PATH, TRANSFER_PATH};
-use self::sharing::Sharing;
+use self::leadership::{NOTICE_PATH, TRANSFER_PATH};
+use self::membership::Sharing;
 use crate::control::{Control, PeerView};
 use crate::shared::Shared;
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -15,11 +15,11 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::answers::{Body, Own, promises_not_run, whole};
 use crate::call::{Answer, CallError, SendResult};
 use crate::connection_headers::strip_connection_headers;
 use crate::job::Job;
 use crate::queue::Hold;
+use crate::responses::{Body, Own, promises_not_run, whole};
 
 /// Largest answer held in memory.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -14,9 +14,9 @@
 use hyper::{HeaderMap, Request, Response, Uri};
 use tokio::time::timeout;
 
-use crate::answers::{Body, Own, own};
 use crate::connection_headers::strip_connection_headers;
 use crate::job::{Job, Record, text};
+use crate::responses::{Body, Own, own};
 use crate::shared::Shared;
 use crate::{plain, streaming};
 
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -18,13 +18,13 @@
 use tokio::time::{sleep, timeout};
 
 use crate::control::{self, Control, Followed};
-use crate::follow::follow_store;
 use crate::limits::{LIMITS_PATH, Limits};
 use crate::peers::Peers;
 use crate::quarantine::{EntrySurroundings, NEWS_PATH, take_news};
 use crate::server::serve_callers;
 use crate::settings::EntrySettings;
 use crate::shared::{Shared, Stage};
+use crate::store_watch::follow_store;
 
 /// How long new connections are still taken after the platform was told to
 /// send them elsewhere. It asks once a second and acts on the second answer.
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -12,8 +12,8 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::answers::Body;
 use crate::request;
+use crate::responses::Body;
 use crate::shared::{Shared, Stage};
 
 /// Wait after a failed accept, such as for want of file descriptors.
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use tokio::sync::{Notify, watch};
 
-use crate::eras::Eras;
+use crate::era_tracker::Eras;
 use crate::metrics::Metrics;
 use crate::quarantine::place;
 use crate::queue::{Clock, ServiceQueue};
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -28,10 +28,10 @@
 
 use self::events::split_events;
 use self::head::{Head, Judged, judge};
-use crate::answers::{Body, BrokenAnswer, Own};
 use crate::call::{CallError, Link, SendResult};
 use crate::job::Job;
 use crate::queue::Hold;
+use crate::responses::{Body, BrokenAnswer, Own};
 
 /// Callers give a stream up after two seconds without an event. Longer tries
 /// to go on with it serve nobody.
--- a/crates/entry/src/streaming/head.rs
+++ b/crates/entry/src/streaming/head.rs
@@ -7,9 +7,9 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use crate::answers::{Body, promises_not_run, whole};
 use crate::call::{Answer, Link, SendResult};
 use crate::connection_headers::strip_connection_headers;
+use crate::responses::{Body, promises_not_run, whole};
 
 /// Largest answer of a target that refuses or fails a stream.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
