--- a/crates/entry/src/backpressure.rs
+++ b/crates/entry/src/backpressure.rs
@@ -1,5 +1,5 @@
-//! What targets say of how much they take: heard with each answer, logged when it changes,
-//! and told to peers.
+//! Applies the back-pressure signals (request limits, backoffs, drain notices) that targets send
+//! with each response, logs their changes and exchanges them with peers.
 
 use std::sync::Arc;
 
@@ -11,73 +11,79 @@
 use berylhook_platform::headers::is_other_incarnation;
 use berylhook_traffic::target::{Incarnation, Target};
 
-use crate::call::Answer;
+use crate::call::TargetResponse;
 use crate::queue::ServiceQueue;
 use crate::shared::Shared;
 
-/// Where a word on a limit came from.
-const FROM_ANSWER: &str = "answer";
-const FROM_PEER: &str = "peer";
+/// Values of the log key `source`: where a limit was learned.
+const SOURCE_RESPONSE: &str = "answer";
+const SOURCE_PEER: &str = "peer";
 
-/// Takes over what an answer of the target says.
+/// Applies the back-pressure signals in a target's response.
 ///
-/// What another incarnation at the target's address answers says nothing of the target.
-pub(crate) fn hear(shared: &Shared, queue: &Arc<ServiceQueue>, target: &Target, answer: &Answer) {
-    if is_other_incarnation(answer.response.status().as_u16()) {
+/// A response of another incarnation at the target's address says nothing about the target, and
+/// is ignored.
+pub(crate) fn apply_signals(
+    shared: &Shared,
+    queue: &Arc<ServiceQueue>,
+    target: &Target,
+    response: &TargetResponse,
+) {
+    if is_other_incarnation(response.http.status().as_u16()) {
         return;
     }
-    let of = &target.incarnation;
+    let incarnation = &target.incarnation;
     let service = queue.service();
-    let signal = answer.head.signal;
-    if !answer.head.is_not_run && queue.on_rest_over(of) {
-        log::info!(service = &**service, target = &*of.id; "a target's rest is over");
+    let signal = response.head.signal;
+    if !response.head.is_not_run && queue.end_backoff_trial(incarnation) {
+        log::info!(service = &**service, target = &*incarnation.id; "a target's backoff is over");
     }
-    let news = queue.on_signal(of, signal);
-    if let Some(rest_ms) = news.backoff_ms {
-        shared.metrics.count_rest();
+    let changes = queue.on_signal(incarnation, signal);
+    if let Some(backoff_ms) = changes.backoff_ms {
+        shared.metrics.count_backoff();
         log::info!(
             service = &**service,
-            target = &*of.id,
+            target = &*incarnation.id,
             address:% = target.address,
-            rest_ms;
-            "a target asks for rest"
+            rest_ms = backoff_ms;
+            "a target asked for a backoff"
         );
     }
-    if news.is_newly_leaving {
+    if changes.is_newly_leaving {
         log::info!(
             service = &**service,
-            target = &*of.id,
+            target = &*incarnation.id,
             address:% = target.address;
-            "a target says that it leaves"
+            "a target announced that it is leaving"
         );
     }
-    let Some(change) = news.limit else {
+    let Some(change) = changes.limit else {
         return;
     };
     let is_readable = signal.limit != LimitSignal::Unreadable;
-    log_limit(service, of, change, FROM_ANSWER, is_readable);
+    log_limit(service, incarnation, change, SOURCE_RESPONSE, is_readable);
     shared.limits_changed.notify_one();
 }
 
-/// Takes over what a peer knows.
-pub(crate) fn learn(
+/// Applies limit reports from a peer.
+pub(crate) fn apply_reports(
     shared: &Shared,
     queue: &Arc<ServiceQueue>,
     reports: &[LimitReport<Incarnation>],
 ) {
     let now_ms = shared.clock.now_ms();
     for report in reports {
-        let heard_ms = MonoMs(now_ms.0.saturating_sub(report.age_ms));
-        let news = queue.on_limit_report(&report.target, report.limit, heard_ms);
-        if let Some(change) = news {
-            log_limit(queue.service(), &report.target, change, FROM_PEER, true);
+        let received_ms = MonoMs(now_ms.0.saturating_sub(report.age_ms));
+        let change = queue.on_limit_report(&report.target, report.limit, received_ms);
+        if let Some(change) = change {
+            log_limit(queue.service(), &report.target, change, SOURCE_PEER, true);
             shared.limits_changed.notify_one();
         }
     }
 }
 
-/// What peers should know.
-pub(crate) fn reports(
+/// Converts limit states into reports for peers.
+pub(crate) fn limit_reports(
     states: &[(Incarnation, LimitState)],
     now_ms: MonoMs,
 ) -> Vec<LimitReport<Incarnation>> {
@@ -100,10 +106,10 @@
         Some((rate, age_ms)) => (rate.per_s(), age_ms),
         None => (0.0, 0),
     };
-    let text = match (change.previous, change.limit) {
-        (_, None) => "a target names no limit any more",
-        (None, Some(_)) => "a target names a limit",
-        (Some(_), Some(_)) => "a target names another limit",
+    let message = match (change.previous, change.limit) {
+        (_, None) => "a target removed its request limit",
+        (None, Some(_)) => "a target set a request limit",
+        (Some(_), Some(_)) => "a target changed its request limit",
     };
     log::info!(
         service,
@@ -113,6 +119,6 @@
         former_age_ms,
         source,
         is_readable;
-        "{text}"
+        "{message}"
     );
 }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,10 +1,10 @@
-//! One request to one target, over a connection of its own.
+//! Sends one request to one target, over a new connection.
 //!
-//! A kept connection may have been closed, may have gone silent, or may still
-//! hold a second answer to an earlier request, and none of that shows before
-//! the request is written. For a request that must not be repeated it is then
-//! too late: nobody knows whether it ran. A fresh connection costs one round
-//! trip and has none of these doubts, so connections are not kept.
+//! A pooled connection may have been closed, may be dead without a sign, or may still deliver a
+//! second response to an earlier request. None of this shows before the request is written, and
+//! then it is unknown whether the request ran, which is too late for one that must not be
+//! repeated. A new connection costs one round trip and avoids these cases, so connections are not
+//! pooled.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -24,99 +24,101 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A connection within a region is open in a few milliseconds. A lost first
-/// packet is sent again after a second; another target answers sooner.
+/// A connection within a region opens in a few milliseconds. TCP retransmits a lost SYN after a
+/// second; trying another target is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Bytes that are not acknowledged for this long were sent to a VM that is cut
-/// off or without power.
+/// If sent bytes are not acknowledged for this long, the target's VM is cut off or has lost
+/// power.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A connection without traffic is probed after this long, so that a target
-/// that lost power in mid-stream is noticed within about three seconds.
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe. A target that loses power in mid-stream is
+/// detected within about three seconds.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// How a request to a target ended without an answer.
+/// Why a request to a target got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No connection came about, so nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     NotConnected,
-    /// Nobody listens at the target's address, so nothing was sent.
-    Refused,
-    /// It is held back, so nothing was sent.
-    HeldBack(QuarantineRejection),
-    /// The target takes none now, so nothing was sent.
+    /// The target's address refused the connection; nothing was sent.
+    ConnectionRefused,
+    /// The quarantine rejected the request; nothing was sent.
+    Quarantined(QuarantineRejection),
+    /// The target's admission gate withheld the request; nothing was sent.
     Withheld(WithheldReason),
-    /// It may have run: the connection ended or the answer made no sense.
+    /// The request may have run: the connection failed, or the response was not valid.
     Unknown,
 }
 
-/// What became of one send of a request.
+/// The result of sending a request to one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendResult {
-    /// A whole answer came.
-    Answered,
-    /// A stream began.
-    Streams,
-    /// The target answered with a failure of its own.
-    Failed,
-    /// No connection came about.
+    /// The target returned a complete response.
+    Completed,
+    /// The target started a stream.
+    StreamStarted,
+    /// The target returned an error response.
+    ErrorResponse,
+    /// The connection could not be opened.
     NotConnected,
-    /// Nobody listens at its address: its process has ended.
-    Refused,
-    /// The request is held back, so nothing was sent.
-    HeldBack,
-    /// The target takes none now, so nothing was sent.
+    /// The target's address refused the connection: its process has exited.
+    ConnectionRefused,
+    /// The quarantine rejected the request; nothing was sent.
+    Quarantined,
+    /// The target's admission gate withheld the request; nothing was sent.
     Withheld,
-    /// The target said that it did not run the request.
+    /// The target reported that it did not run the request.
     NotRun,
-    /// The same, and that it wants nothing from this entry for a while.
-    AsksForRest,
+    /// The target reported that it did not run the request, and asked this entry for a backoff.
+    BackoffRequested,
     /// Another incarnation listens at the target's address.
     OtherIncarnation,
-    /// The connection ended, or what came was the answer to another request.
-    AnswerLost,
-    /// What came is no genuine answer, or not a whole one.
-    BrokenAnswer,
-    /// Nothing came in time.
-    Silent,
-    /// The stream ended in its middle.
-    BrokeOff,
+    /// The connection failed, or the response belonged to another request.
+    ResponseLost,
+    /// The response was not genuine or was truncated.
+    InvalidResponse,
+    /// No response arrived in time.
+    NoResponse,
+    /// The stream ended before it was complete.
+    StreamInterrupted,
 }
 
 impl SendResult {
     /// The name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Self::Answered => "answered",
-            Self::Streams => "streams",
-            Self::Failed => "failed",
+            Self::Completed => "answered",
+            Self::StreamStarted => "streams",
+            Self::ErrorResponse => "failed",
             Self::NotConnected => "not-connected",
-            Self::Refused => "connection-refused",
-            Self::HeldBack => "held-back",
+            Self::ConnectionRefused => "connection-refused",
+            Self::Quarantined => "held-back",
             Self::Withheld => "withheld",
             Self::NotRun => "not-run",
-            Self::AsksForRest => "asks-for-rest",
+            Self::BackoffRequested => "asks-for-rest",
             Self::OtherIncarnation => "other-incarnation",
-            Self::AnswerLost => "answer-lost",
-            Self::BrokenAnswer => "broken-answer",
-            Self::Silent => "silent",
-            Self::BrokeOff => "broke-off",
+            Self::ResponseLost => "answer-lost",
+            Self::InvalidResponse => "broken-answer",
+            Self::NoResponse => "silent",
+            Self::StreamInterrupted => "broke-off",
         }
     }
 
-    /// Whether anything of the request went to the target.
+    /// Whether any part of the request was sent to the target.
     pub(crate) fn was_sent(self) -> bool {
         !matches!(
             self,
-            Self::NotConnected | Self::Refused | Self::HeldBack | Self::Withheld
+            Self::NotConnected | Self::ConnectionRefused | Self::Quarantined | Self::Withheld
         )
     }
 
-    /// Whether the target may have run the request, and nothing tells what it made
-    /// of it.
-    pub(crate) fn is_unexplained(self) -> bool {
-        matches!(self, Self::AnswerLost | Self::BrokenAnswer | Self::BrokeOff)
+    /// Whether the target may have run the request, and its outcome is unknown.
+    pub(crate) fn is_outcome_unknown(self) -> bool {
+        matches!(
+            self,
+            Self::ResponseLost | Self::InvalidResponse | Self::StreamInterrupted
+        )
     }
 
     /// Whether the target may have run the request.
@@ -124,22 +126,22 @@
         !matches!(
             self,
             Self::NotConnected
-                | Self::Refused
-                | Self::HeldBack
+                | Self::ConnectionRefused
+                | Self::Quarantined
                 | Self::Withheld
                 | Self::NotRun
-                | Self::AsksForRest
+                | Self::BackoffRequested
                 | Self::OtherIncarnation
         )
     }
 }
 
 impl SendResult {
-    /// What a target said that did not run the request.
-    pub(crate) fn of_refusal(status: StatusCode, head: &AnswerHead) -> Self {
+    /// Classifies a response in which the target reports that it did not run the request.
+    pub(crate) fn from_not_run(status: StatusCode, head: &AnswerHead) -> Self {
         match head.signal.backoff_ms {
             _ if is_other_incarnation(status.as_u16()) => Self::OtherIncarnation,
-            Some(rest_ms) if rest_ms > 0 => Self::AsksForRest,
+            Some(backoff_ms) if backoff_ms > 0 => Self::BackoffRequested,
             Some(_) | None => Self::NotRun,
         }
     }
@@ -149,87 +151,91 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotConnected => Self::NotConnected,
-            CallError::Refused => Self::Refused,
-            CallError::HeldBack(_) => Self::HeldBack,
+            CallError::ConnectionRefused => Self::ConnectionRefused,
+            CallError::Quarantined(_) => Self::Quarantined,
             CallError::Withheld(_) => Self::Withheld,
-            CallError::Unknown => Self::AnswerLost,
+            CallError::Unknown => Self::ResponseLost,
         }
     }
 }
 
-/// The connection of one call; dropping it ends the call at the target.
-pub(crate) struct Link(JoinHandle<()>);
+/// The driver task of one connection. Dropping it closes the connection, which cancels the
+/// request at the target.
+pub(crate) struct ConnectionGuard(JoinHandle<()>);
 
-impl Drop for Link {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// The beginning of an answer.
-pub(crate) struct Answer {
-    pub(crate) response: Response<Incoming>,
+/// The head of a target's response, with its body still to be read.
+pub(crate) struct TargetResponse {
+    pub(crate) http: Response<Incoming>,
     pub(crate) head: AnswerHead,
-    pub(crate) link: Link,
+    pub(crate) connection: ConnectionGuard,
 }
 
-impl Answer {
-    /// Whether the target gave it that was meant, and not another incarnation at its address.
-    pub(crate) fn is_of_the_target(&self) -> bool {
-        !is_other_incarnation(self.response.status().as_u16())
+impl TargetResponse {
+    /// Whether the intended incarnation responded, and not another one at the same address.
+    pub(crate) fn is_from_expected_incarnation(&self) -> bool {
+        !is_other_incarnation(self.http.status().as_u16())
     }
 }
 
-/// Sends the request and waits for the head of the answer.
+/// Sends the request and waits for the response head.
 ///
-/// [`Job::send`](crate::job::Job::send) is the only caller: it asks first whether the
-/// request may go.
+/// Called only by [`Job::send`](crate::job::Job::send), which first checks that the request may
+/// be sent.
 pub(crate) async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Answer, CallError> {
+) -> Result<TargetResponse, CallError> {
     let attempt_id = request
         .headers()
         .get(berylhook_platform::headers::ATTEMPT_ID)
         .cloned();
-    let (mut sender, link) = connect(address).await?;
+    let (mut sender, connection) = connect(address).await?;
     let response = match sender.try_send_request(request).await {
         Ok(response) => response,
         Err(error) if error.message().is_some() => return Err(CallError::NotConnected),
         Err(_) => return Err(CallError::Unknown),
     };
     let head = AnswerHead::read(response.status().as_u16(), response.headers());
-    // Answers to other requests can stand where this one's is expected.
+    // A response to another request can arrive on this connection.
     if head.attempt_id == attempt_id || head.is_not_run {
-        Ok(Answer {
-            response,
+        Ok(TargetResponse {
+            http: response,
             head,
-            link,
+            connection,
         })
     } else {
         Err(CallError::Unknown)
     }
 }
 
-/// Asks a target and waits for the head of its answer; the connection ends with the link.
+/// Sends a request of the entry's own, such as a health check, and waits for the response head.
+/// The connection closes when the returned guard is dropped.
 ///
-/// Not for requests of callers: nothing is asked of the answer.
-pub(crate) async fn ask(
+/// Not for callers' requests: it does not verify that the response belongs to the request.
+pub(crate) async fn send_unverified(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, Link), CallError> {
-    let (mut sender, link) = connect(address).await?;
+) -> Result<(Response<Incoming>, ConnectionGuard), CallError> {
+    let (mut sender, connection) = connect(address).await?;
     let response = sender.send_request(request).await;
     let response = response.map_err(|_| CallError::Unknown)?;
-    Ok((response, link))
+    Ok((response, connection))
 }
 
-async fn connect(address: SocketAddr) -> Result<(SendRequest<Full<Bytes>>, Link), CallError> {
+async fn connect(
+    address: SocketAddr,
+) -> Result<(SendRequest<Full<Bytes>>, ConnectionGuard), CallError> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = match connecting.await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            return Err(CallError::Refused);
+            return Err(CallError::ConnectionRefused);
         }
         Ok(Err(_)) | Err(_) => return Err(CallError::NotConnected),
     };
@@ -240,10 +246,10 @@
         return Err(CallError::NotConnected);
     };
     let driver = tokio::spawn(async move {
-        // Its error also reaches the call.
+        // The error of the connection also reaches the pending request.
         let _ = driver.await;
     });
-    Ok((sender, Link(driver)))
+    Ok((sender, ConnectionGuard(driver)))
 }
 
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
@@ -251,8 +257,8 @@
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_AFTER)
-        .with_interval(KEEPALIVE_AFTER)
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE)
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/entry/src/connection_headers.rs
+++ b/crates/entry/src/connection_headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only, and are not passed on.
+//! Hop-by-hop headers, which are not forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::{
@@ -6,7 +6,7 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Those that do by their name; [`CONNECTION`] lists others.
+/// The standard hop-by-hop headers; a [`CONNECTION`] header lists further ones.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TE,
@@ -18,16 +18,16 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes all hop-by-hop headers.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in listed.iter().chain(&CONNECTION_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,8 +1,9 @@
-//! Control state: what the store and the peers tell, published to traffic.
+//! Control state: merges what the store and the peers report, and publishes it to the traffic
+//! thread.
 //!
-//! An entry that the store shuts out takes over the whole view of a peer whose
-//! view is newer. Versions of the configuration and positions of the list only
-//! rise, so neither way can bring anything back that is over.
+//! An entry that cannot reach the store applies the complete view of any peer whose view is
+//! newer. Configuration versions and list positions only increase, so neither the store nor a
+//! peer can bring back outdated state.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -24,34 +25,34 @@
 
 use crate::shared::Shared;
 
-/// Lines about entries that name no target, for one change of the list. The
-/// others are only counted: lines of requests must not be lost for them.
-const MOST_UNUSABLE_LINES: usize = 20;
+/// Maximum of log lines about invalid list entries per change of the list. Further ones are only
+/// counted, so that they do not crowd out the log lines of requests.
+const MAX_INVALID_ENTRY_LINES: usize = 20;
 
-/// What entries tell each other.
+/// The control state that entries send each other.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct PeerView {
-    /// The operator's configuration document of the highest version known.
+    /// The operator's configuration document of the highest known version.
     pub(crate) configuration: Option<String>,
     /// The list of targets.
     pub(crate) listing: Listing,
 }
 
-/// What one task follows in the store.
+/// A topic of the store that one task watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Followed {
+pub(crate) enum WatchedTopic {
     /// The operator's configuration.
     Configuration,
     /// The list of targets.
     Targets,
-    /// Who leads which service's groups.
+    /// Which entry leads the groups of each service.
     Leaders,
-    /// Requests under which targets end.
+    /// The store's records of requests that are quarantined because targets exited while running
+    /// them.
     Quarantine,
 }
 
-impl Followed {
-    /// All topics.
+impl WatchedTopic {
     pub(crate) const ALL: [Self; 4] = [
         Self::Configuration,
         Self::Targets,
@@ -71,25 +72,25 @@
 
 struct State {
     directory: Directory,
-    unusable: InvalidEntryTracker,
+    invalid_entries: InvalidEntryTracker,
     document: Option<Arc<[u8]>>,
-    version: u64,
+    configuration_version: u64,
 }
 
-/// Control state and its publication.
+/// Holds the control state and publishes its changes.
 pub(crate) struct Control {
     shared: Arc<Shared>,
     state: Mutex<State>,
-    /// Rises with each change, for peers that wait for one.
+    /// Increases with each change, for requests of peers that wait for one.
     pub(crate) changes: watch::Sender<u64>,
-    /// Rises with each change of a key of this project's own.
-    pub(crate) own_keys: watch::Sender<u64>,
-    /// The services with expert-parallel groups, and their engines.
-    pub(crate) members: watch::Sender<Vec<ExpertService>>,
-    /// Topics for which the store does not answer this process.
-    silent: Mutex<IndexSet<Followed>>,
-    /// Whether the store answers this process.
-    pub(crate) store_answers: watch::Sender<bool>,
+    /// Increases with each change of a leadership key in the store.
+    pub(crate) leadership_changes: watch::Sender<u64>,
+    /// The services with expert-parallel groups, and the addresses of their engines.
+    pub(crate) expert_services: watch::Sender<Vec<ExpertService>>,
+    /// Topics whose last call to the store failed.
+    unreachable_topics: Mutex<IndexSet<WatchedTopic>>,
+    /// Whether the store responds for all topics.
+    pub(crate) is_store_reachable: watch::Sender<bool>,
 }
 
 impl Control {
@@ -98,15 +99,15 @@
             shared,
             state: Mutex::new(State {
                 directory: Directory::default(),
-                unusable: InvalidEntryTracker::default(),
+                invalid_entries: InvalidEntryTracker::default(),
                 document: None,
-                version: 0,
+                configuration_version: 0,
             }),
             changes: watch::Sender::new(0),
-            own_keys: watch::Sender::new(0),
-            members: watch::Sender::new(Vec::new()),
-            silent: Mutex::new(IndexSet::new()),
-            store_answers: watch::Sender::new(true),
+            leadership_changes: watch::Sender::new(0),
+            expert_services: watch::Sender::new(Vec::new()),
+            unreachable_topics: Mutex::new(IndexSet::new()),
+            is_store_reachable: watch::Sender::new(true),
         }
     }
 
@@ -114,29 +115,32 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// What this entry knows, for peers.
+    /// This entry's control state, for peers.
     pub(crate) fn peer_view(&self) -> PeerView {
         let state = self.lock();
         let document = state.document.as_deref();
         PeerView {
-            configuration: document.map(|it| String::from_utf8_lossy(it).into_owned()),
+            configuration: document.map(|document| String::from_utf8_lossy(document).into_owned()),
             listing: state.directory.listing().clone(),
         }
     }
 
-    /// Position of the list and version of the configuration in force.
+    /// The list's position and the version of the configuration in force.
     pub(crate) fn position(&self) -> (Position, u64) {
         let state = self.lock();
-        (state.directory.listing().position, state.version)
+        (
+            state.directory.listing().position,
+            state.configuration_version,
+        )
     }
 
-    /// Takes over what a peer knows, as far as it is newer.
-    pub(crate) fn take_peer_view(&self, view: PeerView) {
+    /// Applies a peer's control state, as far as it is newer.
+    pub(crate) fn apply_peer_view(&self, view: PeerView) {
         let document = view.configuration.map(|text| text.into_bytes().into());
-        self.take(document, Some(view.listing), "peer");
+        self.merge(document, Some(view.listing), "peer");
     }
 
-    pub(crate) fn take(
+    pub(crate) fn merge(
         &self,
         document: Option<Arc<[u8]>>,
         listing: Option<Listing>,
@@ -145,35 +149,35 @@
         let now_ms = self.shared.clock.now_ms();
         let mut state = self.lock();
         if let Some(document) = document {
-            self.take_document(&mut state, document, source);
+            self.apply_document(&mut state, document, source);
         }
         if let Some(listing) = listing {
             let Position { era, revision } = listing.position;
             let is_taken = state.directory.replace(listing, now_ms);
-            log::info!(source, era, revision, is_taken; "list of targets offered");
+            log::info!(source, era, revision, is_taken; "received a list of targets");
         }
         self.publish(&mut state);
     }
 
-    /// The store answers the task that follows this topic, or does not.
-    pub(crate) fn set_answers(&self, followed: Followed, answers: bool) {
-        let mut silent = self.silent.lock().expect("no holder panics");
-        if answers {
-            silent.shift_remove(&followed);
+    /// Records whether the store responds to the task that watches `topic`.
+    pub(crate) fn set_topic_reachable(&self, topic: WatchedTopic, is_reachable: bool) {
+        let mut unreachable_topics = self.unreachable_topics.lock().expect("no holder panics");
+        if is_reachable {
+            unreachable_topics.shift_remove(&topic);
         } else {
-            silent.insert(followed);
+            unreachable_topics.insert(topic);
         }
-        if followed == Followed::Quarantine && !answers {
-            self.shared.suspects.on_store_failed();
+        if topic == WatchedTopic::Quarantine && !is_reachable {
+            self.shared.suspect_tracker.on_store_failed();
         }
-        self.store_answers.send_if_modified(|current| {
-            let is_changed = *current != silent.is_empty();
-            *current = silent.is_empty();
+        self.is_store_reachable.send_if_modified(|current| {
+            let is_changed = *current != unreachable_topics.is_empty();
+            *current = unreachable_topics.is_empty();
             is_changed
         });
     }
 
-    /// The store of the settings now in force.
+    /// The store's address in the current settings.
     pub(crate) fn store_address(&self) -> SocketAddr {
         self.shared.settings().store_address
     }
@@ -182,42 +186,43 @@
         self.shared.metrics.count_store_call(call, result);
     }
 
-    /// Takes over what the store keeps of requests under which targets end.
-    pub(crate) fn take_quarantine(&self, items: &[OwnItem], position: Position) {
-        self.shared.suspects.apply_items(items, position);
+    /// Applies all quarantine records of the store.
+    pub(crate) fn apply_quarantine(&self, items: &[OwnItem], position: Position) {
+        self.shared.suspect_tracker.apply_items(items, position);
     }
 
     pub(crate) fn now_ms(&self) -> MonoMs {
         self.shared.clock.now_ms()
     }
 
-    /// A client for the store, which tells the eras that it hears of.
-    pub(crate) fn open(&self) -> Store {
+    /// Opens a store client that reports the eras it receives.
+    pub(crate) fn open_store(&self) -> Store {
         Store::observed(self.store_address(), Arc::clone(&self.shared.eras) as _)
     }
 
-    /// Waits until the store is known to have been restored since that position.
-    pub(crate) async fn restored_since(&self, position: Position) {
-        self.shared.eras.later_than(position.era).await;
+    /// Waits until the store is known to have been restored since `position`.
+    pub(crate) async fn wait_for_restore_since(&self, position: Position) {
+        self.shared.eras.wait_for_later(position.era).await;
     }
 
-    /// A client for the store of the settings now in force.
-    pub(crate) fn reopen(&self, store: Store) -> Store {
+    /// Returns a client for the store's address in the current settings, `store` itself if it is
+    /// unchanged.
+    pub(crate) fn reopen_store(&self, store: Store) -> Store {
         let address = self.store_address();
         if store.address() == address {
             return store;
         }
-        log::info!(store:% = address; "the store has another address");
-        self.open()
+        log::info!(store:% = address; "the address of the store has changed");
+        self.open_store()
     }
 
-    pub(crate) fn apply(&self, watched: Watched) {
+    pub(crate) fn apply_watched(&self, watched: Watched) {
         let now_ms = self.shared.clock.now_ms();
         let mut state = self.lock();
         for revised in watched.events {
             match revised.event {
                 StoreEvent::Configuration(document) => {
-                    self.take_document(&mut state, document, "store");
+                    self.apply_document(&mut state, document, "store");
                 }
                 StoreEvent::Target(change) => {
                     if !matches!(change, ListingChange::Invalid(_)) {
@@ -226,20 +231,20 @@
                     state.directory.apply(change, revised.position, now_ms);
                 }
                 StoreEvent::Own { key, value } if key.starts_with(stored::PREFIX) => {
-                    let suspects = &self.shared.suspects;
-                    suspects.apply_item(&key, value.as_deref(), revised.position);
+                    let suspect_tracker = &self.shared.suspect_tracker;
+                    suspect_tracker.apply_item(&key, value.as_deref(), revised.position);
                 }
-                StoreEvent::Own { .. } => self.own_keys.send_modify(|count| *count += 1),
+                StoreEvent::Own { .. } => self.leadership_changes.send_modify(|count| *count += 1),
             }
         }
         self.publish(&mut state);
     }
 
-    fn take_document(&self, state: &mut State, document: Arc<[u8]>, source: &'static str) {
+    fn apply_document(&self, state: &mut State, document: Arc<[u8]>, source: &'static str) {
         let configuration = match documents::configuration(&document) {
             Ok(configuration) => configuration,
             Err(error) => {
-                log::error!(source, reason:% = error; "configuration not taken over");
+                log::error!(source, reason:% = error; "configuration rejected");
                 return;
             }
         };
@@ -248,36 +253,36 @@
         if self.shared.set_configuration(configuration) {
             log::info!(source, version, routes; "configuration in force");
             state.document = Some(document);
-            state.version = version;
+            state.configuration_version = version;
         }
     }
 
     fn publish(&self, state: &mut State) {
         let configuration = self.shared.configuration();
-        let unusable = invalid_entries(state.directory.listing(), configuration.as_deref());
-        self.tell_unusable(&state.unusable.unreported(unusable));
+        let invalid = invalid_entries(state.directory.listing(), configuration.as_deref());
+        self.log_invalid_entries(&state.invalid_entries.unreported(invalid));
         self.shared.set_targets(state.directory.usable());
         self.changes.send_modify(|count| *count += 1);
-        let members = self.members(state);
-        self.members.send_if_modified(|current| {
-            let is_changed = *current != members;
-            *current = members;
+        let expert_services = self.expert_services(state);
+        self.expert_services.send_if_modified(|current| {
+            let is_changed = *current != expert_services;
+            *current = expert_services;
             is_changed
         });
     }
 
-    fn tell_unusable(&self, news: &[InvalidEntry]) {
-        let count = news.len();
-        self.shared.metrics.count_unusable_entries(count);
-        for entry in news.iter().take(MOST_UNUSABLE_LINES) {
-            log::warn!(id = &*entry.id, reason = &*entry.reason; "an entry names no target");
+    fn log_invalid_entries(&self, entries: &[InvalidEntry]) {
+        let count = entries.len();
+        self.shared.metrics.count_invalid_entries(count);
+        for entry in entries.iter().take(MAX_INVALID_ENTRY_LINES) {
+            log::warn!(id = &*entry.id, reason = &*entry.reason; "an entry in the list of targets is not valid");
         }
-        if count > MOST_UNUSABLE_LINES {
-            log::warn!(count, told = MOST_UNUSABLE_LINES; "more entries name no target");
+        if count > MAX_INVALID_ENTRY_LINES {
+            log::warn!(count, told = MAX_INVALID_ENTRY_LINES; "more entries in the list of targets are not valid");
         }
     }
 
-    fn members(&self, state: &State) -> Vec<ExpertService> {
+    fn expert_services(&self, state: &State) -> Vec<ExpertService> {
         let Some(configuration) = self.shared.configuration() else {
             return Vec::new();
         };
@@ -300,16 +305,16 @@
             .collect()
     }
 
-    fn expire(&self) {
+    fn expire_due(&self) {
         let now_ms = self.shared.clock.now_ms();
         let mut state = self.lock();
         if state.directory.expire(now_ms) {
-            log::info!("targets still missing after the store's return are taken as gone");
+            log::info!("removed targets that did not return after a store outage");
             self.publish(&mut state);
         }
     }
 
-    pub(crate) fn store_returned(&self) {
+    pub(crate) fn on_store_recovered(&self) {
         let now_ms = self.shared.clock.now_ms();
         self.lock().directory.on_store_recovered(now_ms);
     }
@@ -321,13 +326,13 @@
     }
 }
 
-/// Forgets missing targets when their time is over.
+/// Removes targets that are missing since a store outage, once their grace period has expired.
 pub(crate) async fn expire_missing(control: Arc<Control>) {
     let mut changes = control.changes.subscribe();
     loop {
         match control.next_expiry() {
             Some(due) => tokio::select! {
-                () = sleep(due) => control.expire(),
+                () = sleep(due) => control.expire_due(),
                 _ = changes.changed() => {}
             },
             None => {
--- a/crates/entry/src/health_check.rs
+++ b/crates/entry/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Asks a target for its health, to learn which incarnation listens at its address.
+//! HTTP health checks, which show which incarnation listens at a target's address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,12 @@
 
 use crate::call::{self, CallError};
 
-/// Time for the answer. A target answers in some milliseconds, unless all its slots are taken.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-const ANSWER_TIMEOUT_MS: u64 = 250;
+/// Timeout of a health check. A target responds within a few milliseconds, unless all its slots
+/// are taken.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+const RESPONSE_TIMEOUT_MS: u64 = 250;
 
-/// A question for one target's health.
+/// A health check of one target.
 pub(crate) struct HealthCheck {
     address: SocketAddr,
     target_id: Arc<str>,
@@ -28,8 +29,8 @@
 }
 
 impl HealthCheck {
-    /// `path` is what the operator names for the target's service; `None` if it cannot be asked
-    /// for.
+    /// Creates a health check of `path`, the path that the operator configured for the service;
+    /// `None` if it is not a valid path.
     pub(crate) fn new(target: &Target, path: &str) -> Option<Self> {
         match path.parse() {
             Ok(path) => Some(Self {
@@ -38,7 +39,7 @@
                 path,
             }),
             Err(error) => {
-                log::warn!(path, reason:% = error; "the health path of a service cannot be used");
+                log::warn!(path, reason:% = error; "the health path of a service is not valid");
                 None
             }
         }
@@ -49,25 +50,25 @@
         *request.uri_mut() = self.path.clone();
         let host = HeaderValue::from_str(&self.address.to_string()).expect("an address is ASCII");
         request.headers_mut().insert(HOST, host);
-        headers::set_health_check(request.headers_mut(), &self.target_id, ANSWER_TIMEOUT_MS);
+        headers::set_health_check(request.headers_mut(), &self.target_id, RESPONSE_TIMEOUT_MS);
         request
     }
 
-    async fn listening(&self) -> Listening {
-        let asked = call::ask(self.address, self.request());
-        match timeout(ANSWER_TIMEOUT, asked).await {
-            Ok(Ok((answer, _))) => {
-                let status = answer.status().as_u16();
-                let headers = answer.headers();
+    async fn check(&self) -> Listening {
+        let response = call::send_unverified(self.address, self.request());
+        match timeout(RESPONSE_TIMEOUT, response).await {
+            Ok(Ok((response, _))) => {
+                let status = response.status().as_u16();
+                let headers = response.headers();
                 if headers::is_health_of_another(status, headers, &self.target_id) {
                     Listening::Another
                 } else {
                     Listening::Accepted
                 }
             }
-            Ok(Err(CallError::Refused)) => Listening::Refused,
+            Ok(Err(CallError::ConnectionRefused)) => Listening::Refused,
             Ok(Err(CallError::NotConnected)) => Listening::Silent,
-            // Somebody listens and has not answered.
+            // The connection was accepted, but no response arrived.
             Ok(Err(_)) | Err(_) => Listening::Accepted,
         }
     }
@@ -75,6 +76,6 @@
 
 impl Probe for HealthCheck {
     fn probe(&self) -> ProbeFuture<'_> {
-        Box::pin(self.listening())
+        Box::pin(self.check())
     }
 }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -1,5 +1,5 @@
-//! A request that may be sent to targets: what it is, how long it waits, and how
-//! its end is told.
+//! A request that may be sent to targets: its content, its wait limits, and the logging of its
+//! outcome.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
@@ -10,7 +10,7 @@
 use berylhook_platform::headers::{self, Forward, RequestHead};
 use berylhook_quarantine::{
     AnyListener, LostRequest, Probe, QuarantineRejection, RequestIdentity, RunClearance,
-    WaitLimits as TurnPatience,
+    WaitLimits as ClearanceWaitLimits,
 };
 use berylhook_traffic::configuration::{ClientAccount, RetryPolicy, Route};
 use berylhook_traffic::retry_after::RetryReason;
@@ -23,34 +23,35 @@
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 
 use crate::backpressure;
-use crate::call::{self, Answer, CallError, SendResult};
+use crate::call::{self, CallError, SendResult, TargetResponse};
 use crate::health_check::HealthCheck;
 use crate::metrics::Metrics;
-use crate::quarantine::place;
-use crate::queue::{Hold, Patience, Refused, ServiceQueue};
-use crate::responses::{Body, Own, held_back, own};
+use crate::quarantine::target_incarnation;
+use crate::queue::{ServiceQueue, SlotError, SlotGuard, SlotWaitLimits};
+use crate::responses::{Body, LocalError, local_error_response, quarantine_response};
 use crate::shared::Shared;
 
-/// Part of its goal that a request waits for a place. A refusal within it
-/// still leaves the caller time to come back and be served.
-const PATIENCE_SHARE: f64 = 0.125;
+/// Fraction of the latency objective that a request waits for a slot. A rejection within this
+/// time leaves the caller enough time to retry and be served.
+const SLOT_WAIT_FRACTION: f64 = 0.125;
 
-/// The same for a stream. Its first event follows its start by two or three
-/// passes, which leaves this part of the goal to wait out a stretch of long
-/// passes, such as one before a new expert map is in force.
-const STREAM_PATIENCE_SHARE: f64 = 0.4;
+/// The same fraction for a stream. Its first event comes two or three forward passes after its
+/// start, so this much of the objective can be spent waiting out a period of long passes, such as
+/// the one before a new expert map is activated.
+const STREAM_SLOT_WAIT_FRACTION: f64 = 0.4;
 
-/// Longest wait for an answer that can only be late. Callers give up after
-/// two seconds without a sign.
-const LATE_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Longest wait for a slot when the response can only be late. Callers give up after two seconds
+/// without a response.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Part of the time left that such a wait may take.
-const LATE_SHARE: f64 = 0.3;
+/// Fraction of the remaining time that a wait for a late response may take.
+const LATE_WAIT_FRACTION: f64 = 0.3;
 
-/// Part of its goal that a request needs at least for a run.
-const LEAST_SHARE: f64 = 0.1;
+/// Fraction of the latency objective that a run needs at least. With less time left, a request
+/// that has waited is not sent.
+const MIN_RUN_FRACTION: f64 = 0.1;
 
-/// A request that may be sent to targets.
+/// A caller's request that may be sent to targets, from its admission to its final response.
 pub(crate) struct Job {
     pub(crate) shared: Arc<Shared>,
     pub(crate) queue: Arc<ServiceQueue>,
@@ -59,69 +60,67 @@
     pub(crate) deadline: Instant,
     pub(crate) arrived: Instant,
     pub(crate) account: Option<Arc<ClientAccount>>,
-    pub(crate) hides_key: bool,
-    pub(crate) version: u64,
+    pub(crate) strips_key: bool,
+    pub(crate) configuration_version: u64,
     pub(crate) method: Method,
     pub(crate) path: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Made when it is first asked for: most requests need none.
+    /// Computed at first use, as most requests never need it.
     pub(crate) digest: OnceLock<RequestDigest>,
-    /// What the logs tell of it at its end.
-    pub(crate) record: Record,
+    /// What the log line at the end of the request reports.
+    pub(crate) record: RequestRecord,
 }
 
-/// What the logs tell of a request at its end.
+/// What the log line at the end of a request reports.
 #[derive(Debug, Default)]
-pub(crate) struct Record {
-    /// The target that it was last made out to.
+pub(crate) struct RequestRecord {
+    /// The target for which the request was last prepared.
     last_target: Mutex<Option<Arc<str>>>,
-    /// Whether its last run was under a lock, as a suspect.
+    /// Whether the last run held a quarantine lock, which allows one run of a suspect at a time.
     ran_alone: AtomicBool,
-    /// Rest that its last target had asked for and that was left when it was sent.
-    rest_left_ms: AtomicU64,
-    /// Where it runs; `None` before, between and after its runs.
-    runs_at: Mutex<Option<Target>>,
-    /// Whether its end has been logged.
-    has_ended: AtomicBool,
-    times: Times,
+    /// Time left of the last target's backoff when the request was sent to it.
+    backoff_left_ms: AtomicU64,
+    /// The target that currently runs the request; `None` before, between and after runs.
+    running_at: Mutex<Option<Target>>,
+    /// Whether the end of the request has been logged.
+    is_end_logged: AtomicBool,
+    timings: Timings,
 }
 
-/// Where a request's time went, for the logs: what was late, and whether it
-/// waited here, at its target or between two events.
+/// Where the request's time was spent: waiting for slots, at its target, or between two events.
 #[derive(Debug, Default)]
-struct Times {
-    /// Spent waiting for places, all together.
+struct Timings {
+    /// Total time spent waiting for slots.
     waited_ms: AtomicU64,
-    /// From its arrival to its first event, or to its whole answer; 0 if there
-    /// was none.
-    first_ms: AtomicU64,
-    /// The longest time between two of its events.
-    longest_pause_ms: AtomicU64,
+    /// Time from arrival to the first event or the complete response; 0 if there was none.
+    first_response_ms: AtomicU64,
+    /// The longest time between two events.
+    longest_gap_ms: AtomicU64,
 }
 
 impl Drop for Job {
-    // A caller that leaves drops its request wherever it waits. Without a line
-    // here nothing told such a request from one that never came.
+    // A disconnected caller drops its request at any await point. Without this log line, such a
+    // request could not be told from one that never arrived.
     fn drop(&mut self) {
-        if !self.record.has_ended.load(Ordering::Relaxed) {
-            self.note_left();
-            self.finish(CALLER_LEFT, None);
+        if !self.record.is_end_logged.load(Ordering::Relaxed) {
+            self.report_caller_disconnected();
+            self.finish(CALLER_DISCONNECTED, None);
         }
     }
 }
 
-/// How a request ended whose caller did not wait for its answer.
-const CALLER_LEFT: &str = "caller-left";
+/// Outcome of a request whose caller disconnected before the response.
+const CALLER_DISCONNECTED: &str = "caller-left";
 
-/// An attempt's id for the logs.
-pub(crate) fn text(attempt_id: Option<&HeaderValue>) -> &str {
+/// An attempt id as text for the logs.
+pub(crate) fn attempt_id_text(attempt_id: Option<&HeaderValue>) -> &str {
     attempt_id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
 impl Job {
-    /// Time until the caller or the route gives up.
-    pub(crate) fn left(&self) -> Duration {
+    /// Time until the deadline of the caller or the route.
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -133,196 +132,217 @@
         matches!(self.route.retry_policy, RetryPolicy::Stream { .. })
     }
 
-    /// Waits for a place, as long as that serves the caller.
-    pub(crate) async fn enter(&self) -> Result<Hold, Refused> {
+    /// Waits for a slot as long as the caller can benefit from it.
+    pub(crate) async fn acquire_slot(&self) -> Result<SlotGuard, SlotError> {
         let urgency = self
             .account
             .as_ref()
             .and_then(|account| account.urgency)
             .unwrap_or(self.route.urgency);
-        let goal = Duration::from_millis(self.route.objective_ms);
-        let share = if self.is_stream() {
-            STREAM_PATIENCE_SHARE
+        let objective = Duration::from_millis(self.route.objective_ms);
+        let fraction = if self.is_stream() {
+            STREAM_SLOT_WAIT_FRACTION
         } else {
-            PATIENCE_SHARE
+            SLOT_WAIT_FRACTION
         };
-        let patience = Patience {
-            usual: goal.mul_f64(share).min(self.left()),
-            late: LATE_PATIENCE.min(self.left().mul_f64(LATE_SHARE)),
+        let limits = SlotWaitLimits {
+            on_time: objective.mul_f64(fraction).min(self.remaining()),
+            late: MAX_LATE_WAIT.min(self.remaining().mul_f64(LATE_WAIT_FRACTION)),
         };
-        self.wait(urgency, patience).await
+        self.wait_for_slot(urgency, limits).await
     }
 
-    async fn wait(&self, urgency: u32, patience: Patience) -> Result<Hold, Refused> {
-        let began = Instant::now();
-        let entered = self.queue.enter(urgency, patience).await;
-        let waited_ms = elapsed_ms(began);
+    async fn wait_for_slot(
+        &self,
+        urgency: u32,
+        limits: SlotWaitLimits,
+    ) -> Result<SlotGuard, SlotError> {
+        let started = Instant::now();
+        let slot = self.queue.acquire_slot(urgency, limits).await;
+        let waited_ms = elapsed_ms(started);
         self.record
-            .times
+            .timings
             .waited_ms
             .fetch_add(waited_ms, Ordering::Relaxed);
-        entered
+        slot
     }
 
-    /// Waits up to `patience` for a place to go on with an answer that has
-    /// begun. It goes before requests that have not begun.
-    pub(crate) async fn enter_to_resume(&self, patience: Duration) -> Result<Hold, Refused> {
-        let patience = Patience {
-            usual: patience,
-            late: patience,
+    /// Waits up to `max_wait` for a slot to resume an interrupted response. The request takes
+    /// precedence over requests that have not started.
+    pub(crate) async fn acquire_slot_to_resume(
+        &self,
+        max_wait: Duration,
+    ) -> Result<SlotGuard, SlotError> {
+        let limits = SlotWaitLimits {
+            on_time: max_wait,
+            late: max_wait,
         };
-        self.wait(0, patience).await
+        self.wait_for_slot(0, limits).await
     }
 
-    /// Sends the request to a target, once it may go, and waits for the head of the answer.
+    /// Sends the request to a target once the quarantine and the admission gate allow it, and
+    /// waits for the response head.
     ///
-    /// Each way to a target leads through here, also that of a stream that is resumed.
+    /// All sends to targets go through here, including those that resume a stream.
     pub(crate) async fn send(
         &self,
-        hold: &mut Hold,
+        slot: &mut SlotGuard,
         resume_after: Option<EventId>,
         clearance: &mut RunClearance,
-    ) -> Result<Answer, CallError> {
-        let suspects = &self.shared.suspects;
-        self.wait_for_turn(clearance).await?;
-        if let Err(withheld) = hold.admit() {
-            return Err(CallError::Withheld(withheld));
+    ) -> Result<TargetResponse, CallError> {
+        let suspect_tracker = &self.shared.suspect_tracker;
+        self.wait_for_clearance(clearance).await?;
+        if let Err(reason) = slot.admit() {
+            return Err(CallError::Withheld(reason));
         }
-        let target = hold.target();
-        let rest_left_ms = self.queue.rest_left_ms(&target.incarnation);
+        let target = slot.target();
+        let backoff_left_ms = self.queue.backoff_left_ms(&target.incarnation);
         self.record
-            .rest_left_ms
-            .store(rest_left_ms, Ordering::Relaxed);
-        *self.record.runs_at.lock().expect("no holder panics") = Some(target.clone());
+            .backoff_left_ms
+            .store(backoff_left_ms, Ordering::Relaxed);
+        *self.record.running_at.lock().expect("no holder panics") = Some(target.clone());
         let ran_alone = &self.record.ran_alone;
         ran_alone.store(clearance.runs_alone(), Ordering::Relaxed);
-        let sent_ms = suspects.now_ms();
-        // Nothing may be awaited between leave to go and this.
-        let answer = call::send(target.address, self.request_for(target, resume_after)).await;
-        if suspects.awaits_probes() && answer.as_ref().is_ok_and(Answer::is_of_the_target) {
-            suspects.on_connection_accepted(&place(target).target, sent_ms);
+        let sent_ms = suspect_tracker.now_ms();
+        // No await is allowed between the admission and this call.
+        let response = call::send(target.address, self.request_for(target, resume_after)).await;
+        if suspect_tracker.awaits_probes()
+            && response
+                .as_ref()
+                .is_ok_and(TargetResponse::is_from_expected_incarnation)
+        {
+            suspect_tracker.on_connection_accepted(&target_incarnation(target).target, sent_ms);
         }
-        if let Ok(answer) = &answer {
-            backpressure::hear(&self.shared, &self.queue, target, answer);
+        if let Ok(response) = &response {
+            backpressure::apply_signals(&self.shared, &self.queue, target, response);
         }
-        answer
+        response
     }
 
-    /// Waits until the request may be sent. One that has waited until it can hardly be served
-    /// is not sent any more.
-    async fn wait_for_turn(&self, clearance: &mut RunClearance) -> Result<(), CallError> {
-        let began = Instant::now();
-        let clearing =
-            self.shared
-                .suspects
-                .acquire_clearance(self, clearance, self.turn_patience());
-        clearing.await.map_err(CallError::HeldBack)?;
-        let least = Duration::from_millis(self.route.objective_ms).mul_f64(LEAST_SHARE);
-        let has_waited = began.elapsed() >= least;
-        if has_waited && self.left() < least {
-            return Err(CallError::HeldBack(QuarantineRejection::OUT_OF_TIME));
+    /// Waits until the quarantine clears the request. After a long wait, a request that can
+    /// hardly complete in the remaining time is rejected instead of sent.
+    async fn wait_for_clearance(&self, clearance: &mut RunClearance) -> Result<(), CallError> {
+        let started = Instant::now();
+        let clearing = self.shared.suspect_tracker.acquire_clearance(
+            self,
+            clearance,
+            self.clearance_wait_limits(),
+        );
+        clearing.await.map_err(CallError::Quarantined)?;
+        let min_run = Duration::from_millis(self.route.objective_ms).mul_f64(MIN_RUN_FRACTION);
+        let has_waited = started.elapsed() >= min_run;
+        if has_waited && self.remaining() < min_run {
+            return Err(CallError::Quarantined(QuarantineRejection::OUT_OF_TIME));
         }
         Ok(())
     }
 
-    /// Whether a target has been sent the request and may be at work on it.
-    pub(crate) fn is_at_target(&self) -> bool {
-        let runs_at = self.record.runs_at.lock().expect("no holder panics");
-        runs_at.is_some()
+    /// Whether the request was sent to a target that may still be running it.
+    pub(crate) fn may_be_running(&self) -> bool {
+        let running_at = self.record.running_at.lock().expect("no holder panics");
+        running_at.is_some()
     }
 
-    fn turn_patience(&self) -> TurnPatience {
-        let goal = Duration::from_millis(self.route.objective_ms);
-        TurnPatience {
-            lock_wait: goal.mul_f64(STREAM_PATIENCE_SHARE).min(self.left()),
-            response_wait: self.left(),
+    fn clearance_wait_limits(&self) -> ClearanceWaitLimits {
+        let objective = Duration::from_millis(self.route.objective_ms);
+        ClearanceWaitLimits {
+            lock_wait: objective
+                .mul_f64(STREAM_SLOT_WAIT_FRACTION)
+                .min(self.remaining()),
+            response_wait: self.remaining(),
         }
     }
 
-    /// Refuses the request at once if it cannot be sent at present.
-    pub(crate) fn refuse_if_held(&self) -> Option<Response<Body>> {
-        let held = self.shared.suspects.rejection(self)?;
-        Some(self.hold_back(held))
+    /// Rejects the request at once if the quarantine does not allow it at present.
+    pub(crate) fn refuse_if_quarantined(&self) -> Option<Response<Body>> {
+        let rejection = self.shared.suspect_tracker.rejection(self)?;
+        Some(self.reject_quarantined(rejection))
     }
 
-    /// The final answer to a request that is held back and has not run.
-    pub(crate) fn hold_back(&self, held: QuarantineRejection) -> Response<Body> {
+    /// The final response to a request that the quarantine rejected and that has not run.
+    pub(crate) fn reject_quarantined(&self, rejection: QuarantineRejection) -> Response<Body> {
         log::warn!(
-            request = text(self.head.attempt_id.as_ref()),
+            request = attempt_id_text(self.head.attempt_id.as_ref()),
             account = self.account_name(),
             digest:% = self.digest(),
-            why = held.reason,
-            back_ms = held.retry_after.map_or(0, |back| u64::try_from(back.as_millis()).unwrap_or(u64::MAX));
+            why = rejection.reason,
+            back_ms = rejection.retry_after.map_or(0, |retry_after| u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX));
             "a request was held back"
         );
-        self.finish(Own::HeldBack.name(), None);
-        held_back(held.retry_after, self.head.attempt_id.as_ref())
+        self.finish(LocalError::Quarantined.name(), None);
+        quarantine_response(rejection.retry_after, self.head.attempt_id.as_ref())
     }
 
-    /// The target at which it ran has lived on.
-    pub(crate) fn note_outlived(&self) {
-        let suspects = &self.shared.suspects;
-        if suspects.is_active() {
-            suspects.on_survived_run(self.digest());
+    /// Reports to the quarantine that the target survived this request's run.
+    pub(crate) fn report_target_survived(&self) {
+        let suspect_tracker = &self.shared.suspect_tracker;
+        if suspect_tracker.is_active() {
+            suspect_tracker.on_survived_run(self.digest());
         }
     }
 
-    /// The request as one target gets it.
+    /// Builds the request for one target.
     fn request_for(&self, target: &Target, resume_after: Option<EventId>) -> Request<Full<Bytes>> {
         *self.record.last_target.lock().expect("no holder panics") = Some(Arc::clone(target.id()));
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.clone();
         *request.headers_mut() = self.headers.clone();
-        let left_ms = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
+        let remaining_ms = u64::try_from(self.remaining().as_millis()).unwrap_or(u64::MAX);
         let forward = Forward {
-            deadline_ms: left_ms.max(1),
+            deadline_ms: remaining_ms.max(1),
             target_id: target.id(),
             account: self.account.as_ref().map(|account| &*account.name),
             resume_after,
-            hides_key: self.hides_key,
+            hides_key: self.strips_key,
         };
         headers::set_forward(request.headers_mut(), &forward);
         request
     }
 
-    /// The entry's own final answer.
-    pub(crate) fn own(&self, why: Own) -> Response<Body> {
-        let is_refusal = matches!(why, Own::NoPlace | Own::NotRun);
-        let (why, back) = match self.queue.takes_again_ms() {
-            _ if self.queue.is_down() => (why, RetryReason::Down),
-            Some(until_accepting_ms) if is_refusal => {
-                (Own::Withheld, RetryReason::Withheld { until_accepting_ms })
-            }
-            Some(_) | None => (why, RetryReason::Busy),
+    /// Ends the request with a response that the entry generates itself.
+    pub(crate) fn end_with_error(&self, reason: LocalError) -> Response<Body> {
+        let is_refusal = matches!(reason, LocalError::NoSlot | LocalError::NotRun);
+        let (reason, retry_reason) = match self.queue.until_accepting_ms() {
+            _ if self.queue.is_down() => (reason, RetryReason::Down),
+            Some(until_accepting_ms) if is_refusal => (
+                LocalError::Withheld,
+                RetryReason::Withheld { until_accepting_ms },
+            ),
+            Some(_) | None => (reason, RetryReason::Busy),
         };
-        self.finish(why.name(), None);
-        own(why, self.head.attempt_id.as_ref(), self.left(), back)
+        self.finish(reason.name(), None);
+        local_error_response(
+            reason,
+            self.head.attempt_id.as_ref(),
+            self.remaining(),
+            retry_reason,
+        )
     }
 
-    /// Measures the time to an answer, or to a stream's first event.
-    pub(crate) fn observe_answer(&self) {
+    /// Records the latency of the complete response, or of a stream's first event.
+    pub(crate) fn observe_first_response(&self) {
         let after_ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
-        self.metrics().answer_ms.observe(after_ms);
-        let first_ms = elapsed_ms(self.arrived);
+        self.metrics().response_ms.observe(after_ms);
+        let first_response_ms = elapsed_ms(self.arrived);
         self.record
-            .times
-            .first_ms
-            .store(first_ms, Ordering::Relaxed);
+            .timings
+            .first_response_ms
+            .store(first_response_ms, Ordering::Relaxed);
     }
 
-    /// Notes the time between two events of the answer.
-    pub(crate) fn observe_pause(&self, pause_ms: f64) {
-        self.metrics().pass_ms.observe(pause_ms);
-        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // a few seconds
-        let pause_ms = pause_ms as u64;
-        let longest = &self.record.times.longest_pause_ms;
-        longest.fetch_max(pause_ms, Ordering::Relaxed);
+    /// Records the time between two events of the stream.
+    pub(crate) fn observe_gap(&self, gap_ms: f64) {
+        self.metrics().event_gap_ms.observe(gap_ms);
+        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // a few seconds at most
+        let gap_ms = gap_ms as u64;
+        let longest = &self.record.timings.longest_gap_ms;
+        longest.fetch_max(gap_ms, Ordering::Relaxed);
     }
 
-    /// Logs and counts how the request ended.
+    /// Logs and counts the outcome of the request.
     pub(crate) fn finish(&self, outcome: &'static str, status: Option<u16>) {
-        self.record.has_ended.store(true, Ordering::Relaxed);
+        self.record.is_end_logged.store(true, Ordering::Relaxed);
         self.metrics().count_request(outcome);
         let (running, waiting, targets) = self.queue.counts();
         let last_target = self
@@ -332,116 +352,127 @@
             .expect("no holder panics")
             .clone();
         log::info!(
-            request = text(self.head.attempt_id.as_ref()),
+            request = attempt_id_text(self.head.attempt_id.as_ref()),
             route = &*self.route.name,
-            configuration = self.version,
+            configuration = self.configuration_version,
             outcome,
             status = status.unwrap_or_default(),
             last_target = last_target.as_deref().unwrap_or("-"),
             after_ms = elapsed_ms(self.arrived),
-            waited_ms = self.record.times.waited_ms.load(Ordering::Relaxed),
-            first_ms = self.record.times.first_ms.load(Ordering::Relaxed),
-            longest_pause_ms = self.record.times.longest_pause_ms.load(Ordering::Relaxed),
+            waited_ms = self.record.timings.waited_ms.load(Ordering::Relaxed),
+            first_ms = self.record.timings.first_response_ms.load(Ordering::Relaxed),
+            longest_pause_ms = self.record.timings.longest_gap_ms.load(Ordering::Relaxed),
             goal_ms = self.route.objective_ms,
             pause_goal_ms = self.route.pause_objective_ms.unwrap_or_default(),
             running,
             waiting,
             targets,
-            bound = self.queue.bound();
+            bound = self.queue.concurrency_limit();
             "request ended"
         );
     }
 
-    /// Logs and counts what became of the request at one target.
+    /// Logs and counts the result of sending the request to one target.
     pub(crate) fn log_send(&self, target: &Target, result: SendResult) {
         self.metrics().count_send(result.name());
-        let digest = result.is_unexplained().then(|| self.digest().to_string());
-        if result != SendResult::Streams {
-            *self.record.runs_at.lock().expect("no holder panics") = None;
+        let digest = result
+            .is_outcome_unknown()
+            .then(|| self.digest().to_string());
+        if result != SendResult::StreamStarted {
+            *self.record.running_at.lock().expect("no holder panics") = None;
         }
-        self.note_result(target, result);
+        self.report_result(target, result);
         log::info!(
-            request = text(self.head.attempt_id.as_ref()),
+            request = attempt_id_text(self.head.attempt_id.as_ref()),
             target = &**target.id(),
             address:% = target.address,
             result = result.name(),
             digest = digest.as_deref().unwrap_or("-"),
-            rest_left_ms = self.record.rest_left_ms.load(Ordering::Relaxed),
-            limit_per_s = self.queue.limit(&target.incarnation).map_or(0.0, RequestRate::per_s),
+            rest_left_ms = self.record.backoff_left_ms.load(Ordering::Relaxed),
+            limit_per_s = self.queue.rate_limit(&target.incarnation).map_or(0.0, RequestRate::per_s),
             after_ms = elapsed_ms(self.arrived);
             "sent to a target"
         );
     }
 
-    fn loss(&self) -> LostRequest {
+    fn lost_request(&self) -> LostRequest {
         LostRequest {
             digest: self.digest(),
             ran_alone: self.record.ran_alone.load(Ordering::Relaxed),
-            attempt_id: text(self.head.attempt_id.as_ref()).into(),
+            attempt_id: attempt_id_text(self.head.attempt_id.as_ref()).into(),
             account: self.account_name().into(),
         }
     }
 
-    /// The client account for the logs.
+    /// The client account's name for the logs.
     fn account_name(&self) -> &str {
         self.account.as_ref().map_or("-", |account| &*account.name)
     }
 
-    /// Its caller has left it while it ran. Its target may end all the same, and nobody
-    /// would lose an answer that tells of it.
-    fn note_left(&self) {
-        let runs_at = self.record.runs_at.lock().expect("no holder panics").take();
-        if let Some(target) = runs_at {
-            self.note_left_at(&target);
+    /// Reports to the quarantine that the caller disconnected while the request ran. If the
+    /// target then exits because of the request, no lost response would reveal it.
+    fn report_caller_disconnected(&self) {
+        let running_at = self
+            .record
+            .running_at
+            .lock()
+            .expect("no holder panics")
+            .take();
+        if let Some(target) = running_at {
+            self.report_abandoned_run(&target);
         }
     }
 
-    fn note_left_at(&self, target: &Target) {
+    fn report_abandoned_run(&self, target: &Target) {
         if !self.queue.has_target(&target.incarnation) {
             return;
         }
-        let suspects = &self.shared.suspects;
-        suspects.on_abandoned_run_with_probe(&place(target), self.loss(), self.look(target));
+        let suspect_tracker = &self.shared.suspect_tracker;
+        suspect_tracker.on_abandoned_run_with_probe(
+            &target_incarnation(target),
+            self.lost_request(),
+            self.listener_probe(target),
+        );
     }
 
-    /// How to find out who listens at the target's address.
-    fn look(&self, target: &Target) -> Arc<dyn Probe> {
+    /// The probe that shows which process listens at the target's address.
+    fn listener_probe(&self, target: &Target) -> Arc<dyn Probe> {
         match self.health_check(target) {
-            Some(asked) => Arc::new(asked),
+            Some(check) => Arc::new(check),
             None => Arc::new(AnyListener(target.address)),
         }
     }
 
-    /// A question for the target's health; `None` where the operator names no usable path.
+    /// A health check of the target; `None` if the operator configured no valid path.
     fn health_check(&self, target: &Target) -> Option<HealthCheck> {
         let configuration = self.shared.configuration()?;
         let service = configuration.service(self.queue.service())?;
         HealthCheck::new(target, service.health_path.as_deref()?)
     }
 
-    /// What a send showed of whether targets end under the request.
+    /// Reports to the quarantine what the result shows about target exits under this request.
     ///
-    /// A target that is leaving ends by itself, and no request is to blame for it.
-    fn note_result(&self, target: &Target, result: SendResult) {
+    /// A target that is leaving exits for its own reasons, so no request is blamed for it.
+    fn report_result(&self, target: &Target, result: SendResult) {
         match result {
-            SendResult::Answered | SendResult::Failed => self.note_outlived(),
-            SendResult::Silent => self.note_left_at(target),
-            SendResult::Refused => self
+            SendResult::Completed | SendResult::ErrorResponse => self.report_target_survived(),
+            SendResult::NoResponse => self.report_abandoned_run(target),
+            SendResult::ConnectionRefused => self
                 .shared
-                .suspects
-                .on_connection_refused(&place(target).target),
-            // Another one listens at its address, so it has ended.
+                .suspect_tracker
+                .on_connection_refused(&target_incarnation(target).target),
+            // Another incarnation listens at the target's address, so the target has exited.
             SendResult::OtherIncarnation if !headers::expects_version(&self.headers) => {
                 self.shared
-                    .suspects
-                    .on_connection_refused(&place(target).target);
+                    .suspect_tracker
+                    .on_connection_refused(&target_incarnation(target).target);
             }
-            _ if result.is_unexplained() && self.queue.has_target(&target.incarnation) => {
-                let suspects = &self.shared.suspects;
-                suspects.on_lost_response_with_probe(
-                    &place(target),
-                    self.loss(),
-                    self.look(target),
+            _ if result.is_outcome_unknown() && self.queue.has_target(&target.incarnation) => {
+                let suspect_tracker = &self.shared.suspect_tracker;
+                suspect_tracker.on_lost_response_with_probe(
+                    &target_incarnation(target),
+                    self.lost_request(),
+                    self.listener_probe(target),
                 );
             }
             _ => {}
@@ -455,7 +486,7 @@
     }
 
     fn exit_stops_group(&self) -> bool {
-        self.queue.stops_group()
+        self.queue.exit_stops_group()
     }
 
     fn digest(&self) -> RequestDigest {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry that speaks to targets itself.
+//! An entry (front-end process) that sends requests directly to targets.
 //!
-//! Callers' requests come in over HTTP, the configuration decides where they
-//! go, and each goes straight to a target over a connection of its own. One
-//! thread holds control state (the store, peers, settings), another carries
-//! traffic. The decisions are those of `berylhook-traffic`.
+//! Callers' requests arrive over HTTP. The configuration selects their service, and each is sent
+//! to a target over a new connection. One thread holds the control state (store, peers,
+//! settings), another one carries the traffic. The dispatch decisions are made in
+//! `berylhook-traffic`.
 
 mod backpressure;
 mod call;
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,8 +1,9 @@
-//! The limits that targets name, shared with the other entries.
+//! Exchanges targets' request limits and permits between entries.
 //!
-//! Who asks whom, and what is given out, is decided by `berylhook-backpressure`; here are
-//! the messages. Each entry that knows of a limit asks the service's home every fifth of a
-//! second; the home tells those that do not ask.
+//! A target's limit applies to all entries together, so one entry, the home of the service,
+//! allocates permits to the others. `berylhook-backpressure` elects the home and decides the
+//! allocation; this module sends the messages. Each entry that knows of a limit sends a request
+//! to the home every 200 ms; the home notifies the entries that send none.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -27,77 +28,77 @@
 use crate::queue::ServiceQueue;
 use crate::shared::Shared;
 
-/// Where entries ask and tell each other.
+/// HTTP path of permit requests and limit notifications.
 pub(crate) const LIMITS_PATH: &str = "/limits";
 
-/// Time between two questions: permits that come later than the next request for a target
-/// are of little use.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+/// Time between two permit requests. A permit that arrives after the next request for its target
+/// is of little use.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two looks while no target names a limit; one that does ends the wait.
-const IDLE_EVERY: Duration = Duration::from_secs(2);
+/// Time between two rounds while no target has a limit. A new limit ends the wait at once.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Spreads the questions of entries that heard of a limit in the same moment.
-const ASK_SPREAD_MS: u64 = 100;
+/// Jitter that spreads the requests of entries that learned of a limit at the same time.
+const REQUEST_JITTER_MS: u64 = 100;
 
-/// Time for an answer: a peer that takes longer is passed over, and another is home within
+/// Timeout of a peer's reply. A slower peer is passed over, and another entry becomes home within
 /// two seconds.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Least time between two rounds, however often limits change.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+/// Shortest time between two rounds, however often limits change.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Peers told at once.
-const TOLD_AT_ONCE: usize = 16;
+/// Maximum of rounds or notifications in flight at the same time.
+const MAX_CONCURRENT_CALLS: usize = 16;
 
-/// This entry's part in sharing the limits.
-pub(crate) struct Limits {
+/// This entry's exchange of limits and permits, one per service.
+pub(crate) struct LimitExchange {
     shared: Arc<Shared>,
     peers: Arc<Peers>,
-    exchanges: Mutex<IndexMap<Arc<str>, PermitCoordinator<Incarnation>>>,
-    /// Connections to homes, kept between two questions.
+    coordinators: Mutex<IndexMap<Arc<str>, PermitCoordinator<Incarnation>>>,
+    /// Connections to peers, kept open between two requests.
     connections: Mutex<IndexMap<SocketAddr, Connection>>,
 }
 
-impl Limits {
+impl LimitExchange {
     pub(crate) fn new(shared: Arc<Shared>, peers: Arc<Peers>) -> Self {
         Self {
             shared,
             peers,
-            exchanges: Mutex::new(IndexMap::new()),
+            coordinators: Mutex::new(IndexMap::new()),
             connections: Mutex::new(IndexMap::new()),
         }
     }
 
-    /// Asks and tells while there are limits, at once when one has changed.
+    /// Runs a round regularly while there are limits, and at once when a limit changes.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut has_limits = false;
         loop {
             let pause = if has_limits {
-                ASK_EVERY + Duration::from_millis(rand::random_range(0..=ASK_SPREAD_MS))
+                REQUEST_INTERVAL + Duration::from_millis(rand::random_range(0..=REQUEST_JITTER_MS))
             } else {
-                IDLE_EVERY
+                IDLE_INTERVAL
             };
-            // Running out of time is the usual reason to go on.
+            // A timeout is the usual way to the next round.
             let _ = timeout(pause, self.shared.limits_changed.notified()).await;
             let queues = self.shared.queues().into_iter();
-            let shared_out = queues.map(|queue| self.share(queue));
-            let shared_out = stream::iter(shared_out).buffer_unordered(TOLD_AT_ONCE);
-            let were_there: Vec<bool> = shared_out.collect().await;
-            has_limits = were_there.contains(&true);
+            let rounds = queues.map(|queue| self.run_round(queue));
+            let rounds = stream::iter(rounds).buffer_unordered(MAX_CONCURRENT_CALLS);
+            let had_limits: Vec<bool> = rounds.collect().await;
+            has_limits = had_limits.contains(&true);
             if has_limits {
-                sleep(LEAST_PAUSE).await;
+                sleep(MIN_ROUND_INTERVAL).await;
             }
         }
     }
 
-    /// One round for one service; returns whether it has limits to share, or had of late.
-    async fn share(&self, queue: Arc<ServiceQueue>) -> bool {
+    /// Runs one round for one service; returns whether it has limits to share, or had recently.
+    async fn run_round(&self, queue: Arc<ServiceQueue>) -> bool {
         let queue = &queue;
-        for (why, count) in queue.take_kept_back() {
-            self.shared.metrics.count_kept_back(why.name(), count);
+        for (reason, count) in queue.take_withheld_counts() {
+            self.shared.metrics.count_withheld(reason.name(), count);
         }
-        let limited = queue.limited();
+        let limited = queue.limited_target_count();
         self.shared
             .metrics
             .set_limited_targets(queue.service(), limited);
@@ -107,187 +108,204 @@
         }
         let members = self.peers.limit_members();
         let own = self.peers.own_address();
-        let home = self.with_exchange(queue, |it, now_ms| it.home(&members, now_ms));
+        let home = self.with_coordinator(queue, |coordinator, now_ms| {
+            coordinator.home(&members, now_ms)
+        });
         if home == own {
-            self.give_out(queue, &states, &members).await;
+            self.allocate_and_notify(queue, &states, &members).await;
         } else {
-            self.ask(queue, home, &states).await;
+            self.request_permits(queue, home, &states).await;
         }
         true
     }
 
-    fn with_exchange<R>(
+    fn with_coordinator<R>(
         &self,
         queue: &ServiceQueue,
-        with: impl FnOnce(&mut PermitCoordinator<Incarnation>, MonoMs) -> R,
+        operation: impl FnOnce(&mut PermitCoordinator<Incarnation>, MonoMs) -> R,
     ) -> R {
         let service = queue.service();
         let now_ms = self.shared.clock.now_ms();
-        let mut exchanges = self.exchanges.lock().expect("no holder panics");
-        let exchange = exchanges
+        let mut coordinators = self.coordinators.lock().expect("no holder panics");
+        let coordinator = coordinators
             .entry(Arc::clone(service))
             .or_insert_with(|| PermitCoordinator::new(self.peers.own_address(), service));
-        with(exchange, now_ms)
+        operation(coordinator, now_ms)
     }
 
-    /// This entry is home: it gives itself permits and tells the others.
-    async fn give_out(
+    /// As the home, allocates permits to this entry and notifies the others of the limits.
+    async fn allocate_and_notify(
         &self,
         queue: &Arc<ServiceQueue>,
         states: &[(Incarnation, LimitState)],
         members: &Members,
     ) {
         let own = self.peers.own_address();
-        let asked_ms = self.shared.clock.now_ms();
-        let grants = self.grants(queue, own, &wishes(states), members);
-        queue.on_permits(&grants.unwrap_or_default(), asked_ms);
-        let limits = states.iter().map(|(of, state)| (of.clone(), state.limit));
-        let told = self.with_exchange(queue, |it, now_ms| {
-            it.peers_to_notify(limits.collect(), members, now_ms)
+        let requested_ms = self.shared.clock.now_ms();
+        let grants = self.allocate_permits(queue, own, &permit_requests(states), members);
+        queue.on_permits(&grants.unwrap_or_default(), requested_ms);
+        let limits = states
+            .iter()
+            .map(|(target, state)| (target.clone(), state.limit));
+        let recipients = self.with_coordinator(queue, |coordinator, now_ms| {
+            coordinator.peers_to_notify(limits.collect(), members, now_ms)
         });
-        let question = self.question(queue, states, Vec::new());
-        let question = &question;
-        let tellings = told
+        let message = self.new_message(queue, states, Vec::new());
+        let message = &message;
+        let notifications = recipients
             .into_iter()
-            .map(|peer| self.tell(queue, peer, question));
-        stream::iter(tellings)
-            .buffer_unordered(TOLD_AT_ONCE)
+            .map(|peer| self.notify(queue, peer, message));
+        stream::iter(notifications)
+            .buffer_unordered(MAX_CONCURRENT_CALLS)
             .collect::<()>()
             .await;
     }
 
-    fn grants(
+    fn allocate_permits(
         &self,
         queue: &ServiceQueue,
         from: SocketAddr,
-        wishes: &[PermitRequest<Incarnation>],
+        permit_requests: &[PermitRequest<Incarnation>],
         members: &Members,
     ) -> Option<Vec<PermitGrant<Incarnation>>> {
-        self.with_exchange(queue, |exchange, now_ms| {
-            exchange.on_permit_requests(from, wishes, |of| queue.limit(of), members, now_ms)
+        self.with_coordinator(queue, |coordinator, now_ms| {
+            coordinator.on_permit_requests(
+                from,
+                permit_requests,
+                |target| queue.rate_limit(target),
+                members,
+                now_ms,
+            )
         })
     }
 
-    fn question(
+    fn new_message(
         &self,
         queue: &ServiceQueue,
         states: &[(Incarnation, LimitState)],
-        wishes: Vec<PermitRequest<Incarnation>>,
+        permit_requests: Vec<PermitRequest<Incarnation>>,
     ) -> LimitMessage<Incarnation> {
         LimitMessage {
             from: self.peers.own_address(),
             service: Arc::clone(queue.service()),
-            reports: backpressure::reports(states, self.shared.clock.now_ms()),
-            permit_requests: wishes,
+            reports: backpressure::limit_reports(states, self.shared.clock.now_ms()),
+            permit_requests,
         }
     }
 
-    async fn tell(
+    async fn notify(
         &self,
         queue: &Arc<ServiceQueue>,
         peer: SocketAddr,
-        question: &LimitMessage<Incarnation>,
+        message: &LimitMessage<Incarnation>,
     ) {
-        match self.call(peer, question).await {
+        match self.call_peer(peer, message).await {
             Ok(reply) => {
-                self.with_exchange(queue, |it, now_ms| it.on_received(peer, now_ms));
-                backpressure::learn(&self.shared, queue, &reply.reports);
+                self.with_coordinator(queue, |coordinator, now_ms| {
+                    coordinator.on_received(peer, now_ms);
+                });
+                backpressure::apply_reports(&self.shared, queue, &reply.reports);
             }
-            // It is told again while it does not ask.
-            Err(error) => self.note_unanswered(queue, peer, &error).await,
+            // The peer is notified again as long as it sends no requests.
+            Err(error) => self.record_no_reply(queue, peer, &error).await,
         }
     }
 
-    async fn note_unanswered(&self, queue: &ServiceQueue, peer: SocketAddr, error: &CallError) {
-        let how = match error {
+    async fn record_no_reply(&self, queue: &ServiceQueue, peer: SocketAddr, error: &CallError) {
+        let failure = match error {
             CallError::Status { .. } => RequestFailure::Refused,
-            CallError::NotSent { .. } if is_refused(peer).await => RequestFailure::Refused,
+            CallError::NotSent { .. } if refuses_connections(peer).await => RequestFailure::Refused,
             CallError::NotSent { .. } | CallError::Unknown { .. } => RequestFailure::NoReply,
         };
-        self.with_exchange(queue, |it, now_ms| it.on_request_failed(peer, how, now_ms));
+        self.with_coordinator(queue, |coordinator, now_ms| {
+            coordinator.on_request_failed(peer, failure, now_ms);
+        });
     }
 
-    async fn ask(
+    async fn request_permits(
         &self,
         queue: &Arc<ServiceQueue>,
         home: SocketAddr,
         states: &[(Incarnation, LimitState)],
     ) {
-        let asked_ms = self.shared.clock.now_ms();
-        let question = self.question(queue, states, wishes(states));
-        match self.call(home, &question).await {
+        let requested_ms = self.shared.clock.now_ms();
+        let message = self.new_message(queue, states, permit_requests(states));
+        match self.call_peer(home, &message).await {
             Ok(reply) => {
-                self.with_exchange(queue, |it, now_ms| it.on_received(home, now_ms));
-                backpressure::learn(&self.shared, queue, &reply.reports);
-                queue.on_permits(&reply.grants, asked_ms);
+                self.with_coordinator(queue, |coordinator, now_ms| {
+                    coordinator.on_received(home, now_ms);
+                });
+                backpressure::apply_reports(&self.shared, queue, &reply.reports);
+                queue.on_permits(&reply.grants, requested_ms);
             }
             Err(error) => {
                 log::info!(
                     service = &**queue.service(),
                     home:%,
                     reason:% = error;
-                    "the home of the limits does not answer"
+                    "the home of the limits does not reply"
                 );
-                self.note_unanswered(queue, home, &error).await;
+                self.record_no_reply(queue, home, &error).await;
                 self.shared.limits_changed.notify_one();
             }
         }
     }
 
-    async fn call(
+    async fn call_peer(
         &self,
         peer: SocketAddr,
-        question: &LimitMessage<Incarnation>,
+        message: &LimitMessage<Incarnation>,
     ) -> Result<LimitReply<Incarnation>, CallError> {
-        let kept = {
+        let pooled = {
             let mut connections = self.connections.lock().expect("no holder panics");
             connections.swap_remove(&peer)
         };
-        let mut connection = kept.unwrap_or_else(|| Connection::new(peer));
-        let call = Call::post(LIMITS_PATH.to_owned(), question, ANSWER_TIMEOUT);
+        let mut connection = pooled.unwrap_or_else(|| Connection::new(peer));
+        let call = Call::post(LIMITS_PATH.to_owned(), message, REPLY_TIMEOUT);
         let reply = connection.json(call).await?;
         let mut connections = self.connections.lock().expect("no holder panics");
         connections.insert(peer, connection);
         Ok(reply)
     }
 
-    /// Answers a question, or takes news.
-    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let Some(question) = serve::read_json::<LimitMessage<Incarnation>>(request).await else {
+    /// Handles a permit request or a limit notification.
+    pub(crate) async fn handle_request(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        let Some(message) = serve::read_json::<LimitMessage<Incarnation>>(request).await else {
             let text = "send a question on limits in JSON, as another entry does";
             return serve::plain(StatusCode::BAD_REQUEST, text);
         };
-        let Some(queue) = self.shared.known_queue(&question.service) else {
+        let Some(queue) = self.shared.existing_queue(&message.service) else {
             return serve::json(&LimitReply::<Incarnation> {
                 is_home: false,
                 reports: Vec::new(),
                 grants: Vec::new(),
             });
         };
-        backpressure::learn(&self.shared, &queue, &question.reports);
+        backpressure::apply_reports(&self.shared, &queue, &message.reports);
         let members = self.peers.limit_members();
-        let grants = self.grants(&queue, question.from, &question.permit_requests, &members);
+        let grants =
+            self.allocate_permits(&queue, message.from, &message.permit_requests, &members);
         let states = queue.limit_states();
         serve::json(&LimitReply {
             is_home: grants.is_some(),
-            reports: backpressure::reports(&states, self.shared.clock.now_ms()),
+            reports: backpressure::limit_reports(&states, self.shared.clock.now_ms()),
             grants: grants.unwrap_or_default(),
         })
     }
 }
 
-fn wishes(states: &[(Incarnation, LimitState)]) -> Vec<PermitRequest<Incarnation>> {
+fn permit_requests(states: &[(Incarnation, LimitState)]) -> Vec<PermitRequest<Incarnation>> {
     let limited = states.iter().filter(|(_, state)| state.limit.is_some());
-    let wishes = limited.map(|(target, state)| PermitRequest {
+    let permit_requests = limited.map(|(target, state)| PermitRequest {
         target: target.clone(),
         requests: state.requested,
         held: Some(state.held),
     });
-    wishes.collect()
+    permit_requests.collect()
 }
 
-/// Whether nobody listens there: a process that has ended, not a VM that is cut off.
-async fn is_refused(address: SocketAddr) -> bool {
-    let connecting = timeout(ANSWER_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
+/// Whether the address refuses connections: its process has exited, and its VM is not cut off.
+async fn refuses_connections(address: SocketAddr) -> bool {
+    let connecting = timeout(REPLY_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
     matches!(connecting, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, as text in the `OpenMetrics` format.
+//! Counters, gauges and latency histograms, exported in the `OpenMetrics` text format.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicI64, AtomicU64};
@@ -11,36 +11,36 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// What became of a request, and why.
+/// Labels of request and send counters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct OutcomeLabels {
     pub(crate) outcome: &'static str,
 }
 
-/// One kind of call to the store.
+/// Labels of store calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CallLabels {
     pub(crate) call: &'static str,
     pub(crate) result: &'static str,
 }
 
-/// Why something was not done.
+/// Labels of counters by reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabels {
     pub(crate) reason: &'static str,
 }
 
-/// One service.
+/// Labels of gauges by service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServiceLabels {
     pub(crate) service: String,
 }
 
-/// First bucket of the latency histograms.
+/// Upper bound of the first latency bucket.
 const FIRST_BUCKET_MS: f64 = 5.0;
 
-/// Buckets of the latency histograms; the last ends at about 10 s.
-const BUCKETS: u16 = 12;
+/// Number of latency buckets. Bounds double, so the last finite one is about 10 s.
+const BUCKET_COUNT: u16 = 12;
 
 /// The metrics of one process.
 pub(crate) struct Metrics {
@@ -48,37 +48,37 @@
     pub(crate) requests: Family<OutcomeLabels, Counter<u64, AtomicU64>>,
     pub(crate) sends: Family<OutcomeLabels, Counter<u64, AtomicU64>>,
     pub(crate) store_calls: Family<CallLabels, Counter<u64, AtomicU64>>,
-    pub(crate) answer_ms: Histogram,
-    pub(crate) pass_ms: Histogram,
+    pub(crate) response_ms: Histogram,
+    pub(crate) event_gap_ms: Histogram,
     pub(crate) configuration_version: Gauge<i64, AtomicI64>,
     pub(crate) targets: Gauge<i64, AtomicI64>,
-    pub(crate) unusable_entries: Counter<u64, AtomicU64>,
-    pub(crate) ended_under_requests: Counter<u64, AtomicU64>,
+    pub(crate) invalid_entries: Counter<u64, AtomicU64>,
+    pub(crate) target_exit_requests: Counter<u64, AtomicU64>,
     pub(crate) suspected: Gauge<i64, AtomicI64>,
-    pub(crate) held: Gauge<i64, AtomicI64>,
-    pub(crate) kept_back: Family<ReasonLabels, Counter<u64, AtomicU64>>,
-    pub(crate) rests: Counter<u64, AtomicU64>,
+    pub(crate) quarantined: Gauge<i64, AtomicI64>,
+    pub(crate) withheld: Family<ReasonLabels, Counter<u64, AtomicU64>>,
+    pub(crate) backoffs: Counter<u64, AtomicU64>,
     pub(crate) limited_targets: Family<ServiceLabels, Gauge<i64, AtomicI64>>,
 }
 
 impl Metrics {
     pub(crate) fn new() -> Self {
-        let buckets = || exponential_buckets(FIRST_BUCKET_MS, 2.0, BUCKETS);
+        let buckets = || exponential_buckets(FIRST_BUCKET_MS, 2.0, BUCKET_COUNT);
         let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("berylhook")),
             requests: Family::default(),
             sends: Family::default(),
             store_calls: Family::default(),
-            answer_ms: Histogram::new(buckets()),
-            pass_ms: Histogram::new(buckets()),
+            response_ms: Histogram::new(buckets()),
+            event_gap_ms: Histogram::new(buckets()),
             configuration_version: Gauge::default(),
             targets: Gauge::default(),
-            unusable_entries: Counter::default(),
-            ended_under_requests: Counter::default(),
+            invalid_entries: Counter::default(),
+            target_exit_requests: Counter::default(),
             suspected: Gauge::default(),
-            held: Gauge::default(),
-            kept_back: Family::default(),
-            rests: Counter::default(),
+            quarantined: Gauge::default(),
+            withheld: Family::default(),
+            backoffs: Counter::default(),
             limited_targets: Family::default(),
         };
         metrics.register();
@@ -101,12 +101,12 @@
         registry.register(
             "answer_ms",
             "Time to an answer, or to a stream's first event, in milliseconds",
-            self.answer_ms.clone(),
+            self.response_ms.clone(),
         );
         registry.register(
             "pass_ms",
             "Time between two events of a stream, in milliseconds",
-            self.pass_ms.clone(),
+            self.event_gap_ms.clone(),
         );
         registry.register(
             "configuration_version",
@@ -121,12 +121,12 @@
         registry.register(
             "unusable_entries",
             "Entries seen in the store's list that name no target",
-            self.unusable_entries.clone(),
+            self.invalid_entries.clone(),
         );
         registry.register(
             "ended_under_requests",
             "Requests that were at a target when it ended",
-            self.ended_under_requests.clone(),
+            self.target_exit_requests.clone(),
         );
         registry.register(
             "suspected_requests",
@@ -136,17 +136,17 @@
         registry.register(
             "held_requests",
             "Requests that are held back",
-            self.held.clone(),
+            self.quarantined.clone(),
         );
         registry.register(
             "kept_back",
             "Requests that did not go to the target chosen first, by what it said",
-            self.kept_back.clone(),
+            self.withheld.clone(),
         );
         registry.register(
             "rests",
             "Times that a target asked this entry for rest",
-            self.rests.clone(),
+            self.backoffs.clone(),
         );
         registry.register(
             "limited_targets",
@@ -165,19 +165,19 @@
         self.sends.get_or_create(&OutcomeLabels { outcome }).inc();
     }
 
-    pub(crate) fn set_quarantine(&self, suspected: usize, held: usize) {
+    pub(crate) fn set_quarantine(&self, suspected: usize, quarantined: usize) {
         let count = |count| i64::try_from(count).unwrap_or(i64::MAX);
         self.suspected.set(count(suspected));
-        self.held.set(count(held));
+        self.quarantined.set(count(quarantined));
     }
 
-    pub(crate) fn count_kept_back(&self, reason: &'static str, count: u32) {
+    pub(crate) fn count_withheld(&self, reason: &'static str, count: u32) {
         let labels = ReasonLabels { reason };
-        self.kept_back.get_or_create(&labels).inc_by(count.into());
+        self.withheld.get_or_create(&labels).inc_by(count.into());
     }
 
-    pub(crate) fn count_rest(&self) {
-        self.rests.inc();
+    pub(crate) fn count_backoff(&self) {
+        self.backoffs.inc();
     }
 
     pub(crate) fn set_limited_targets(&self, service: &str, count: usize) {
@@ -188,8 +188,8 @@
         self.limited_targets.get_or_create(&labels).set(count);
     }
 
-    pub(crate) fn count_unusable_entries(&self, count: usize) {
-        self.unusable_entries.inc_by(count as u64);
+    pub(crate) fn count_invalid_entries(&self, count: usize) {
+        self.invalid_entries.inc_by(count as u64);
     }
 
     pub(crate) fn count_store_call(&self, call: &'static str, result: &'static str) {
@@ -197,8 +197,8 @@
         self.store_calls.get_or_create(&labels).inc();
     }
 
-    /// All metrics as text.
-    pub(crate) fn text(&self) -> String {
+    /// Encodes all metrics as text.
+    pub(crate) fn encode_text(&self) -> String {
         let registry = self.registry.lock().expect("no holder panics");
         let mut text = String::new();
         match encode(&mut text, &registry) {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,18 +1,18 @@
-//! What entries ask each other.
+//! Queries between entries.
 //!
-//! An entry that the store shuts out learns the newest configuration and the
-//! targets that leave from its peers. It begins with the seeds of its settings;
-//! each question tells who asks, and each answer names the peers known, so all
-//! entries soon know each other without a call to the store.
+//! An entry that cannot reach the store learns the newest configuration and the departure of
+//! targets from its peers. It starts with the seeds in its settings. Each query carries the
+//! sender's address and each reply lists the known peers, so all entries discover each other
+//! without calls to the store.
 //!
-//! | Part | Job |
+//! | Module | Purpose |
 //! |---|---|
-//! | `membership` | who shares the targets, and how much demand each has |
-//! | `limits` | who shares the limits of targets, and what a new entry is told of them |
-//! | `leadership` | what a leader tells its peers, and whom it transfers to |
+//! | `membership` | which entries share the targets, and how much demand each has |
+//! | `limits` | which entries share the targets' limits, and what a new entry is sent of them |
+//! | `leadership` | what a leader sends its peers, and to whom it transfers its leadership |
 //!
-//! Plain HTTP is used for this: a request and reply library of its own would
-//! bring threads and wake-ups that cost more than the few questions do.
+//! Queries use plain HTTP. A messaging library would bring threads and wake-ups that cost more
+//! than these few queries.
 
 mod leadership;
 mod limits;
@@ -40,102 +40,102 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use self::leadership::{NOTICE_PATH, TRANSFER_PATH};
-use self::membership::Sharing;
+use self::leadership::{ENGINE_UPDATE_PATH, TRANSFER_PATH};
+use self::membership::DemandReport;
 use crate::control::{Control, PeerView};
 use crate::shared::Shared;
 
-/// Longest wait of a question for news.
-const NEWS_WAIT: Duration = Duration::from_secs(1);
+/// Longest wait of a query for an update.
+const UPDATE_WAIT: Duration = Duration::from_secs(1);
 
-/// Time for an answer beyond its wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a reply, in addition to the query's own wait.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Pause after a question that brought nothing.
-const ASK_PAUSE: Duration = Duration::from_millis(150);
+/// Pause after each round of queries while the store does not respond.
+const QUERY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time between two rounds of learning who is there.
-const MEET_EVERY: Duration = Duration::from_secs(5);
+/// Time between two discovery rounds.
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait after a round in which more entries became known. They have to hear of this
-/// one before its callers come.
-const MEET_MORE: Duration = Duration::from_millis(300);
+/// Delay of the next round if the last one discovered new entries. They must learn of this entry
+/// before its callers arrive.
+const DISCOVERY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Peers asked at once: one that does not answer must not hold up the others, and a
-/// VM with a sixth of a processor must not get all answers together.
-const ASKED_AT_ONCE: usize = 4;
+/// Maximum of concurrent queries. A peer that does not respond must not delay the others, and a
+/// VM with a sixth of a processor must not receive all replies at once.
+const MAX_CONCURRENT_QUERIES: usize = 4;
 
-/// Questions in a row without an answer after which a peer is forgotten.
-const FAILURES_TO_FORGET: u32 = 3;
+/// Consecutive failed queries after which a peer is removed.
+const MAX_FAILURES: u32 = 3;
 
-/// A peer with this much more processor time than this process leads better.
-const CLEARLY_MORE: f64 = 1.5;
+/// A peer with at least this multiple of this process's processor share is preferred as leader.
+const LARGER_PEER_FACTOR: f64 = 1.5;
 
-/// A question to a peer.
+/// A query to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Question {
-    /// Where the asking entry answers its peers.
+struct Query {
+    /// The address at which the sender serves its peers.
     from: SocketAddr,
-    /// Part of a processor that it may use.
+    /// Fraction of a processor that the sender may use.
     processor_share: f64,
-    /// Its part in sharing the targets.
+    /// The sender's demand report; `None` if it takes no requests.
     #[serde(default)]
-    sharing: Option<Sharing>,
-    /// Position of its list.
+    sharing: Option<DemandReport>,
+    /// Position of the sender's target list.
     #[serde(flatten)]
     position: Position,
-    /// Version of its configuration.
+    /// Version of the sender's configuration.
     version: u64,
-    /// Whether to wait for something newer.
+    /// Whether the reply should wait for an update.
     waits: bool,
 }
 
-/// The answer to a question.
+/// The reply to a query.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Answer {
-    /// What is newer than what the asking entry has, if anything.
+struct Reply {
+    /// The replier's control state, if it is newer than the sender's.
     view: Option<PeerView>,
-    /// The entries known.
+    /// The addresses of the known entries.
     peers: Vec<SocketAddr>,
-    /// Part of a processor that the answering entry may use.
+    /// Fraction of a processor that the replier may use.
     processor_share: f64,
-    /// The answering entry's part in sharing the targets.
+    /// The replier's demand report; `None` if it takes no requests.
     #[serde(default)]
-    sharing: Option<Sharing>,
-    /// A summary of what it knows of requests under which targets end; none before it
-    /// knows, or from an entry of an older version.
+    sharing: Option<DemandReport>,
+    /// A digest of the replier's quarantine facts. `None` before they are loaded, or from an
+    /// entry of an older version.
     #[serde(default)]
     suspicions: Option<u64>,
-    /// The newest era of the store that it has heard of.
+    /// The newest era of the store that the replier knows.
     #[serde(default)]
     era: u64,
-    /// The limits that targets name, by service.
+    /// The limits of targets, by service.
     #[serde(default)]
     limits: IndexMap<Arc<str>, Vec<LimitReport<Incarnation>>>,
 }
 
-/// What is known of a peer.
+/// The state of one peer.
 #[derive(Clone, Debug, Default)]
-struct Peer {
-    /// Questions in a row without an answer.
+struct PeerState {
+    /// Consecutive failed queries.
     failures: u32,
-    /// Part of a processor that it may use; `None` before it has told.
+    /// Fraction of a processor that the peer may use; `None` before its first message.
     processor_share: Option<f64>,
-    /// Its part in sharing the targets, by its last word.
-    sharing: Option<Sharing>,
+    /// The demand report in the peer's last message.
+    sharing: Option<DemandReport>,
 }
 
 /// The entries known to this one.
 pub(crate) struct Peers {
     shared: Arc<Shared>,
     control: Arc<Control>,
-    known: Mutex<IndexMap<SocketAddr, Peer>>,
-    /// Requests a second that arrive at this entry; `None` before the first.
+    known: Mutex<IndexMap<SocketAddr, PeerState>>,
+    /// Rate of requests that arrive at this entry; `None` before the first measurement.
     demand_per_s: Mutex<Option<f64>>,
-    /// When a leader last told of the engines.
-    engines_heard_ms: AtomicU64,
-    /// The last transfer to lead a service's groups.
-    transfer: watch::Sender<Option<LeadershipTransfer>>,
+    /// When this entry last received or sent an engine update.
+    engine_update_ms: AtomicU64,
+    /// The last transfer of a service's leadership to this entry.
+    last_transfer: watch::Sender<Option<LeadershipTransfer>>,
 }
 
 impl Peers {
@@ -145,22 +145,22 @@
             control,
             known: Mutex::new(IndexMap::new()),
             demand_per_s: Mutex::new(None),
-            engines_heard_ms: AtomicU64::new(0),
-            transfer: watch::Sender::new(None),
+            engine_update_ms: AtomicU64::new(0),
+            last_transfer: watch::Sender::new(None),
         }
     }
 
-    /// Follows the transfers of this entry.
-    pub(crate) fn transfers(&self) -> watch::Receiver<Option<LeadershipTransfer>> {
-        self.transfer.subscribe()
+    /// Subscribes to transfers of leadership to this entry.
+    pub(crate) fn subscribe_transfers(&self) -> watch::Receiver<Option<LeadershipTransfer>> {
+        self.last_transfer.subscribe()
     }
 
-    /// Where this entry answers its peers.
+    /// The address at which this entry serves its peers.
     pub(crate) fn own_address(&self) -> SocketAddr {
         self.shared.settings().peer_address
     }
 
-    fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    fn add_peers(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own_address();
         let mut known = self.known.lock().expect("no holder panics");
         for address in addresses {
@@ -171,15 +171,22 @@
         self.publish(&known);
     }
 
-    fn publish(&self, known: &IndexMap<SocketAddr, Peer>) {
+    fn publish(&self, known: &IndexMap<SocketAddr, PeerState>) {
         let own = self.shared.settings().processor_share;
         let present = known.values().filter(|peer| peer.failures == 0);
         let mut shares = present.filter_map(|peer| peer.processor_share);
-        let has_larger = shares.any(|share| share > own * CLEARLY_MORE);
-        self.shared.has_larger_peer.send_replace(has_larger);
+        let has_more_cpu = shares.any(|share| share > own * LARGER_PEER_FACTOR);
+        self.shared
+            .has_peer_with_more_cpu
+            .send_replace(has_more_cpu);
     }
 
-    fn note_word(&self, address: SocketAddr, processor_share: f64, sharing: Option<Sharing>) {
+    fn update_peer(
+        &self,
+        address: SocketAddr,
+        processor_share: f64,
+        sharing: Option<DemandReport>,
+    ) {
         let mut known = self.known.lock().expect("no holder panics");
         if let Some(peer) = known.get_mut(&address) {
             peer.processor_share = Some(processor_share);
@@ -188,20 +195,20 @@
         self.publish(&known);
     }
 
-    fn note(&self, address: SocketAddr, answered: bool) {
+    fn record_query_result(&self, address: SocketAddr, has_replied: bool) {
         let mut known = self.known.lock().expect("no holder panics");
         let Some(peer) = known.get_mut(&address) else {
             return;
         };
-        peer.failures = if answered { 0 } else { peer.failures + 1 };
-        if peer.failures >= FAILURES_TO_FORGET {
+        peer.failures = if has_replied { 0 } else { peer.failures + 1 };
+        if peer.failures >= MAX_FAILURES {
             known.shift_remove(&address);
         }
         self.publish(&known);
     }
 
-    /// Peers to ask, seeds included, in random order.
-    pub(crate) fn candidates(&self) -> Vec<SocketAddr> {
+    /// The addresses of all known peers and seeds, in random order.
+    pub(crate) fn shuffled_addresses(&self) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no holder panics");
         let own = self.own_address();
         let settings = self.shared.settings();
@@ -214,142 +221,143 @@
         addresses
     }
 
-    /// Answers a peer's question, or takes its notice.
-    pub(crate) async fn answer(
+    /// Handles a query, an engine update or a transfer of leadership.
+    pub(crate) async fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
-        if request.uri().path() == NOTICE_PATH {
-            return self.take_notice(request).await;
+        if request.uri().path() == ENGINE_UPDATE_PATH {
+            return self.handle_engine_update(request).await;
         }
         if request.uri().path() == TRANSFER_PATH {
-            return self.take_transfer(request).await;
+            return self.handle_transfer(request).await;
         }
-        let Some(question) = serve::read_json::<Question>(request).await else {
+        let Some(query) = serve::read_json::<Query>(request).await else {
             let text = "send a question in JSON, as another entry does";
             return serve::plain(StatusCode::BAD_REQUEST, text);
         };
-        self.learn([question.from]);
-        self.shared.eras.on_era(question.position.era);
-        self.note_word(
-            question.from,
-            question.processor_share,
-            question.sharing.clone(),
-        );
-        if question.waits {
-            // Running out of time is an answer too: there is no news.
-            let _ = timeout(NEWS_WAIT, self.news(&question)).await;
+        self.add_peers([query.from]);
+        self.shared.eras.on_era(query.position.era);
+        self.update_peer(query.from, query.processor_share, query.sharing.clone());
+        if query.waits {
+            // After a timeout, the reply says that there is no update.
+            let _ = timeout(UPDATE_WAIT, self.wait_for_update(&query)).await;
         }
-        serve::json(&Answer {
-            view: self.newer_than(&question),
-            peers: self.candidates(),
+        serve::json(&Reply {
+            view: self.newer_view(&query),
+            peers: self.shuffled_addresses(),
             processor_share: self.shared.settings().processor_share,
-            sharing: self.own_sharing(),
-            suspicions: self.shared.suspects.summary_for_peers(),
+            sharing: self.own_demand_report(),
+            suspicions: self.shared.suspect_tracker.summary_for_peers(),
             era: self.shared.eras.newest(),
             limits: self.limit_reports(),
         })
     }
 
-    fn compare_suspicions(&self, address: SocketAddr, summary: Option<u64>) {
+    fn compare_quarantine_digest(&self, address: SocketAddr, summary: Option<u64>) {
         if let Some(summary) = summary {
-            self.shared.suspects.on_peer_summary(address, summary);
+            self.shared
+                .suspect_tracker
+                .on_peer_summary(address, summary);
         }
     }
 
-    async fn news(&self, question: &Question) {
+    async fn wait_for_update(&self, query: &Query) {
         let mut changes = self.control.changes.subscribe();
-        while !self.is_news(question) {
+        while !self.has_update(query) {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    fn is_news(&self, question: &Question) -> bool {
+    fn has_update(&self, query: &Query) -> bool {
         let (position, version) = self.control.position();
-        position > question.position || version > question.version
+        position > query.position || version > query.version
     }
 
-    fn newer_than(&self, question: &Question) -> Option<PeerView> {
-        self.is_news(question).then(|| self.control.peer_view())
+    fn newer_view(&self, query: &Query) -> Option<PeerView> {
+        self.has_update(query).then(|| self.control.peer_view())
     }
 
-    /// Asks one peer; returns whether it answered.
-    async fn ask(&self, address: SocketAddr, waits: bool) -> bool {
+    /// Queries one peer; returns whether it replied.
+    async fn query_peer(&self, address: SocketAddr, waits: bool) -> bool {
         let (position, version) = self.control.position();
-        let question = Question {
+        let query = Query {
             from: self.own_address(),
             processor_share: self.shared.settings().processor_share,
-            sharing: self.own_sharing(),
+            sharing: self.own_demand_report(),
             position,
             version,
             waits,
         };
-        let bound = ANSWER_TIMEOUT + if waits { NEWS_WAIT } else { Duration::ZERO };
-        let answered = ask_once(address, &question, bound).await;
-        let is_answered = answered.is_ok();
-        match answered {
-            Ok(answer) => {
-                self.learn(answer.peers.into_iter().chain([address]));
-                self.note_word(address, answer.processor_share, answer.sharing);
-                self.compare_suspicions(address, answer.suspicions);
-                self.shared.eras.on_era(answer.era);
-                self.learn_limits(&answer.limits);
-                if let Some(view) = answer.view {
-                    self.control.take_peer_view(view);
+        let reply_timeout = REPLY_TIMEOUT + if waits { UPDATE_WAIT } else { Duration::ZERO };
+        let result = send_query(address, &query, reply_timeout).await;
+        let has_replied = result.is_ok();
+        match result {
+            Ok(reply) => {
+                self.add_peers(reply.peers.into_iter().chain([address]));
+                self.update_peer(address, reply.processor_share, reply.sharing);
+                self.compare_quarantine_digest(address, reply.suspicions);
+                self.shared.eras.on_era(reply.era);
+                self.apply_limit_reports(&reply.limits);
+                if let Some(view) = reply.view {
+                    self.control.apply_peer_view(view);
                 }
             }
-            Err(error) => log::debug!(reason:% = error; "a peer does not answer"),
+            Err(error) => log::debug!(reason:% = error; "a peer does not reply"),
         }
-        self.note(address, is_answered);
-        is_answered
+        self.record_query_result(address, has_replied);
+        has_replied
     }
 
-    /// Learns who is there, at the start and from time to time, and tells it when
-    /// this entry stops.
-    pub(crate) async fn meet(self: Arc<Self>) {
+    /// Discovers peers at the start and regularly, and informs them when this entry stops.
+    pub(crate) async fn run_discovery(self: Arc<Self>) {
         let mut stage = self.shared.stage.subscribe();
         loop {
-            let known = self.candidates().len();
-            let asked = self.candidates().into_iter();
-            let asked = asked.map(|address| self.ask(address, false));
-            let answers = stream::iter(asked).buffer_unordered(ASKED_AT_ONCE);
-            let answers: Vec<bool> = answers.collect().await;
-            let has_met_more = self.candidates().len() > known;
-            // After a loss of power the seeds start in the same moment as this entry and
-            // refuse its first question; who leads is settled within the next second.
-            let has_met_nobody = !answers.contains(&true);
-            let wait = if has_met_more || has_met_nobody {
-                MEET_MORE
+            let known = self.shuffled_addresses().len();
+            let queries = self.shuffled_addresses().into_iter();
+            let queries = queries.map(|address| self.query_peer(address, false));
+            let replied = stream::iter(queries).buffer_unordered(MAX_CONCURRENT_QUERIES);
+            let replied: Vec<bool> = replied.collect().await;
+            let has_new_peers = self.shuffled_addresses().len() > known;
+            // After a power loss, the seeds start at the same time as this entry and refuse its
+            // first query, and the leader is elected within the next second.
+            let has_no_reply = !replied.contains(&true);
+            let wait = if has_new_peers || has_no_reply {
+                DISCOVERY_RETRY_DELAY
             } else {
-                MEET_EVERY
+                DISCOVERY_INTERVAL
             };
-            // An end of the sender is the end of the process.
+            // The sender closes only at the end of the process.
             let _ = timeout(wait, stage.changed()).await;
         }
     }
 
-    /// Follows the peers while the store does not answer.
-    pub(crate) async fn follow(self: Arc<Self>) {
-        let mut store_answers = self.control.store_answers.subscribe();
+    /// Queries peers for updates while the store does not respond.
+    pub(crate) async fn poll_during_outages(self: Arc<Self>) {
+        let mut is_store_reachable = self.control.is_store_reachable.subscribe();
         loop {
-            if store_answers.wait_for(|answers| !answers).await.is_err() {
+            if is_store_reachable
+                .wait_for(|is_reachable| !is_reachable)
+                .await
+                .is_err()
+            {
                 return;
             }
-            for address in self.candidates() {
-                self.ask(address, true).await;
+            for address in self.shuffled_addresses() {
+                self.query_peer(address, true).await;
             }
-            sleep(ASK_PAUSE).await;
+            sleep(QUERY_PAUSE).await;
         }
     }
 }
 
-async fn ask_once(
+async fn send_query(
     address: SocketAddr,
-    question: &Question,
-    bound: Duration,
-) -> Result<Answer, CallError> {
-    let call = Call::post("/".to_owned(), question, bound);
+    query: &Query,
+    reply_timeout: Duration,
+) -> Result<Reply, CallError> {
+    let call = Call::post("/".to_owned(), query, reply_timeout);
     Connection::new(address).json(call).await
 }
--- a/crates/entry/src/peers/leadership.rs
+++ b/crates/entry/src/peers/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader tells the other entries, and the transfer of its leadership.
+//! Engine updates that a leader sends the other entries, and the transfer of leadership.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,94 +17,104 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use super::{ANSWER_TIMEOUT, Peers};
+use super::{Peers, REPLY_TIMEOUT};
 
-/// Where notices are sent.
-pub(super) const NOTICE_PATH: &str = "/notice";
+/// HTTP path of engine updates.
+pub(super) const ENGINE_UPDATE_PATH: &str = "/notice";
 
-/// Where a transfer is sent.
+/// HTTP path of leadership transfers.
 pub(super) const TRANSFER_PATH: &str = "/lead";
 
-/// Time between two notices while nothing changes, for peers that missed one.
-const NOTICE_EVERY: Duration = Duration::from_secs(2);
+/// Time between two updates while nothing changes, for peers that missed one.
+const ENGINE_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Peers told at once.
-const TOLD_AT_ONCE: usize = 16;
+/// Maximum of updates in flight at the same time.
+const MAX_CONCURRENT_UPDATES: usize = 16;
 
-/// How long a leader's word counts without another: a new leader is there
-/// within this time.
-const NEWS_VALID_MS: u64 = 6_000;
+/// How long a leader's update stays valid without another one. A new leader is elected within
+/// this time.
+const ENGINE_UPDATE_TTL_MS: u64 = 6_000;
 
 impl Peers {
-    pub(super) async fn take_notice(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let Some(news) = serve::read_json::<EngineUpdate>(request).await else {
+    pub(super) async fn handle_engine_update(
+        &self,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
+        let Some(update) = serve::read_json::<EngineUpdate>(request).await else {
             return serve::plain(StatusCode::BAD_REQUEST, "send a notice in JSON");
         };
-        self.set_engine_news(news);
+        self.apply_engine_update(update);
         serve::plain(StatusCode::OK, "")
     }
 
-    /// An entry that is about to end itself refuses, so that another is asked.
-    pub(super) async fn take_transfer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    /// Accepts a transfer of leadership. An entry that is itself stopping refuses, so that the
+    /// leader tries another one.
+    pub(super) async fn handle_transfer(
+        &self,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
         let Some(transfer) = serve::read_json::<LeadershipTransfer>(request).await else {
             return serve::plain(StatusCode::BAD_REQUEST, "send a transfer in JSON");
         };
         if *self.shared.is_stopping.borrow() {
             return serve::plain(StatusCode::SERVICE_UNAVAILABLE, "this entry stops too");
         }
-        log::info!(service = &*transfer.service, fence = transfer.fence; "leadership taken over");
-        self.transfer.send_replace(Some(transfer));
+        log::info!(service = &*transfer.service, fence = transfer.fence; "accepted a leadership transfer");
+        self.last_transfer.send_replace(Some(transfer));
         serve::plain(StatusCode::OK, "")
     }
 
-    fn set_engine_news(&self, news: EngineUpdate) {
-        let slow_engines = news.slowdowns.len();
-        let closed_groups = news.groups.iter().filter(|group| !group.is_open).count();
-        log::info!(slow_engines, closed_groups; "a leader's word on the engines");
+    fn apply_engine_update(&self, update: EngineUpdate) {
+        let slow_engines = update.slowdowns.len();
+        let closed_groups = update.groups.iter().filter(|group| !group.is_open).count();
+        log::info!(slow_engines, closed_groups; "applying a leader's engine update");
         let now_ms = self.shared.clock.now_ms();
-        self.engines_heard_ms.store(now_ms.0, Ordering::Relaxed);
-        self.shared.set_engine_news(news);
+        self.engine_update_ms.store(now_ms.0, Ordering::Relaxed);
+        self.shared.set_engine_update(update);
     }
 
-    /// Tells the peers what this process learns of the engines while it leads, and
-    /// forgets what a former leader told.
-    pub(crate) async fn share_engine_news(
+    /// Sends the engine updates of this process to the peers while it leads, and otherwise
+    /// expires the update of a previous leader.
+    pub(crate) async fn publish_engine_updates(
         self: Arc<Self>,
-        mut news: watch::Receiver<Option<EngineUpdate>>,
+        mut updates: watch::Receiver<Option<EngineUpdate>>,
     ) {
         loop {
-            let known = news.borrow_and_update().clone();
-            match known {
-                Some(news) => self.tell_all(news).await,
-                None => self.forget_old_news(),
+            let current = updates.borrow_and_update().clone();
+            match current {
+                Some(update) => self.send_to_all(update).await,
+                None => self.expire_engine_update(),
             }
-            // An end of the sender is the end of the process.
-            let _ = timeout(NOTICE_EVERY, news.changed()).await;
+            // The sender closes only at the end of the process.
+            let _ = timeout(ENGINE_UPDATE_INTERVAL, updates.changed()).await;
         }
     }
 
-    /// Tells all peers at once: one that does not answer must not keep the others from
-    /// hearing that a group has closed.
-    async fn tell_all(&self, news: EngineUpdate) {
-        self.set_engine_news(news.clone());
-        let news = &news;
-        let told = self.candidates().into_iter().map(|address| async move {
-            let call = Call::post(NOTICE_PATH.to_owned(), news, ANSWER_TIMEOUT);
-            if let Err(error) = Connection::new(address).call(call).await {
-                log::debug!(reason:% = error; "a peer does not take a notice");
-            }
-        });
-        stream::iter(told)
-            .buffer_unordered(TOLD_AT_ONCE)
+    /// Sends the update to all peers concurrently: a peer that does not respond must not keep the
+    /// others from learning that a group has closed.
+    async fn send_to_all(&self, update: EngineUpdate) {
+        self.apply_engine_update(update.clone());
+        let update = &update;
+        let sends = self
+            .shuffled_addresses()
+            .into_iter()
+            .map(|address| async move {
+                let call = Call::post(ENGINE_UPDATE_PATH.to_owned(), update, REPLY_TIMEOUT);
+                if let Err(error) = Connection::new(address).call(call).await {
+                    log::debug!(reason:% = error; "a peer did not accept an engine update");
+                }
+            });
+        stream::iter(sends)
+            .buffer_unordered(MAX_CONCURRENT_UPDATES)
             .collect::<()>()
             .await;
     }
 
-    fn forget_old_news(&self) {
-        let heard_ms = MonoMs(self.engines_heard_ms.load(Ordering::Relaxed));
-        let silent_ms = self.shared.clock.now_ms().since(heard_ms);
-        if silent_ms > NEWS_VALID_MS {
-            self.shared.set_engine_news(EngineUpdate::default());
+    fn expire_engine_update(&self) {
+        let received_ms = MonoMs(self.engine_update_ms.load(Ordering::Relaxed));
+        let age_ms = self.shared.clock.now_ms().since(received_ms);
+        if age_ms > ENGINE_UPDATE_TTL_MS {
+            self.shared.set_engine_update(EngineUpdate::default());
         }
     }
 }
@@ -112,13 +122,13 @@
 impl Successors for Peers {
     fn transfer(&self, transfer: LeadershipTransfer) -> BoxFuture<'_, TransferResult> {
         Box::pin(async move {
-            for address in self.candidates() {
-                let call = Call::post(TRANSFER_PATH.to_owned(), &transfer, ANSWER_TIMEOUT);
+            for address in self.shuffled_addresses() {
+                let call = Call::post(TRANSFER_PATH.to_owned(), &transfer, REPLY_TIMEOUT);
                 match Connection::new(address).call(call).await {
                     Ok(_) => return TransferResult::Accepted,
                     Err(CallError::Unknown { .. }) => return TransferResult::Unknown,
                     Err(error @ (CallError::NotSent { .. } | CallError::Status { .. })) => {
-                        log::info!(reason:% = error; "a peer does not take a transfer");
+                        log::info!(reason:% = error; "a peer did not accept a leadership transfer");
                     }
                 }
             }
--- a/crates/entry/src/peers/membership.rs
+++ b/crates/entry/src/peers/membership.rs
@@ -1,6 +1,6 @@
-//! Who shares the targets: what entries tell each other of their demand.
+//! Which entries share the targets, and how much demand each of them reports.
 //!
-//! What follows from it is decided by `berylhook_traffic::ownership`.
+//! `berylhook_traffic::ownership` decides how the targets are divided among them.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,29 +13,29 @@
 use super::Peers;
 
 /// Time between two measurements of the demand.
-const SHARE_EVERY: Duration = Duration::from_secs(1);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an entry tells of its part in sharing the targets. One that takes no
-/// requests, or is of a version that knows no parts, tells nothing.
+/// An entry's report for the division of the targets. An entry that takes no requests sends none,
+/// nor does one of a version without this report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct Sharing {
+pub(super) struct DemandReport {
     data_centre: Arc<str>,
-    /// Requests a second that arrive there; `None` while it cannot tell.
+    /// Rate of requests that arrive at the entry; `None` before the first measurement.
     demand_per_s: Option<f64>,
 }
 
 impl Peers {
-    /// This entry's part in sharing the targets; none once it stops.
-    pub(super) fn own_sharing(&self) -> Option<Sharing> {
-        self.shared.is_ready().then(|| Sharing {
+    /// This entry's report; `None` before it is ready and once it stops.
+    pub(super) fn own_demand_report(&self) -> Option<DemandReport> {
+        self.shared.is_ready().then(|| DemandReport {
             data_centre: Arc::clone(&self.shared.settings().data_centre),
             demand_per_s: *self.demand_per_s.lock().expect("no holder panics"),
         })
     }
 
-    /// The entries that share the targets now: those that have answered and take
-    /// requests. One that missed an answer gets no part until it answers again: its
-    /// callers are on their way to others.
+    /// The entries that share the targets: those that replied last time and take requests. An
+    /// entry that missed a reply owns no targets until it replies again, as its callers are
+    /// already moving to other entries.
     fn membership(&self) -> Membership {
         let own = Member {
             address: self.own_address(),
@@ -55,13 +55,13 @@
         Membership::new(own, others)
     }
 
-    /// Measures this entry's demand and keeps its part of the targets up to date.
-    pub(crate) async fn share_targets(self: Arc<Self>) {
+    /// Measures this entry's demand and keeps the division of the targets up to date.
+    pub(crate) async fn maintain_membership(self: Arc<Self>) {
         let mut meter = DemandMeter::default();
         let mut members = 0;
         loop {
-            sleep(SHARE_EVERY).await;
-            let arrivals = self.shared.arrivals.load(Ordering::Relaxed);
+            sleep(DEMAND_INTERVAL).await;
+            let arrivals = self.shared.arrival_count.load(Ordering::Relaxed);
             *self.demand_per_s.lock().expect("no holder panics") = meter.observe(arrivals);
             let membership = self.membership();
             if membership.len() != members {
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -1,9 +1,8 @@
-//! Requests whose answer comes all at once.
+//! Requests whose response is not a stream.
 //!
-//! The answer is read to its end before any of it goes to the caller, so a
-//! target that breaks off in mid-answer costs a caller nothing if the request
-//! may be repeated, and is told as a failure if not. A broken answer never
-//! looks whole.
+//! The response is read completely before any of it is forwarded. A target that fails in the
+//! middle of a response therefore costs the caller nothing if the request may be repeated, and
+//! causes an error response otherwise. A truncated response is never forwarded as complete.
 
 use std::time::Duration;
 
@@ -15,210 +14,225 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::call::{Answer, CallError, SendResult};
+use crate::call::{CallError, SendResult, TargetResponse};
 use crate::connection_headers::strip_connection_headers;
 use crate::job::Job;
-use crate::queue::Hold;
-use crate::responses::{Body, Own, promises_not_run, whole};
+use crate::queue::SlotGuard;
+use crate::responses::{Body, LocalError, complete_response, implies_not_run};
 
-/// Largest answer held in memory.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Largest response held in memory.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Part of the time left that one target gets if another may be asked after
-/// it. A target that hangs then costs less than half of the caller's time.
-const FIRST_TARGET_SHARE: f64 = 0.4;
+/// Fraction of the remaining time for one target if another one may be tried after it. A target
+/// that hangs then costs less than half of the caller's time.
+const FIRST_ATTEMPT_FRACTION: f64 = 0.4;
 
-/// What one target made of the request.
-enum Attempt {
-    /// A genuine answer, whole.
-    Answered(Box<WholeAnswer>),
-    /// It did not run it.
+/// The result of one attempt at one target.
+enum AttemptResult {
+    /// A genuine and complete response.
+    Responded(Box<BufferedResponse>),
+    /// The target did not run the request.
     NotRun,
-    /// The request may not go to any target.
-    HeldBack(QuarantineRejection),
-    /// The target takes none now, and was not sent it.
+    /// The quarantine rejected the request for all targets.
+    Quarantined(QuarantineRejection),
+    /// The target's admission gate withheld the request; nothing was sent.
     Withheld,
-    /// It may have run it.
+    /// The target may have run the request.
     Unknown,
-    /// It may have run it, and time is over.
-    TooLate,
+    /// The target may have run the request, and the attempt timed out.
+    TimedOut,
 }
 
-struct WholeAnswer {
+struct BufferedResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl WholeAnswer {
-    fn is_failure(&self) -> bool {
+impl BufferedResponse {
+    fn is_server_error(&self) -> bool {
         self.status.is_server_error()
     }
 
     fn into_response(self) -> Response<Body> {
-        whole(self.status, self.headers, self.body)
+        complete_response(self.status, self.headers, self.body)
     }
 }
 
-/// What is known after some attempts.
+/// What the attempts so far have shown.
 #[derive(Default)]
-struct Sofar {
-    tried: Vec<Incarnation>,
-    sends: u32,
+struct AttemptHistory {
+    tried_targets: Vec<Incarnation>,
+    send_count: u32,
     may_have_run: bool,
-    is_too_late: bool,
-    failure: Option<Box<WholeAnswer>>,
+    has_timed_out: bool,
+    error_response: Option<Box<BufferedResponse>>,
 }
 
 /// Serves the request.
-pub(crate) async fn run(job: Job) -> Response<Body> {
-    if let Some(refusal) = job.refuse_if_held() {
+pub(crate) async fn serve(job: Job) -> Response<Body> {
+    if let Some(refusal) = job.refuse_if_quarantined() {
         return refusal;
     }
-    let Ok(mut hold) = job.enter().await else {
-        return job.own(Own::NoPlace);
+    let Ok(mut slot) = job.acquire_slot().await else {
+        return job.end_with_error(LocalError::NoSlot);
     };
-    let mut sofar = Sofar::default();
+    let mut history = AttemptHistory::default();
     let mut clearance = RunClearance::default();
     loop {
         let may_repeat = job.route.retry_policy.allows_second_run();
-        let is_last = sofar.sends + 1 >= job.route.max_targets;
-        let bound = if may_repeat && !is_last {
-            job.left().mul_f64(FIRST_TARGET_SHARE)
+        let is_last = history.send_count + 1 >= job.route.max_targets;
+        let attempt_timeout = if may_repeat && !is_last {
+            job.remaining().mul_f64(FIRST_ATTEMPT_FRACTION)
         } else {
-            job.left()
+            job.remaining()
         };
-        let target = hold.target().clone();
-        sofar.tried.push(target.incarnation.clone());
-        let (attempt, was_sent) = attempt(&job, hold, bound, &mut clearance).await;
-        sofar.sends += u32::from(was_sent);
-        let next_is_second_send = !matches!(attempt, Attempt::Withheld);
+        let target = slot.target().clone();
+        history.tried_targets.push(target.incarnation.clone());
+        let (attempt, was_sent) = attempt(&job, slot, attempt_timeout, &mut clearance).await;
+        history.send_count += u32::from(was_sent);
+        let next_counts_as_retry = !matches!(attempt, AttemptResult::Withheld);
         match attempt {
-            Attempt::Answered(answer) if may_repeat && answer.is_failure() => {
-                sofar.failure = Some(answer);
+            AttemptResult::Responded(response) if may_repeat && response.is_server_error() => {
+                history.error_response = Some(response);
             }
-            Attempt::Answered(answer) => {
-                job.observe_answer();
-                job.finish("answered", Some(answer.status.as_u16()));
-                return answer.into_response();
+            AttemptResult::Responded(response) => {
+                job.observe_first_response();
+                job.finish("answered", Some(response.status.as_u16()));
+                return response.into_response();
             }
-            Attempt::NotRun | Attempt::Withheld => {}
-            Attempt::HeldBack(held) => return give_up_held(&job, sofar, held),
-            Attempt::Unknown => sofar.may_have_run = true,
-            Attempt::TooLate => {
-                sofar.may_have_run = true;
-                sofar.is_too_late = true;
+            AttemptResult::NotRun | AttemptResult::Withheld => {}
+            AttemptResult::Quarantined(rejection) => {
+                return give_up_quarantined(&job, history, rejection);
+            }
+            AttemptResult::Unknown => history.may_have_run = true,
+            AttemptResult::TimedOut => {
+                history.may_have_run = true;
+                history.has_timed_out = true;
             }
         }
-        let has_run = sofar.may_have_run || sofar.failure.is_some();
-        let may_go_on = (may_repeat || !has_run)
-            && sofar.sends < job.route.max_targets
-            && !job.left().is_zero()
-            && (!next_is_second_send || job.queue.affords_repeat());
-        let next = if may_go_on {
-            job.queue.enter_again(&sofar.tried)
+        let has_run = history.may_have_run || history.error_response.is_some();
+        let can_retry = (may_repeat || !has_run)
+            && history.send_count < job.route.max_targets
+            && !job.remaining().is_zero()
+            && (!next_counts_as_retry || job.queue.try_take_retry());
+        let next = if can_retry {
+            job.queue.try_acquire_other_slot(&history.tried_targets)
         } else {
             None
         };
-        hold = match next {
+        slot = match next {
             Some(next) => next,
-            None => return give_up(&job, sofar),
+            None => return give_up(&job, history),
         };
     }
 }
 
-fn give_up(job: &Job, sofar: Sofar) -> Response<Body> {
-    if let Some(answer) = sofar.failure {
-        job.finish("failed-by-target", Some(answer.status.as_u16()));
-        return answer.into_response();
+fn give_up(job: &Job, history: AttemptHistory) -> Response<Body> {
+    if let Some(response) = history.error_response {
+        job.finish("failed-by-target", Some(response.status.as_u16()));
+        return response.into_response();
     }
-    job.own(match sofar.may_have_run {
-        true if sofar.is_too_late && job.left().is_zero() => Own::TooLate,
-        true => Own::AnswerLost,
-        false => Own::NotRun,
+    job.end_with_error(match history.may_have_run {
+        true if history.has_timed_out && job.remaining().is_zero() => LocalError::DeadlineExceeded,
+        true => LocalError::ResponseLost,
+        false => LocalError::NotRun,
     })
 }
 
-/// Ends a request that may not go to any target. One that may have run is not told to
-/// come back.
-fn give_up_held(job: &Job, sofar: Sofar, held: QuarantineRejection) -> Response<Body> {
-    if sofar.may_have_run || sofar.failure.is_some() {
-        give_up(job, sofar)
+/// Ends a request that the quarantine rejected. If it may have run before, the response does not
+/// suggest a retry.
+fn give_up_quarantined(
+    job: &Job,
+    history: AttemptHistory,
+    rejection: QuarantineRejection,
+) -> Response<Body> {
+    if history.may_have_run || history.error_response.is_some() {
+        give_up(job, history)
     } else {
-        job.hold_back(held)
+        job.reject_quarantined(rejection)
     }
 }
 
-/// Sends the request to one target. Tells besides whether it was sent at all.
+/// Sends the request to one target. Also returns whether anything was sent.
 async fn attempt(
     job: &Job,
-    mut hold: Hold,
-    bound: Duration,
+    mut slot: SlotGuard,
+    attempt_timeout: Duration,
     clearance: &mut RunClearance,
-) -> (Attempt, bool) {
-    let target = hold.target().clone();
+) -> (AttemptResult, bool) {
+    let target = slot.target().clone();
     let exchange = async {
-        let answer = job.send(&mut hold, None, clearance).await?;
-        if let Some(load) = answer.head.load {
+        let response = job.send(&mut slot, None, clearance).await?;
+        if let Some(load) = response.head.load {
             job.queue.on_load(&target.incarnation, load);
         }
-        read(answer).await
+        read_response(response).await
     };
-    let (attempt, result) = match timeout(bound, exchange).await {
-        Err(_) if !job.is_at_target() => (
-            Attempt::HeldBack(QuarantineRejection::OUT_OF_TIME),
-            SendResult::HeldBack,
+    let (attempt, result) = match timeout(attempt_timeout, exchange).await {
+        Err(_) if !job.may_be_running() => (
+            AttemptResult::Quarantined(QuarantineRejection::OUT_OF_TIME),
+            SendResult::Quarantined,
+        ),
+        Err(_) => (AttemptResult::TimedOut, SendResult::NoResponse),
+        Ok(Err(CallError::Unknown)) => (AttemptResult::Unknown, SendResult::ResponseLost),
+        Ok(Err(CallError::Quarantined(rejection))) => (
+            AttemptResult::Quarantined(rejection),
+            SendResult::Quarantined,
+        ),
+        Ok(Err(CallError::Withheld(_))) => (AttemptResult::Withheld, SendResult::Withheld),
+        Ok(Err(error)) => (AttemptResult::NotRun, error.into()),
+        Ok(Ok(ReadResult::NotRun(result))) => (AttemptResult::NotRun, result),
+        Ok(Ok(ReadResult::Invalid)) => (AttemptResult::Unknown, SendResult::InvalidResponse),
+        Ok(Ok(ReadResult::Complete(response))) if response.is_server_error() => (
+            AttemptResult::Responded(response),
+            SendResult::ErrorResponse,
         ),
-        Err(_) => (Attempt::TooLate, SendResult::Silent),
-        Ok(Err(CallError::Unknown)) => (Attempt::Unknown, SendResult::AnswerLost),
-        Ok(Err(CallError::HeldBack(held))) => (Attempt::HeldBack(held), SendResult::HeldBack),
-        Ok(Err(CallError::Withheld(_))) => (Attempt::Withheld, SendResult::Withheld),
-        Ok(Err(error)) => (Attempt::NotRun, error.into()),
-        Ok(Ok(Read::NotRun(result))) => (Attempt::NotRun, result),
-        Ok(Ok(Read::Broken)) => (Attempt::Unknown, SendResult::BrokenAnswer),
-        Ok(Ok(Read::Whole(answer))) if answer.is_failure() => {
-            (Attempt::Answered(answer), SendResult::Failed)
+        Ok(Ok(ReadResult::Complete(response))) => {
+            (AttemptResult::Responded(response), SendResult::Completed)
         }
-        Ok(Ok(Read::Whole(answer))) => (Attempt::Answered(answer), SendResult::Answered),
     };
     job.log_send(&target, result);
-    hold.close(evidence(result));
+    slot.close(health_sample(result));
     (attempt, result.was_sent())
 }
 
-/// What the result says of the target. A failure is common where requests are at
-/// fault themselves, so it says little of it.
-fn evidence(result: SendResult) -> Option<HealthSample> {
+/// What the result says about the target's health. An error response counts as healthy, as most
+/// of them are caused by the request.
+fn health_sample(result: SendResult) -> Option<HealthSample> {
     match result {
-        SendResult::HeldBack | SendResult::Withheld | SendResult::AsksForRest => None,
-        SendResult::Answered | SendResult::Failed => Some(HealthSample::Success),
+        SendResult::Quarantined | SendResult::Withheld | SendResult::BackoffRequested => None,
+        SendResult::Completed | SendResult::ErrorResponse => Some(HealthSample::Success),
         _ => Some(HealthSample::Failure),
     }
 }
 
-enum Read {
-    Whole(Box<WholeAnswer>),
+enum ReadResult {
+    Complete(Box<BufferedResponse>),
     NotRun(SendResult),
-    Broken,
+    Invalid,
 }
 
-async fn read(answer: Answer) -> Result<Read, CallError> {
-    let status = answer.response.status();
-    if answer.head.is_not_run {
-        return Ok(Read::NotRun(SendResult::of_refusal(status, &answer.head)));
+async fn read_response(response: TargetResponse) -> Result<ReadResult, CallError> {
+    let status = response.http.status();
+    if response.head.is_not_run {
+        return Ok(ReadResult::NotRun(SendResult::from_not_run(
+            status,
+            &response.head,
+        )));
     }
-    if !answer.head.is_sealed || answer.head.is_encoded || promises_not_run(status) {
-        return Ok(Read::Broken);
+    if !response.head.is_sealed || response.head.is_encoded || implies_not_run(status) {
+        return Ok(ReadResult::Invalid);
     }
-    let (parts, body) = answer.response.into_parts();
-    let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
+    let (parts, body) = response.http.into_parts();
+    let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return Ok(Read::Broken),
+        Err(_) => return Ok(ReadResult::Invalid),
     };
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
-    drop(answer.link);
-    Ok(Read::Whole(Box::new(WholeAnswer {
+    drop(response.connection);
+    Ok(ReadResult::Complete(Box::new(BufferedResponse {
         status,
         headers,
         body,
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! What the quarantine of requests under which targets end needs of this process: the way
-//! to its peers and to the store, its metrics, and the names of its targets.
+//! Connects the quarantine of requests under which targets exit to this process: its peers, the
+//! store, its metrics and the names of its targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::peers::Peers;
 use crate::shared::Shared;
 
-/// Where entries are told news.
-pub(crate) const NEWS_PATH: &str = "/quarantine";
+/// HTTP path of quarantine updates.
+pub(crate) const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Time for a peer's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a peer's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The name of an incarnation, the same at all entries.
-fn target_name(of: &Incarnation) -> Arc<str> {
-    match of.started_unix_ms {
-        None => Arc::clone(&of.id),
-        Some(started_unix_ms) => format!("{}@{started_unix_ms}", of.id).into(),
+fn target_name(incarnation: &Incarnation) -> Arc<str> {
+    match incarnation.started_unix_ms {
+        None => Arc::clone(&incarnation.id),
+        Some(started_unix_ms) => format!("{}@{started_unix_ms}", incarnation.id).into(),
     }
 }
 
-/// Where a request runs.
-pub(crate) fn place(target: &Target) -> TargetIncarnation {
+/// The target as the quarantine identifies it.
+pub(crate) fn target_incarnation(target: &Target) -> TargetIncarnation {
     TargetIncarnation {
         target: target_name(&target.incarnation),
         address: target.address,
@@ -43,13 +43,13 @@
     }
 }
 
-/// The store and the peers of this entry.
-pub(crate) struct EntrySurroundings {
+/// Gives the quarantine access to the store and the peers of this entry.
+pub(crate) struct EntryClusterAccess {
     pub(crate) shared: Arc<Shared>,
     pub(crate) peers: Arc<Peers>,
 }
 
-impl ClusterAccess for EntrySurroundings {
+impl ClusterAccess for EntryClusterAccess {
     fn name(&self) -> Arc<str> {
         Arc::clone(&self.shared.settings().name)
     }
@@ -60,35 +60,35 @@
     }
 
     fn peers(&self) -> Vec<SocketAddr> {
-        self.peers.candidates()
+        self.peers.shuffled_addresses()
     }
 
-    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_> {
+    fn send_update(&self, peer: SocketAddr, update: QuarantineUpdate) -> UpdateReply<'_> {
         Box::pin(async move {
-            let call = Call::post_compact(NEWS_PATH.to_owned(), &news, ANSWER_TIMEOUT);
-            let told = Connection::new(peer).compact(call).await;
-            told.map_err(|error| error.to_string())
+            let call = Call::post_compact(QUARANTINE_PATH.to_owned(), &update, REPLY_TIMEOUT);
+            let reply = Connection::new(peer).compact(call).await;
+            reply.map_err(|error| error.to_string())
         })
     }
 }
 
 impl QuarantineMetrics for Metrics {
-    fn set_request_counts(&self, suspected: usize, held: usize) {
-        self.set_quarantine(suspected, held);
+    fn set_request_counts(&self, suspected: usize, quarantined: usize) {
+        self.set_quarantine(suspected, quarantined);
     }
 
     fn add_requests_at_exit(&self, requests: usize) {
-        self.ended_under_requests.inc_by(requests as u64);
+        self.target_exit_requests.inc_by(requests as u64);
     }
 }
 
-/// Takes a peer's news.
-pub(crate) async fn take_news(
-    keeper: &Replicator,
+/// Handles a quarantine update from a peer.
+pub(crate) async fn handle_update(
+    replicator: &Replicator,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     match serve::read_compact::<QuarantineUpdate>(request).await {
-        Some(news) => serve::compact(&keeper.apply_update(news)),
+        Some(update) => serve::compact(&replicator.apply_update(update)),
         None => {
             let text = "send news in the compact form, as an entry of this version does";
             serve::plain(StatusCode::BAD_REQUEST, text)
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -1,4 +1,4 @@
-//! One service's dispatcher, shared by the requests that wait for it.
+//! The queue of one service: its dispatcher, shared by all its requests.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -20,11 +20,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Second sends for one hundred first ones.
+/// Retries allowed per hundred first sends.
 ///
-/// The platform allows twenty in a hundred over all entries. Entries do not
-/// talk about it; each keeps below its share, and the rest is for the reserve
-/// that each entry's budget starts with.
+/// The platform allows twenty per hundred over all entries. Entries do not coordinate their
+/// retries, so each stays below its share; the remainder covers the initial reserve of each
+/// entry's budget.
 const RETRY_PERCENT: u32 = 15;
 
 /// A monotonic clock that starts with the process.
@@ -44,99 +44,100 @@
 
 struct State {
     dispatcher: Dispatcher,
-    waiters: IndexMap<Ticket, oneshot::Sender<Hold>>,
-    retries: RetryBudget,
-    tickets: u64,
-    pause_goal_ms: f64,
+    waiters: IndexMap<Ticket, oneshot::Sender<SlotGuard>>,
+    retry_budget: RetryBudget,
+    last_ticket: u64,
+    gap_objective_ms: f64,
 }
 
 /// A service's waiting and running requests.
 pub(crate) struct ServiceQueue {
     service: Arc<str>,
-    /// Whether its targets run in groups.
-    stops_group: bool,
+    /// Whether the service's targets run in groups, so that the exit of one stops its whole
+    /// group.
+    exit_stops_group: bool,
     clock: Clock,
     state: Mutex<State>,
 }
 
-/// How long a request waits for a place.
+/// How long a request waits for a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
-    /// For an answer in time.
-    pub(crate) usual: Duration,
-    /// For a late one, as long as it can be expected.
+pub(crate) struct SlotWaitLimits {
+    /// If the response can still be on time.
+    pub(crate) on_time: Duration,
+    /// If a late response can be expected.
     pub(crate) late: Duration,
 }
 
-/// Time between two looks of a waiting request at whether its service is up.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Time between two checks of a waiting request on the state of its service.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a request was not placed.
+/// Why a request got no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Refused {
-    /// It would not have been placed in time.
-    NoPlace,
-    /// It waited and was not placed.
-    Waited,
+pub(crate) enum SlotError {
+    /// No slot was expected to become free in time.
+    Overloaded,
+    /// No slot became free while the request waited.
+    TimedOut,
 }
 
-/// A place at a target, until the request there ends.
-pub(crate) struct Hold {
+/// A reserved slot at a target, released when it is dropped.
+pub(crate) struct SlotGuard {
     queue: Arc<ServiceQueue>,
     target: Target,
     is_open: bool,
-    /// Whether its request was admitted to the target, or turned away there.
-    is_settled: bool,
+    /// Whether the request has passed the target's admission gate, or was withheld there.
+    is_admission_decided: bool,
 }
 
-impl Hold {
+impl SlotGuard {
     pub(crate) fn target(&self) -> &Target {
         &self.target
     }
 
-    /// Asks whether the request may be sent now. This is the last question before it is.
+    /// Checks the target's admission gate. This is the last check before the request is sent.
     ///
     /// # Errors
     ///
-    /// If the target takes none now: it has said so since the place was given.
+    /// If the target has signalled since the slot was reserved that it takes no requests now.
     pub(crate) fn admit(&mut self) -> Result<(), WithheldReason> {
-        self.is_settled = true;
+        self.is_admission_decided = true;
         self.queue.admit(&self.target.incarnation)
     }
 
-    /// Gives the place back, with what the request showed of the target.
-    pub(crate) fn close(mut self, evidence: Option<HealthSample>) {
+    /// Releases the slot, with the run's evidence on the target's health.
+    pub(crate) fn close(mut self, health_sample: Option<HealthSample>) {
         self.is_open = false;
-        self.give_back(evidence);
+        self.release(health_sample);
     }
 }
 
-impl Hold {
-    fn give_back(&self, evidence: Option<HealthSample>) {
-        if !self.is_settled {
-            self.queue.leave_unsent(&self.target.incarnation);
+impl SlotGuard {
+    fn release(&self, health_sample: Option<HealthSample>) {
+        if !self.is_admission_decided {
+            self.queue.cancel_unsent(&self.target.incarnation);
         }
-        self.queue.release(&self.target.incarnation, evidence);
+        self.queue.release(&self.target.incarnation, health_sample);
     }
 }
 
-impl Drop for Hold {
-    // A caller that leaves drops its request anywhere; the place must not be
-    // lost with it, or the service shrinks for good.
+impl Drop for SlotGuard {
+    // A disconnected caller drops its request at any await point. A slot that leaked there would
+    // reduce the capacity of the service until the process restarts.
     fn drop(&mut self) {
         if self.is_open {
-            self.give_back(None);
+            self.release(None);
         }
     }
 }
 
-/// A request that waits; leaving the queue is not forgotten if it is dropped.
-struct Waiter<'a> {
+/// Removes a waiting request from the queue when it is dropped.
+struct WaiterGuard<'a> {
     queue: &'a ServiceQueue,
     ticket: Ticket,
 }
 
-impl Drop for Waiter<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.queue.lock();
         state.dispatcher.cancel(self.ticket);
@@ -155,14 +156,14 @@
         dispatcher.on_process_start(clock.now_ms());
         Self {
             service,
-            stops_group: engine.is_some_and(|engine| engine.experts.is_some()),
+            exit_stops_group: engine.is_some_and(|engine| engine.experts.is_some()),
             clock,
             state: Mutex::new(State {
                 dispatcher,
                 waiters: IndexMap::new(),
-                retries: RetryBudget::new(RETRY_PERCENT),
-                tickets: 0,
-                pause_goal_ms: f64::INFINITY,
+                retry_budget: RetryBudget::new(RETRY_PERCENT),
+                last_ticket: 0,
+                gap_objective_ms: f64::INFINITY,
             }),
         }
     }
@@ -176,355 +177,368 @@
         &self.service
     }
 
-    /// Whether the end of one of its targets stops a whole group.
-    pub(crate) fn stops_group(&self) -> bool {
-        self.stops_group
+    /// Whether the exit of one of the service's targets stops a whole group.
+    pub(crate) fn exit_stops_group(&self) -> bool {
+        self.exit_stops_group
     }
 
     /// Whether the target may get requests now.
-    pub(crate) fn has_target(&self, of: &Incarnation) -> bool {
-        self.lock().dispatcher.has_target(of)
+    pub(crate) fn has_target(&self, incarnation: &Incarnation) -> bool {
+        self.lock().dispatcher.has_target(incarnation)
     }
 
-    /// Takes over the targets that may get requests.
+    /// Replaces the targets that may get requests.
     pub(crate) fn set_targets<'a>(self: &Arc<Self>, targets: impl Iterator<Item = &'a Target>) {
         self.lock().dispatcher.set_targets(targets);
-        self.place_waiting();
+        self.dispatch_waiting();
     }
 
-    /// Takes over who shares the targets.
+    /// Replaces the entries that share the targets.
     pub(crate) fn set_membership(self: &Arc<Self>, membership: Membership) {
         self.lock().dispatcher.set_membership(membership);
-        self.place_waiting();
+        self.dispatch_waiting();
     }
 
-    /// Requests that run, that wait, and targets that may get more.
+    /// The numbers of running requests, waiting requests, and targets that may get more.
     pub(crate) fn counts(&self) -> (usize, usize, usize) {
         self.lock().dispatcher.counts()
     }
 
-    /// The bound on what runs, if there is one.
-    pub(crate) fn bound(&self) -> Option<f64> {
+    /// The concurrency limit, if there is one.
+    pub(crate) fn concurrency_limit(&self) -> Option<f64> {
         self.lock().dispatcher.concurrency_limit()
     }
 
-    /// Takes over a leader's word on the targets.
-    pub(crate) fn set_engine_news(self: &Arc<Self>, news: &EngineUpdate) {
+    /// Applies a leader's update on the engines.
+    pub(crate) fn set_engine_update(self: &Arc<Self>, update: &EngineUpdate) {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.set_engine_update(news, now_ms);
-        self.place_waiting();
+        self.lock().dispatcher.set_engine_update(update, now_ms);
+        self.dispatch_waiting();
     }
 
-    /// Waits up to `patience` for a place.
-    pub(crate) async fn enter(
+    /// Waits for a slot within `limits`.
+    pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         urgency: u32,
-        patience: Patience,
-    ) -> Result<Hold, Refused> {
-        let patience_ms = whole_ms(patience.usual);
-        let (ticket, placed) = {
+        limits: SlotWaitLimits,
+    ) -> Result<SlotGuard, SlotError> {
+        let on_time_ms = duration_ms(limits.on_time);
+        let (ticket, receiver) = {
             let now_ms = self.clock.now_ms();
             let mut state = self.lock();
-            state.tickets += 1;
-            let ticket = Ticket(state.tickets);
+            state.last_ticket += 1;
+            let ticket = Ticket(state.last_ticket);
             let dispatcher = &mut state.dispatcher;
-            let wish = PlacementRequest {
+            let placement = PlacementRequest {
                 urgency,
-                wait_limit_ms: patience_ms,
-                late_wait_limit_ms: whole_ms(patience.late),
-                on_time_until_ms: now_ms + patience_ms,
+                wait_limit_ms: on_time_ms,
+                late_wait_limit_ms: duration_ms(limits.late),
+                on_time_until_ms: now_ms + on_time_ms,
             };
-            let arrival = dispatcher.submit(ticket, wish, rand::random(), now_ms);
-            let stopped = dispatcher.take_stalled_groups();
-            self.log_stopped(&stopped);
-            match arrival {
-                SubmitOutcome::Placed(target) => return Ok(self.hold(target)),
-                SubmitOutcome::Refused => return Err(Refused::NoPlace),
+            let outcome = dispatcher.submit(ticket, placement, rand::random(), now_ms);
+            let stalled = dispatcher.take_stalled_groups();
+            self.log_stalled(&stalled);
+            match outcome {
+                SubmitOutcome::Placed(target) => return Ok(self.slot_guard(target)),
+                SubmitOutcome::Refused => return Err(SlotError::Overloaded),
                 SubmitOutcome::Queued => {}
             }
-            let (sender, placed) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             state.waiters.insert(ticket, sender);
-            (ticket, placed)
+            (ticket, receiver)
         };
-        let waiter = Waiter {
+        let waiter = WaiterGuard {
             queue: self,
             ticket,
         };
-        let placed = self.wait(placed, patience).await;
+        let slot = self.wait_for_slot(receiver, limits).await;
         drop(waiter);
-        placed.ok_or(Refused::Waited)
+        slot.ok_or(SlotError::TimedOut)
     }
 
-    /// Waits for a place, longer if an answer can be expected, although late: a caller
-    /// sent away now would come back to find the service as it is.
-    async fn wait(
+    /// Waits for a slot. The wait is longer if a response can be expected, although a late one: a
+    /// caller rejected now would return to a service in the same state.
+    async fn wait_for_slot(
         self: &Arc<Self>,
-        mut placed: oneshot::Receiver<Hold>,
-        patience: Patience,
-    ) -> Option<Hold> {
-        let began = Instant::now();
-        let late_ms = whole_ms(patience.late);
+        mut receiver: oneshot::Receiver<SlotGuard>,
+        limits: SlotWaitLimits,
+    ) -> Option<SlotGuard> {
+        let started = Instant::now();
+        let late_ms = duration_ms(limits.late);
         loop {
             let now_ms = self.clock.now_ms();
-            let (serves_late, all_rest_ms) = {
+            let (can_serve_late, min_backoff_left_ms) = {
                 let dispatcher = &mut self.lock().dispatcher;
-                let serves_late = dispatcher.can_serve_late(late_ms, now_ms);
-                (serves_late, dispatcher.min_backoff_left_ms(now_ms))
+                let can_serve_late = dispatcher.can_serve_late(late_ms, now_ms);
+                (can_serve_late, dispatcher.min_backoff_left_ms(now_ms))
             };
-            let whole = if serves_late {
-                patience.late
+            let limit = if can_serve_late {
+                limits.late
             } else {
-                patience.usual
+                limits.on_time
             };
-            let left = whole.checked_sub(began.elapsed())?;
-            if all_rest_ms > whole_ms(left) {
+            let remaining = limit.checked_sub(started.elapsed())?;
+            if min_backoff_left_ms > duration_ms(remaining) {
                 return None;
             }
-            match timeout(left.min(LOOK_EVERY), &mut placed).await {
-                Ok(placed) => return placed.ok(),
-                Err(_) => self.place_waiting(),
+            match timeout(remaining.min(POLL_INTERVAL), &mut receiver).await {
+                Ok(slot) => return slot.ok(),
+                Err(_) => self.dispatch_waiting(),
             }
         }
     }
 
-    /// A target refused a request.
-    pub(crate) fn on_refused(&self, by: &Incarnation) {
+    /// Records that a target refused a request.
+    pub(crate) fn on_refused(&self, incarnation: &Incarnation) {
         let now_ms = self.clock.now_ms();
-        let is_down = self.lock().dispatcher.on_refused(by, now_ms);
+        let is_down = self.lock().dispatcher.on_refused(incarnation, now_ms);
         if is_down {
             log::info!(
                 service = &*self.service,
-                target = &*by.id;
-                "a group refuses requests: its targets get one now and then"
+                target = &*incarnation.id;
+                "a group refuses requests; its targets get only occasional trial requests"
             );
         }
     }
 
-    /// A target accepted a request.
-    pub(crate) fn on_accepted(self: &Arc<Self>, by: &Incarnation) {
+    /// Records that a target accepted a request.
+    pub(crate) fn on_accepted(self: &Arc<Self>, incarnation: &Incarnation) {
         let now_ms = self.clock.now_ms();
-        let is_back = self.lock().dispatcher.on_accepted(by, now_ms);
-        if is_back {
+        let has_recovered = self.lock().dispatcher.on_accepted(incarnation, now_ms);
+        if has_recovered {
             log::info!(
                 service = &*self.service,
-                target = &*by.id;
+                target = &*incarnation.id;
                 "a group accepts requests again"
             );
-            self.place_waiting();
+            self.dispatch_waiting();
         }
     }
 
-    /// Whether the service refuses everything at present.
+    /// Whether the service refuses all requests at present.
     pub(crate) fn is_down(&self) -> bool {
         self.lock().dispatcher.is_down()
     }
 
-    /// A request has come that may need more than one send.
-    pub(crate) fn note_request(&self) {
-        self.lock().retries.on_attempt();
+    /// Records a new request for the retry budget.
+    pub(crate) fn record_request(&self) {
+        self.lock().retry_budget.on_attempt();
     }
 
-    /// Whether the budget affords one more send of a request.
-    pub(crate) fn affords_repeat(&self) -> bool {
-        self.lock().retries.try_retry()
+    /// Takes one retry from the budget; returns whether it had one.
+    pub(crate) fn try_take_retry(&self) -> bool {
+        self.lock().retry_budget.try_retry()
     }
 
-    /// A place at one more target for a request that was sent before, if one
-    /// is free at once.
-    pub(crate) fn enter_again(self: &Arc<Self>, exclude: &[Incarnation]) -> Option<Hold> {
+    /// Reserves a slot at another target for a request that was sent before, if one is free now.
+    pub(crate) fn try_acquire_other_slot(
+        self: &Arc<Self>,
+        exclude: &[Incarnation],
+    ) -> Option<SlotGuard> {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
         let target = state
             .dispatcher
             .place_additional(exclude, rand::random(), now_ms)?;
-        Some(self.hold(target))
+        Some(self.slot_guard(target))
     }
 
-    fn hold(self: &Arc<Self>, target: Target) -> Hold {
-        Hold {
+    fn slot_guard(self: &Arc<Self>, target: Target) -> SlotGuard {
+        SlotGuard {
             queue: Arc::clone(self),
             target,
             is_open: true,
-            is_settled: false,
+            is_admission_decided: false,
         }
     }
 
-    fn release(self: &Arc<Self>, of: &Incarnation, evidence: Option<HealthSample>) {
+    fn release(self: &Arc<Self>, incarnation: &Incarnation, health_sample: Option<HealthSample>) {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.release(of, evidence, now_ms);
-        self.place_waiting();
+        self.lock()
+            .dispatcher
+            .release(incarnation, health_sample, now_ms);
+        self.dispatch_waiting();
     }
 
-    /// Gives free places to those who wait.
+    /// Assigns free slots to waiting requests.
     ///
-    /// A waiter that leaves in this moment drops its hold, which gives the
-    /// place to the next.
-    fn place_waiting(self: &Arc<Self>) {
+    /// A waiter that is dropped at the same time drops the slot sent to it, which releases the
+    /// slot to the next waiter.
+    fn dispatch_waiting(self: &Arc<Self>) {
         while let Some((waiter, target)) = self.next_waiter() {
-            let hold = self.hold(target);
+            let slot = self.slot_guard(target);
             match waiter {
-                Some(waiter) => drop(waiter.send(hold)),
-                None => drop(hold),
+                Some(waiter) => drop(waiter.send(slot)),
+                None => drop(slot),
             }
         }
     }
 
-    fn next_waiter(&self) -> Option<(Option<oneshot::Sender<Hold>>, Target)> {
+    fn next_waiter(&self) -> Option<(Option<oneshot::Sender<SlotGuard>>, Target)> {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
         let (ticket, target) = state.dispatcher.place_next(rand::random(), now_ms)?;
         Some((state.waiters.swap_remove(&ticket), target))
     }
 
-    /// A stream got its first event.
+    /// Records the first event of a stream.
     pub(crate) fn on_first_event(&self, first: FirstEvent) {
         self.lock().dispatcher.on_first_event(first);
     }
 
-    /// A target told its load.
-    pub(crate) fn on_load(&self, of: &Incarnation, load: Load) {
+    /// Records the load that a target reported.
+    pub(crate) fn on_load(&self, incarnation: &Incarnation, load: Load) {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.on_load(of, load, now_ms);
+        self.lock().dispatcher.on_load(incarnation, load, now_ms);
     }
 
-    /// A target said in an answer how much it takes; returns what is new.
-    pub(crate) fn on_signal(&self, of: &Incarnation, signal: BackpressureSignal) -> SignalUpdate {
+    /// Applies the back-pressure signals of a target's response; returns what has changed.
+    pub(crate) fn on_signal(
+        &self,
+        incarnation: &Incarnation,
+        signal: BackpressureSignal,
+    ) -> SignalUpdate {
         let now_ms = self.clock.now_ms();
         let dispatcher = &mut self.lock().dispatcher;
-        dispatcher.on_signal(of, signal, rand::random(), now_ms)
+        dispatcher.on_signal(incarnation, signal, rand::random(), now_ms)
     }
 
-    /// How many targets name a limit.
-    pub(crate) fn limited(&self) -> usize {
+    /// The number of targets with a request limit.
+    pub(crate) fn limited_target_count(&self) -> usize {
         self.lock().dispatcher.limited_target_count()
     }
 
-    /// A target accepted a request; returns whether it was on trial after a rest until now.
-    pub(crate) fn on_rest_over(self: &Arc<Self>, of: &Incarnation) -> bool {
+    /// Records that a target accepted a request; returns whether this ended its trial after a
+    /// backoff.
+    pub(crate) fn end_backoff_trial(self: &Arc<Self>, incarnation: &Incarnation) -> bool {
         let now_ms = self.clock.now_ms();
-        let is_over = self.lock().dispatcher.end_backoff_trial(of, now_ms);
-        if is_over {
-            self.place_waiting();
+        let has_ended_trial = self
+            .lock()
+            .dispatcher
+            .end_backoff_trial(incarnation, now_ms);
+        if has_ended_trial {
+            self.dispatch_waiting();
         }
-        is_over
+        has_ended_trial
     }
 
-    /// How much longer a target wants nothing from this entry.
-    pub(crate) fn rest_left_ms(&self, of: &Incarnation) -> u64 {
+    /// How much longer the target's backoff lasts for this entry.
+    pub(crate) fn backoff_left_ms(&self, incarnation: &Incarnation) -> u64 {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.backoff_left_ms(of, now_ms)
+        self.lock().dispatcher.backoff_left_ms(incarnation, now_ms)
     }
 
-    fn admit(&self, of: &Incarnation) -> Result<(), WithheldReason> {
+    fn admit(&self, incarnation: &Incarnation) -> Result<(), WithheldReason> {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.admit(of, now_ms)
+        self.lock().dispatcher.admit(incarnation, now_ms)
     }
 
-    fn leave_unsent(&self, of: &Incarnation) {
-        self.lock().dispatcher.cancel_unsent(of);
+    fn cancel_unsent(&self, incarnation: &Incarnation) {
+        self.lock().dispatcher.cancel_unsent(incarnation);
     }
 
-    /// A peer told of a target's limit; returns what is new.
+    /// Applies a peer's report of a target's limit; returns the change.
     pub(crate) fn on_limit_report(
         self: &Arc<Self>,
-        of: &Incarnation,
+        incarnation: &Incarnation,
         limit: Option<RequestRate>,
-        heard_ms: MonoMs,
+        received_ms: MonoMs,
     ) -> Option<LimitChange> {
         let change = {
             let dispatcher = &mut self.lock().dispatcher;
-            dispatcher.on_limit_report(of, limit, heard_ms)
+            dispatcher.on_limit_report(incarnation, limit, received_ms)
         };
         if change.is_some() {
-            self.place_waiting();
+            self.dispatch_waiting();
         }
         change
     }
 
-    /// Permits under targets' limits have come.
+    /// Applies permits granted under targets' limits.
     pub(crate) fn on_permits(
         self: &Arc<Self>,
         grants: &[PermitGrant<Incarnation>],
-        asked_ms: MonoMs,
+        requested_ms: MonoMs,
     ) {
         let mut state = self.lock();
         for grant in grants {
-            let until_ms = asked_ms + grant.valid_ms;
+            let until_ms = requested_ms + grant.valid_ms;
             state
                 .dispatcher
                 .on_permits(&grant.target, grant.permits, until_ms);
         }
         drop(state);
-        self.place_waiting();
+        self.dispatch_waiting();
     }
 
-    /// Requests that did not go to the target chosen first, by why, since this was last
-    /// called.
-    pub(crate) fn take_kept_back(&self) -> IndexMap<WithheldReason, u32> {
+    /// Takes the numbers of requests that were withheld from the target chosen first, by reason,
+    /// since the last call.
+    pub(crate) fn take_withheld_counts(&self) -> IndexMap<WithheldReason, u32> {
         self.lock().dispatcher.take_withheld_counts()
     }
 
-    /// What peers should know of the targets that name a limit, or did of late.
+    /// The state of each target that has a request limit, or had one recently, for peers.
     pub(crate) fn limit_states(&self) -> Vec<(Incarnation, LimitState)> {
         let now_ms = self.clock.now_ms();
         self.lock().dispatcher.limit_states(now_ms)
     }
 
-    /// The same, and counts the demand for permits anew from here.
+    /// The same as [`Self::limit_states`], and restarts the count of the demand for permits.
     pub(crate) fn take_limit_states(&self) -> Vec<(Incarnation, LimitState)> {
         let now_ms = self.clock.now_ms();
         self.lock().dispatcher.take_limit_states(now_ms)
     }
 
-    /// When a target takes a request again, by what they say; `None` if one does now.
-    pub(crate) fn takes_again_ms(&self) -> Option<u64> {
+    /// Time until a target takes requests again, according to the targets' signals; `None` if one
+    /// takes them now, or all are about to leave.
+    pub(crate) fn until_accepting_ms(&self) -> Option<u64> {
         let now_ms = self.clock.now_ms();
         self.lock().dispatcher.until_accepting_ms(now_ms)
     }
 
-    /// The limit that a target names.
-    pub(crate) fn limit(&self, of: &Incarnation) -> Option<RequestRate> {
-        self.lock().dispatcher.rate_limit(of)
+    /// The request limit of a target.
+    pub(crate) fn rate_limit(&self, incarnation: &Incarnation) -> Option<RequestRate> {
+        self.lock().dispatcher.rate_limit(incarnation)
     }
 
-    /// A stream from the target got an event.
-    pub(crate) fn on_progress(self: &Arc<Self>, of: &Incarnation) {
+    /// Records an event of a stream from the target.
+    pub(crate) fn on_stream_event(self: &Arc<Self>, incarnation: &Incarnation) {
         let now_ms = self.clock.now_ms();
-        let goes_on = self.lock().dispatcher.on_stream_event(of, now_ms);
-        if goes_on {
-            log::info!(service = &*self.service, target = &*of.id; "a group goes on");
-            self.place_waiting();
+        let has_resumed = self.lock().dispatcher.on_stream_event(incarnation, now_ms);
+        if has_resumed {
+            log::info!(service = &*self.service, target = &*incarnation.id; "a stalled group has resumed");
+            self.dispatch_waiting();
         }
     }
 
-    fn log_stopped(&self, stopped: &[Option<Arc<str>>]) {
-        for group in stopped {
+    fn log_stalled(&self, stalled: &[Option<Arc<str>>]) {
+        for group in stalled {
             let group = group.as_deref().unwrap_or("-");
-            log::warn!(service = &*self.service, group; "a group stands still");
+            log::warn!(service = &*self.service, group; "a group has stalled");
         }
     }
 
-    /// Whether nothing comes from the target while others of the service bring
-    /// events.
-    pub(crate) fn is_silent(&self, of: &Incarnation) -> bool {
+    /// Whether nothing arrives from the target while other targets of the service deliver events.
+    pub(crate) fn is_silent(&self, incarnation: &Incarnation) -> bool {
         let now_ms = self.clock.now_ms();
-        self.lock().dispatcher.is_silent(of, now_ms)
+        self.lock().dispatcher.is_silent(incarnation, now_ms)
     }
 
-    /// A stream of a route with that pause goal got an event after `gap_ms`.
-    pub(crate) fn on_gap(self: &Arc<Self>, gap_ms: f64, pause_goal_ms: f64) {
+    /// Records an event that came `gap_ms` after the previous one, on a route with that objective
+    /// for the gap.
+    pub(crate) fn on_event_gap(self: &Arc<Self>, gap_ms: f64, objective_ms: f64) {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
-        // The strictest goal among the routes in use counts for all: they
-        // share the passes.
-        state.pause_goal_ms = state.pause_goal_ms.min(pause_goal_ms);
-        let goal_ms = state.pause_goal_ms;
-        state.dispatcher.on_event_gap(gap_ms, goal_ms, now_ms);
+        // The strictest objective of the routes in use applies to all, as they share the forward
+        // passes.
+        state.gap_objective_ms = state.gap_objective_ms.min(objective_ms);
+        let objective_ms = state.gap_objective_ms;
+        state.dispatcher.on_event_gap(gap_ms, objective_ms, now_ms);
         drop(state);
-        self.place_waiting();
+        self.dispatch_waiting();
     }
 }
 
-fn whole_ms(time: Duration) -> u64 {
+fn duration_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/readiness.rs
+++ b/crates/entry/src/readiness.rs
@@ -1,18 +1,18 @@
 //! Whether callers may be sent to this entry.
 
-/// What an entry needs before it can serve callers.
+/// A condition that an entry must meet before it serves callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
-    /// Connections of callers are taken.
+    /// The entry accepts connections of callers.
     ListenerOpen,
     /// A configuration is in force.
     Configuration,
-    /// It is known which requests are held back.
+    /// The entry knows which requests are quarantined.
     QuarantineLoaded,
 }
 
 impl Requirement {
-    /// All of them.
+    /// All conditions.
     pub const ALL: [Self; 3] = [
         Self::ListenerOpen,
         Self::Configuration,
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request: admitted by the configuration, read whole, and sent on.
+//! Admission of a caller's request: the configuration selects its service, and its body is read
+//! completely.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -15,29 +16,29 @@
 use tokio::time::timeout;
 
 use crate::connection_headers::strip_connection_headers;
-use crate::job::{Job, Record, text};
-use crate::responses::{Body, Own, own};
+use crate::job::{Job, RequestRecord, attempt_id_text};
+use crate::responses::{Body, LocalError, local_error_response};
 use crate::shared::Shared;
 use crate::{plain, streaming};
 
-/// Time for a request's body where the configuration does not say.
+/// Timeout for reading a request body; the configuration has no setting for it.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers a caller's request.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+/// Handles a caller's request.
+pub(crate) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
     let head = RequestHead::read(request.headers());
     let attempt_id = head.attempt_id.clone();
 
     match admit(&shared, request, head, arrived).await {
-        Ok(job) => run(job).await,
+        Ok(job) => serve(job).await,
         Err(refusal) => {
-            log_own(attempt_id.as_ref(), &refusal);
-            shared.metrics.count_request(refusal.why.name());
-            own(
-                refusal.why,
+            log_refusal(attempt_id.as_ref(), &refusal);
+            shared.metrics.count_request(refusal.reason.name());
+            local_error_response(
+                refusal.reason,
                 attempt_id.as_ref(),
-                refusal.left,
+                refusal.remaining,
                 RetryReason::Busy,
             )
         }
@@ -45,17 +46,17 @@
 }
 
 struct Refusal {
-    why: Own,
-    version: u64,
-    left: Duration,
+    reason: LocalError,
+    configuration_version: u64,
+    remaining: Duration,
 }
 
-fn log_own(attempt_id: Option<&HeaderValue>, refusal: &Refusal) {
+fn log_refusal(attempt_id: Option<&HeaderValue>, refusal: &Refusal) {
     log::info!(
-        request = text(attempt_id),
-        outcome = refusal.why.name(),
-        configuration = refusal.version;
-        "not accepted"
+        request = attempt_id_text(attempt_id),
+        outcome = refusal.reason.name(),
+        configuration = refusal.configuration_version;
+        "request not admitted"
     );
 }
 
@@ -65,17 +66,21 @@
     head: RequestHead,
     arrived: Instant,
 ) -> Result<Job, Refusal> {
-    let client_ms = head.deadline_ms;
-    let left = Duration::from_millis(client_ms.unwrap_or(1_000));
+    let caller_timeout_ms = head.deadline_ms;
+    let remaining = Duration::from_millis(caller_timeout_ms.unwrap_or(1_000));
     let Some(configuration) = shared.configuration() else {
         return Err(Refusal {
-            why: Own::NoConfiguration,
-            version: 0,
-            left,
+            reason: LocalError::NoConfiguration,
+            configuration_version: 0,
+            remaining,
         });
     };
-    let version = configuration.version;
-    let refuse = |why| Refusal { why, version, left };
+    let configuration_version = configuration.version;
+    let refuse = |reason| Refusal {
+        reason,
+        configuration_version,
+        remaining,
+    };
     let (parts, body) = request.into_parts();
     let host = parts
         .headers
@@ -85,65 +90,67 @@
         .unwrap_or_default();
     let route = configuration
         .route(host, parts.uri.path())
-        .ok_or_else(|| refuse(Own::NoRoute))?;
+        .ok_or_else(|| refuse(LocalError::NoRoute))?;
     let account = configuration
         .account(route, head.key.as_deref())
-        .map_err(|_| refuse(Own::NoAccess))?;
+        .map_err(|_| refuse(LocalError::NoAccess))?;
     let service = route
         .service_for(rand::random())
-        .ok_or_else(|| refuse(Own::NoRoute))?;
+        .ok_or_else(|| refuse(LocalError::NoRoute))?;
     let body = read_body(body, configuration.limits.max_body_bytes)
         .await
         .map_err(refuse)?;
-    let time_ms = client_ms.map_or(route.timeout_ms, |ms| ms.min(route.timeout_ms));
+    let timeout_ms = caller_timeout_ms.map_or(route.timeout_ms, |ms| ms.min(route.timeout_ms));
     Ok(Job {
         shared: Arc::clone(shared),
-        queue: shared.queue(service),
+        queue: shared.queue_or_create(service),
         route: Arc::clone(route),
-        deadline: arrived + Duration::from_millis(time_ms),
+        deadline: arrived + Duration::from_millis(timeout_ms),
         arrived,
         account,
-        hides_key: configuration.needs_keys(),
-        version,
+        strips_key: configuration.needs_keys(),
+        configuration_version,
         method: parts.method,
         path: origin_form(&parts.uri),
-        headers: forwarded(parts.headers),
+        headers: forwarded_headers(parts.headers),
         body,
         digest: OnceLock::new(),
         head,
-        record: Record::default(),
+        record: RequestRecord::default(),
     })
 }
 
-/// The path and query alone, as targets expect them.
+/// The path and query only, the form in which targets expect them.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-fn forwarded(mut headers: HeaderMap) -> HeaderMap {
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_connection_headers(&mut headers);
-    // The body is read whole, so its length is known and set anew.
+    // The HTTP client sets the length anew, as the body is in memory.
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
     headers
 }
 
-/// Reads the whole body, so that it can be sent again.
-async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Own> {
+/// Reads the complete body, so that it can be sent again.
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, LocalError> {
     let read = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(Own::BodyTooLarge),
-        Ok(Err(_)) | Err(_) => Err(Own::BodyIncomplete),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(LocalError::BodyTooLarge)
+        }
+        Ok(Err(_)) | Err(_) => Err(LocalError::BodyIncomplete),
     }
 }
 
-async fn run(job: Job) -> Response<Body> {
-    job.queue.note_request();
-    job.shared.arrivals.fetch_add(1, Ordering::Relaxed);
+async fn serve(job: Job) -> Response<Body> {
+    job.queue.record_request();
+    job.shared.arrival_count.fetch_add(1, Ordering::Relaxed);
     match job.route.retry_policy {
-        RetryPolicy::Stream { .. } => streaming::run(job).await,
-        RetryPolicy::Safe | RetryPolicy::Unsafe => plain::run(job).await,
+        RetryPolicy::Stream { .. } => streaming::serve(job).await,
+        RetryPolicy::Safe | RetryPolicy::Unsafe => plain::serve(job).await,
     }
 }
