--- a/crates/entry/src/responses.rs
+++ b/crates/entry/src/responses.rs
@@ -1,9 +1,8 @@
-//! Answers of the entry's own.
+//! Responses that the entry generates itself, without a target.
 //!
-//! A status of 408, 421, 429 or 503 promises that the request has not run and
-//! never will; it is given only where nothing was sent, or where the target
-//! itself said that it did not run the request. Where a request may have run,
-//! the status is 502 or 504, which promise nothing.
+//! A status of 408, 421, 429 or 503 promises that the request has not run and never will. The
+//! entry uses these statuses only if it sent nothing, or if the target reported that it did not
+//! run the request. If the request may have run, the status is 502 or 504, which promise nothing.
 
 use std::time::Duration;
 
@@ -15,50 +14,52 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{HeaderMap, Response, StatusCode};
 
-/// The body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, BrokenAnswer>;
+/// The body of a response to a caller.
+pub(crate) type Body = UnsyncBoxBody<Bytes, IncompleteResponse>;
 
-/// An answer that cannot be completed; the connection is cut so that it does
-/// not look whole.
+/// The error of a response body that cannot be completed. It makes the HTTP server close the
+/// connection, so that the caller cannot take the truncated response for a complete one.
 #[derive(Debug)]
-pub(crate) struct BrokenAnswer;
+pub(crate) struct IncompleteResponse;
 
-impl std::fmt::Display for BrokenAnswer {
+impl std::fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off; the connection is cut so that it does not look whole")
+        f.write_str("the response is incomplete; closing the connection so that it is not taken for complete")
     }
 }
 
-impl std::error::Error for BrokenAnswer {}
+impl std::error::Error for IncompleteResponse {}
 
-/// Why the entry answers itself.
+/// The reason for a response that the entry generates itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Own {
-    /// No configuration is known yet.
+pub(crate) enum LocalError {
+    /// The entry has not received a configuration yet.
     NoConfiguration,
-    /// No route matches.
+    /// No route matches the request.
     NoRoute,
-    /// The route needs a key that gives access.
+    /// The route requires the key of a client account that may use it.
     NoAccess,
-    /// The body is over the configured size.
+    /// The request body exceeds the configured size.
     BodyTooLarge,
-    /// The body did not come in time, or not whole.
+    /// The request body timed out or was truncated.
     BodyIncomplete,
-    /// All places were taken, and the request did not run.
-    NoPlace,
-    /// All targets say that they take no more now, and it did not run.
+    /// All concurrency slots of the targets were taken; the request did not run.
+    NoSlot,
+    /// All targets have asked for a backoff or are at their request limit; the request did not
+    /// run.
     Withheld,
-    /// Targets end under it, and it did not run.
-    HeldBack,
-    /// The targets did not run it.
+    /// The quarantine rejected the request because targets exited while running it; this time it
+    /// did not run.
+    Quarantined,
+    /// The targets that were tried did not run the request.
     NotRun,
-    /// A target may have run it, and its answer is lost.
-    AnswerLost,
-    /// A target may have run it, and did not answer in time.
-    TooLate,
+    /// A target may have run the request, and its response was lost.
+    ResponseLost,
+    /// A target may have run the request, but did not respond before the deadline.
+    DeadlineExceeded,
 }
 
-impl Own {
+impl LocalError {
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -66,16 +67,16 @@
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::NoConfiguration
-            | Self::NoPlace
+            | Self::NoSlot
             | Self::Withheld
-            | Self::HeldBack
+            | Self::Quarantined
             | Self::NotRun => StatusCode::SERVICE_UNAVAILABLE,
-            Self::AnswerLost => StatusCode::BAD_GATEWAY,
-            Self::TooLate => StatusCode::GATEWAY_TIMEOUT,
+            Self::ResponseLost => StatusCode::BAD_GATEWAY,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// The name in logs, metrics and the answer's body.
+    /// The name in logs, metrics and the response body.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
@@ -83,12 +84,12 @@
             Self::NoAccess => "no-access",
             Self::BodyTooLarge => "body-too-large",
             Self::BodyIncomplete => "body-incomplete",
-            Self::NoPlace => "no-place",
+            Self::NoSlot => "no-place",
             Self::Withheld => "withheld",
-            Self::HeldBack => "held-back",
+            Self::Quarantined => "held-back",
             Self::NotRun => "not-run",
-            Self::AnswerLost => "answer-lost",
-            Self::TooLate => "too-late",
+            Self::ResponseLost => "answer-lost",
+            Self::DeadlineExceeded => "too-late",
         }
     }
 
@@ -99,70 +100,70 @@
             Self::NoAccess => "send a key of a client account as `Authorization: Bearer KEY`",
             Self::BodyTooLarge => "send a smaller body",
             Self::BodyIncomplete => "send the whole body without pausing",
-            Self::NoPlace => "all places are taken; it did not run, come back as told",
+            Self::NoSlot => "all places are taken; it did not run, come back as told",
             Self::Withheld => {
                 "the targets have asked for rest or named a limit; it did not run, come back as told"
             }
-            Self::HeldBack => {
+            Self::Quarantined => {
                 "targets ended under this request, so it is not sent to any; it did not run. \
                  Coming back sooner than told does not help; change the request, or have the \
                  operators lift it"
             }
             Self::NotRun => "it did not run; come back as told",
-            Self::AnswerLost => "it may have run; repeat it only if that does no harm",
-            Self::TooLate => {
+            Self::ResponseLost => "it may have run; repeat it only if that does no harm",
+            Self::DeadlineExceeded => {
                 "it may have run and took too long; repeat it only if that does no harm"
             }
         }
     }
 
-    fn tells_when(self) -> bool {
+    fn has_retry_after(self) -> bool {
         self.status() == StatusCode::SERVICE_UNAVAILABLE
     }
 }
 
-/// Statuses by which callers understand that the request did not run.
+/// Whether callers understand from `status` that the request did not run.
 ///
-/// A target that gives one of them without saying that it did not run the
-/// request may have run it. Passed on, it would invite a repeat of a request
-/// that must not run twice.
-pub(crate) fn promises_not_run(status: StatusCode) -> bool {
+/// A target that responds with one of these statuses, but does not report that it did not run the
+/// request, may have run it. Forwarding the status would invite a retry of a request that must
+/// not run twice.
+pub(crate) fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// An answer of the entry's own to a request that has `left` of its time.
-pub(crate) fn own(
-    why: Own,
+/// Builds a response without a target, for a request whose deadline is `remaining` away.
+pub(crate) fn local_error_response(
+    reason: LocalError,
     attempt_id: Option<&HeaderValue>,
-    left: Duration,
-    back: RetryReason,
+    remaining: Duration,
+    retry_reason: RetryReason,
 ) -> Response<Body> {
-    let mut response = explained(why, attempt_id);
-    if why.tells_when() {
-        let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        let after_ms = retry_after_ms(left_ms, back, rand::random());
-        headers::set_retry_after(response.headers_mut(), after_ms);
+    let mut response = error_response(reason, attempt_id);
+    if reason.has_retry_after() {
+        let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+        let delay_ms = retry_after_ms(remaining_ms, retry_reason, rand::random());
+        headers::set_retry_after(response.headers_mut(), delay_ms);
     }
     response
 }
 
-/// The answer to a request that is held back: coming again can help after `back`, or not
-/// before an operator has lifted it.
-pub(crate) fn held_back(
-    back: Option<Duration>,
+/// Builds the response to a request that the quarantine rejected. A retry can succeed after
+/// `retry_after`, or, with `None`, only once an operator has lifted the quarantine.
+pub(crate) fn quarantine_response(
+    retry_after: Option<Duration>,
     attempt_id: Option<&HeaderValue>,
 ) -> Response<Body> {
-    let mut response = explained(Own::HeldBack, attempt_id);
-    if let Some(back) = back {
-        let after_ms = u64::try_from(back.as_millis()).unwrap_or(u64::MAX);
-        headers::set_retry_after(response.headers_mut(), after_ms);
+    let mut response = error_response(LocalError::Quarantined, attempt_id);
+    if let Some(retry_after) = retry_after {
+        let delay_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
+        headers::set_retry_after(response.headers_mut(), delay_ms);
     }
     response
 }
 
-fn explained(why: Own, attempt_id: Option<&HeaderValue>) -> Response<Body> {
-    let text = serde_json::json!({ "error": why.name(), "remedy": why.remedy() }).to_string();
-    let mut response = whole(why.status(), HeaderMap::new(), Bytes::from(text));
+fn error_response(reason: LocalError, attempt_id: Option<&HeaderValue>) -> Response<Body> {
+    let text = serde_json::json!({ "error": reason.name(), "remedy": reason.remedy() }).to_string();
+    let mut response = complete_response(reason.status(), HeaderMap::new(), Bytes::from(text));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(id) = attempt_id {
@@ -171,8 +172,12 @@
     response
 }
 
-/// An answer whose body is at hand.
-pub(crate) fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
+/// Builds a response from a body that is completely in memory.
+pub(crate) fn complete_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+) -> Response<Body> {
     let body = Full::new(body).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The process: its threads, its sockets, its start and its end.
+//! The process: its threads, its sockets, its start and its shutdown.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,29 +17,29 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::control::{self, Control, Followed};
-use crate::limits::{LIMITS_PATH, Limits};
+use crate::control::{self, Control, WatchedTopic};
+use crate::limits::{LIMITS_PATH, LimitExchange};
 use crate::peers::Peers;
-use crate::quarantine::{EntrySurroundings, NEWS_PATH, take_news};
+use crate::quarantine::{EntryClusterAccess, QUARANTINE_PATH, handle_update};
 use crate::server::serve_callers;
 use crate::settings::EntrySettings;
-use crate::shared::{Shared, Stage};
-use crate::store_watch::follow_store;
+use crate::shared::{Shared, ShutdownStage};
+use crate::store_watch::watch_store;
 
-/// How long new connections are still taken after the platform was told to
-/// send them elsewhere. It asks once a second and acts on the second answer.
-const LEAVE_DELAY: Duration = Duration::from_secs(3);
+/// How long new connections are still accepted after the readiness endpoint reports "not ready".
+/// The platform probes it once a second and acts on the second failure.
+const DRAIN_DELAY: Duration = Duration::from_secs(3);
 
-/// Kept from the time until the process is killed, for its own end.
-const END_MARGIN: Duration = Duration::from_millis(500);
+/// Time reserved for the process's own exit before the platform kills it.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time between two looks at whether the settings have changed.
-const RELOAD_EVERY: Duration = Duration::from_secs(5);
+/// Time between two checks for changed settings.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Stack of the traffic thread; futures live on the heap.
+/// Stack size of the traffic thread; futures live on the heap.
 const STACK_BYTES: usize = 512 << 10;
 
-/// Serves with the settings at `path` until told to stop.
+/// Runs an entry with the settings at `path` until it receives the signal to stop.
 ///
 /// # Errors
 ///
@@ -50,24 +50,29 @@
     let name = Arc::clone(&settings.name);
     log::info!(name = &*name, callers:% = settings.caller_address, store:% = settings.store_address; "starting");
     let shared = Arc::new(Shared::new(settings));
-    let (started, has_started) = oneshot::channel();
-    let (ended, has_ended) = oneshot::channel();
+    let (started_sender, traffic_started) = oneshot::channel();
+    let (ended_sender, traffic_ended) = oneshot::channel();
     let traffic_shared = Arc::clone(&shared);
     let traffic = thread::Builder::new()
         .name("traffic".to_owned())
         .stack_size(STACK_BYTES)
         .spawn(move || {
-            let result = traffic(&traffic_shared, started);
-            // Control may have ended first, with an error of its own.
-            let _ = ended.send(());
+            let result = run_traffic(&traffic_shared, started_sender);
+            // The control thread may have ended first, with an error of its own.
+            let _ = ended_sender.send(());
             result
         })
         .context("the traffic thread cannot be started; check the VM's memory")?;
     let control = runtime()?;
-    control.block_on(run_control(shared, path.to_owned(), has_started, has_ended))?;
+    control.block_on(run_control(
+        shared,
+        path.to_owned(),
+        traffic_started,
+        traffic_ended,
+    ))?;
     traffic
         .join()
-        .map_err(|_| anyhow::anyhow!("the traffic thread panicked; see the line before"))??;
+        .map_err(|_| anyhow::anyhow!("the traffic thread panicked; see the previous log line"))??;
     log::info!(name = &*name; "stopped");
     Ok(())
 }
@@ -79,17 +84,20 @@
         .context("the event loop cannot be started; check the limit on open files")
 }
 
-/// Carries traffic until the process closes and its callers are gone.
-fn traffic(shared: &Arc<Shared>, started: oneshot::Sender<()>) -> anyhow::Result<()> {
+/// Serves callers until the process closes and all of them have disconnected.
+fn run_traffic(shared: &Arc<Shared>, started_sender: oneshot::Sender<()>) -> anyhow::Result<()> {
     runtime()?.block_on(async {
         let listener = listen(shared.settings().caller_address)?;
         shared.set_listening();
         log::info!(callers:% = shared.settings().caller_address; "listening for callers");
-        // Nobody waits any more if control has failed to start.
-        let _ = started.send(());
+        // The receiver is gone if the control thread has failed to start.
+        let _ = started_sender.send(());
         serve_callers(listener, Arc::clone(shared)).await;
-        let bound = grace_left(shared);
-        if timeout(bound, shared.connections.drained()).await.is_err() {
+        let grace = grace_left(shared);
+        if timeout(grace, shared.connections.wait_until_drained())
+            .await
+            .is_err()
+        {
             log::warn!("callers are still connected at the end of the grace period");
         }
         Ok(())
@@ -97,66 +105,68 @@
 }
 
 fn grace_left(shared: &Shared) -> Duration {
-    Duration::from_millis(shared.settings().grace_ms).saturating_sub(LEAVE_DELAY + END_MARGIN)
+    Duration::from_millis(shared.settings().grace_ms).saturating_sub(DRAIN_DELAY + EXIT_MARGIN)
 }
 
 async fn run_control(
     shared: Arc<Shared>,
     path: PathBuf,
-    has_started: oneshot::Receiver<()>,
-    has_ended: oneshot::Receiver<()>,
+    traffic_started: oneshot::Receiver<()>,
+    traffic_ended: oneshot::Receiver<()>,
 ) -> anyhow::Result<()> {
     let control = Arc::new(Control::new(Arc::clone(&shared)));
     let peers = Arc::new(Peers::new(Arc::clone(&shared), Arc::clone(&control)));
     let stop = stop_signal(Arc::clone(&shared), path)?;
-    let surroundings = Arc::new(EntrySurroundings {
+    let cluster_access = Arc::new(EntryClusterAccess {
         shared: Arc::clone(&shared),
         peers: Arc::clone(&peers),
     });
-    let keeper = Arc::new(Replicator::new(Arc::clone(&shared.suspects), surroundings));
-    let limits = Arc::new(Limits::new(Arc::clone(&shared), Arc::clone(&peers)));
-    spawn_servers(&shared, &peers, &keeper, &limits)?;
-    tokio::spawn(keeper.run());
-    for followed in Followed::ALL {
-        tokio::spawn(follow_store(Arc::clone(&control), followed));
+    let replicator = Arc::new(Replicator::new(
+        Arc::clone(&shared.suspect_tracker),
+        cluster_access,
+    ));
+    let limit_exchange = Arc::new(LimitExchange::new(Arc::clone(&shared), Arc::clone(&peers)));
+    spawn_servers(&shared, &peers, &replicator, &limit_exchange)?;
+    tokio::spawn(replicator.run());
+    for topic in WatchedTopic::ALL {
+        tokio::spawn(watch_store(Arc::clone(&control), topic));
     }
     tokio::spawn(control::expire_missing(Arc::clone(&control)));
-    let engine_news = watch::Sender::new(None);
-    tokio::spawn(Arc::clone(&peers).share_engine_news(engine_news.subscribe()));
+    let engine_updates = watch::Sender::new(None);
+    tokio::spawn(Arc::clone(&peers).publish_engine_updates(engine_updates.subscribe()));
     tokio::spawn(berylhook_groups::run(Candidate {
-        engine_updates: engine_news,
+        engine_updates,
         name: Arc::clone(&shared.settings().name),
         store: shared.settings().store_address,
         era_observer: Arc::clone(&shared.eras) as _,
         agent_port: shared.settings().agent_port,
-        services: control.members.subscribe(),
+        services: control.expert_services.subscribe(),
         is_stopping: shared.is_stopping.subscribe(),
-        own_key_changes: control.own_keys.subscribe(),
-        has_peer_with_more_cpu: shared.has_larger_peer.subscribe(),
-        incoming_transfer: peers.transfers(),
+        own_key_changes: control.leadership_changes.subscribe(),
+        has_peer_with_more_cpu: shared.has_peer_with_more_cpu.subscribe(),
+        incoming_transfer: peers.subscribe_transfers(),
         successors: Arc::clone(&peers) as _,
     }));
-    tokio::spawn(limits.run());
-    tokio::spawn(Arc::clone(&peers).meet());
-    tokio::spawn(Arc::clone(&peers).share_targets());
-    tokio::spawn(peers.follow());
-    has_started
+    tokio::spawn(limit_exchange.run());
+    tokio::spawn(Arc::clone(&peers).run_discovery());
+    tokio::spawn(Arc::clone(&peers).maintain_membership());
+    tokio::spawn(peers.poll_during_outages());
+    traffic_started
         .await
-        .context("the address for callers cannot be used; see the line before")?;
+        .context("the traffic thread did not start; check the address for callers")?;
     stop.await;
-    log::info!("stopping: new connections are sent elsewhere");
-    shared.stage.send_replace(Stage::Leaving);
+    log::info!("stopping: not ready for new connections");
+    shared.stage.send_replace(ShutdownStage::Draining);
     shared.is_stopping.send_replace(true);
-    sleep(LEAVE_DELAY).await;
-    shared.stage.send_replace(Stage::Closing);
-    log::info!("stopping: idle connections end");
-    // An error here is the traffic thread's, which is joined next.
-    let _ = has_ended.await;
+    sleep(DRAIN_DELAY).await;
+    shared.stage.send_replace(ShutdownStage::Closing);
+    log::info!("stopping: closing idle connections");
+    // An error here is that of the traffic thread, which is joined next.
+    let _ = traffic_ended.await;
     Ok(())
 }
 
-/// Waits for the signal to stop; the signal to reload has the settings read
-/// anew.
+/// Returns a future that completes at SIGTERM. It reloads the settings at SIGHUP and regularly.
 fn stop_signal(shared: Arc<Shared>, path: PathBuf) -> anyhow::Result<impl Future<Output = ()>> {
     let mut term = signal(SignalKind::terminate()).context("signals cannot be handled")?;
     let mut hangup = signal(SignalKind::hangup()).context("signals cannot be handled")?;
@@ -166,7 +176,7 @@
                 _ = term.recv() => return,
                 _ = hangup.recv() => reload(&shared, &path),
                 // The platform may change the file without a signal.
-                () = sleep(RELOAD_EVERY) => reload(&shared, &path),
+                () = sleep(RELOAD_INTERVAL) => reload(&shared, &path),
             }
         }
     })
@@ -191,37 +201,44 @@
 fn spawn_servers(
     shared: &Arc<Shared>,
     peers: &Arc<Peers>,
-    keeper: &Arc<Replicator>,
-    limits: &Arc<Limits>,
+    replicator: &Arc<Replicator>,
+    limit_exchange: &Arc<LimitExchange>,
 ) -> anyhow::Result<()> {
-    let ready = listen(shared.settings().readiness_address)?;
-    let ready_shared = Arc::clone(shared);
-    tokio::spawn(serve::serve(ready, move |_request| {
-        let status = if ready_shared.is_ready() {
+    let readiness_listener = listen(shared.settings().readiness_address)?;
+    let readiness_shared = Arc::clone(shared);
+    tokio::spawn(serve::serve(readiness_listener, move |_request| {
+        let status = if readiness_shared.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
         async move { serve::plain(status, "") }
     }));
-    let listener = listen(shared.settings().peer_address)?;
-    let (peers, keeper, limits) = (Arc::clone(peers), Arc::clone(keeper), Arc::clone(limits));
-    tokio::spawn(serve::serve(listener, move |request| {
-        let (peers, keeper, limits) =
-            (Arc::clone(&peers), Arc::clone(&keeper), Arc::clone(&limits));
+    let peer_listener = listen(shared.settings().peer_address)?;
+    let (peers, replicator, limit_exchange) = (
+        Arc::clone(peers),
+        Arc::clone(replicator),
+        Arc::clone(limit_exchange),
+    );
+    tokio::spawn(serve::serve(peer_listener, move |request| {
+        let (peers, replicator, limit_exchange) = (
+            Arc::clone(&peers),
+            Arc::clone(&replicator),
+            Arc::clone(&limit_exchange),
+        );
         async move {
             match request.uri().path() {
-                NEWS_PATH => take_news(&keeper, request).await,
-                LIMITS_PATH => limits.answer(request).await,
-                _ => peers.answer(request).await,
+                QUARANTINE_PATH => handle_update(&replicator, request).await,
+                LIMITS_PATH => limit_exchange.handle_request(request).await,
+                _ => peers.handle_request(request).await,
             }
         }
     }));
     if let Some(address) = shared.settings().metrics_address {
-        let listener = listen(address)?;
+        let metrics_listener = listen(address)?;
         let metrics_shared = Arc::clone(shared);
-        tokio::spawn(serve::serve(listener, move |_request| {
-            let text = metrics_shared.metrics.text();
+        tokio::spawn(serve::serve(metrics_listener, move |_request| {
+            let text = metrics_shared.metrics.encode_text();
             async move { serve::plain(StatusCode::OK, text) }
         }));
     }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry in their checked form.
+//! The validated settings of an entry.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,19 +7,18 @@
 use anyhow::Context;
 use berylhook_operator::{IniError, IniFile, Section};
 
-const ADDRESS_REMEDY: &str = "write an IP number and port, such as 10.0.0.1:8080";
+const ADDRESS_REMEDY: &str = "write an IP address and port, such as 10.0.0.1:8080";
 const PORT_REMEDY: &str = "write a port, a number from 1 to 65535";
-const SHARE_REMEDY: &str = "write a part of one processor, such as 0.25";
+const PROCESSOR_SHARE_REMEDY: &str = "write a fraction of one processor, such as 0.25";
 const SECONDS_REMEDY: &str = "write a number of seconds, such as 8";
 
-/// Port of the agents where the settings name none.
+/// Default port of the agents.
 const DEFAULT_AGENT_PORT: u16 = 7_340;
 
-/// Time from the request to stop until the platform kills the process, where
-/// the settings name none.
+/// Default time from SIGTERM until the platform kills the process.
 const DEFAULT_GRACE_S: f64 = 8.0;
 
-/// Part of a processor that the process may use, where the settings name none.
+/// Default fraction of a processor that the process may use.
 const DEFAULT_PROCESSOR_SHARE: f64 = 1.0;
 
 /// Settings of one entry.
@@ -27,50 +26,50 @@
 pub struct EntrySettings {
     /// The process's name.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// The data centre of the process.
     pub data_centre: Arc<str>,
-    /// Part of a processor that the process may use. Leading a large group
-    /// takes more than the smallest VMs have.
+    /// Fraction of a processor that the process may use. Leading a large group takes more than
+    /// the smallest VMs have.
     pub processor_share: f64,
-    /// Where callers connect.
+    /// Address for callers' connections.
     pub caller_address: SocketAddr,
-    /// Where the platform asks whether new connections are welcome.
+    /// Address at which the platform probes whether the entry takes new connections.
     pub readiness_address: SocketAddr,
-    /// Where other entries ask for what this one knows.
+    /// Address at which other entries query this one.
     pub peer_address: SocketAddr,
-    /// Where metrics are read, if anywhere.
+    /// Address of the metrics endpoint, if there is one.
     pub metrics_address: Option<SocketAddr>,
-    /// Other entries to begin with; some may be gone.
+    /// Addresses of other entries for the start of discovery; some may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
     /// Port of the agents beside the model engines.
     pub agent_port: u16,
-    /// Time from the request to stop until the process is killed.
+    /// Time from SIGTERM until the platform kills the process.
     pub grace_ms: u64,
     /// Level of the logs, such as `info`.
     pub log_level: Arc<str>,
 }
 
 impl EntrySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// If it cannot be read or is not valid; the error names the remedy.
+    /// If the file cannot be read or is not valid; the error names the remedy.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
-        let shown = path.display();
+        let display_path = path.display();
         let text = std::fs::read_to_string(path).with_context(|| {
-            format!("{shown} cannot be read; check the path and its permissions")
+            format!("{display_path} cannot be read; check the path and its permissions")
         })?;
-        Self::parse(&text).with_context(|| shown.to_string())
+        Self::parse(&text).with_context(|| display_path.to_string())
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Names the line, the setting and the remedy.
+    /// The error names the line, the setting and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
         file.only_sections(&["node", "listen", "peers", "store", "agents", "stop", "logs"])?;
@@ -104,11 +103,11 @@
     let Some(setting) = node.get("processor_share") else {
         return Ok(DEFAULT_PROCESSOR_SHARE);
     };
-    let share: f64 = node.parse("processor_share", SHARE_REMEDY)?;
+    let share: f64 = node.parse("processor_share", PROCESSOR_SHARE_REMEDY)?;
     if share.is_finite() && share > 0.0 {
         Ok(share)
     } else {
-        Err(node.bad_value(setting, SHARE_REMEDY))
+        Err(node.bad_value(setting, PROCESSOR_SHARE_REMEDY))
     }
 }
 
@@ -120,7 +119,7 @@
     })
 }
 
-/// A comma-separated list; an empty one is allowed.
+/// Parses a comma-separated list of addresses, which may be empty.
 fn seeds(file: &IniFile) -> Result<Vec<SocketAddr>, IniError> {
     let Some(section) = file.section("peers") else {
         return Ok(Vec::new());
@@ -129,11 +128,12 @@
     let Some(setting) = section.get("seeds") else {
         return Ok(Vec::new());
     };
-    let words = setting.value.split(',').map(str::trim);
-    words
-        .filter(|word| !word.is_empty())
-        .map(|word| {
-            word.parse()
+    let addresses = setting.value.split(',').map(str::trim);
+    addresses
+        .filter(|address| !address.is_empty())
+        .map(|address| {
+            address
+                .parse()
                 .map_err(|_| section.bad_value(setting, ADDRESS_REMEDY))
         })
         .collect()
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What control publishes and traffic reads.
+//! State that the control thread publishes and the traffic thread reads.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,41 +12,41 @@
 use indexmap::IndexMap;
 use tokio::sync::{Notify, watch};
 
-use crate::era_tracker::Eras;
+use crate::era_tracker::EraTracker;
 use crate::metrics::Metrics;
-use crate::quarantine::place;
+use crate::quarantine::target_incarnation;
 use crate::queue::{Clock, ServiceQueue};
 use crate::readiness::{self, Requirement};
 use crate::settings::EntrySettings;
 
-/// How a process is on its way out.
+/// The stages of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Stage {
-    /// It serves.
+pub(crate) enum ShutdownStage {
+    /// The process serves callers.
     Serving,
-    /// It tells the platform to send new connections elsewhere, and still
-    /// takes those that come.
-    Leaving,
-    /// It ends idle connections and takes no new ones.
+    /// The readiness endpoint reports "not ready", so that the platform sends new connections
+    /// elsewhere; those that still arrive are accepted.
+    Draining,
+    /// Idle connections are closed and no new ones accepted.
     Closing,
 }
 
-/// How many callers are connected.
+/// Counts the connected callers.
 #[derive(Clone)]
-pub(crate) struct Connections(watch::Sender<usize>);
+pub(crate) struct CallerConnections(watch::Sender<usize>);
 
-/// One connected caller.
+/// One connected caller in the count.
 pub(crate) struct OpenConnection(watch::Sender<usize>);
 
-impl Connections {
-    /// A caller has connected.
+impl CallerConnections {
+    /// Adds a connected caller.
     pub(crate) fn open(&self) -> OpenConnection {
         self.0.send_modify(|count| *count += 1);
         OpenConnection(self.0.clone())
     }
 
     /// Waits until no caller is connected.
-    pub(crate) async fn drained(&self) {
+    pub(crate) async fn wait_until_drained(&self) {
         let mut count = self.0.subscribe();
         // The sender lives as long as `self`, so the wait cannot fail.
         let _ = count.wait_for(|count| *count == 0).await;
@@ -54,7 +54,7 @@
 }
 
 impl OpenConnection {
-    /// The caller is gone.
+    /// Removes the caller from the count.
     pub(crate) fn close(self) {
         self.0.send_modify(|count| *count -= 1);
     }
@@ -65,25 +65,25 @@
     settings: ArcSwap<EntrySettings>,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    /// Requests under which targets end.
-    pub(crate) suspects: Arc<SuspectTracker>,
+    /// The quarantine of requests under which targets exit.
+    pub(crate) suspect_tracker: Arc<SuspectTracker>,
     /// The eras of the store.
-    pub(crate) eras: Arc<Eras>,
-    pub(crate) stage: watch::Sender<Stage>,
-    /// Whether connections of callers are taken.
+    pub(crate) eras: Arc<EraTracker>,
+    pub(crate) stage: watch::Sender<ShutdownStage>,
+    /// Whether the process accepts callers' connections.
     is_listening: AtomicBool,
-    pub(crate) connections: Connections,
-    /// A leader's last word on the engines.
-    engine_news: watch::Sender<EngineUpdate>,
+    pub(crate) connections: CallerConnections,
+    /// The last engine update of a leader.
+    engine_update: watch::Sender<EngineUpdate>,
     /// The entries that share the targets.
     membership: Mutex<Membership>,
-    /// Requests that have arrived since the start.
-    pub(crate) arrivals: AtomicU64,
-    /// Whether the process is about to end.
+    /// The number of requests that have arrived since the start.
+    pub(crate) arrival_count: AtomicU64,
+    /// Whether the process is shutting down.
     pub(crate) is_stopping: watch::Sender<bool>,
-    /// Whether a peer is known that has clearly more processor time.
-    pub(crate) has_larger_peer: watch::Sender<bool>,
-    /// A target has named a limit, another one, or none any more.
+    /// Whether a peer with clearly more processor time is known.
+    pub(crate) has_peer_with_more_cpu: watch::Sender<bool>,
+    /// Notified when a target sets, changes or removes its request limit.
     pub(crate) limits_changed: Notify,
     configuration: ArcSwapOption<Configuration>,
     queues: Mutex<IndexMap<Arc<str>, Arc<ServiceQueue>>>,
@@ -100,33 +100,32 @@
         let metrics = Arc::new(Metrics::new());
         Self {
             membership: Mutex::new(Membership::new(own, [])),
-            arrivals: AtomicU64::new(0),
+            arrival_count: AtomicU64::new(0),
             settings: ArcSwap::from_pointee(settings),
             clock,
-            suspects: Arc::new(
+            suspect_tracker: Arc::new(
                 SuspectTracker::new(Arc::clone(&metrics) as _).with_store_follower(),
             ),
             metrics,
-            eras: Arc::new(Eras::new()),
-            stage: watch::Sender::new(Stage::Serving),
+            eras: Arc::new(EraTracker::new()),
+            stage: watch::Sender::new(ShutdownStage::Serving),
             is_listening: AtomicBool::new(false),
-            connections: Connections(watch::Sender::new(0)),
-            engine_news: watch::Sender::new(EngineUpdate::default()),
+            connections: CallerConnections(watch::Sender::new(0)),
+            engine_update: watch::Sender::new(EngineUpdate::default()),
             is_stopping: watch::Sender::new(false),
-            has_larger_peer: watch::Sender::new(false),
+            has_peer_with_more_cpu: watch::Sender::new(false),
             limits_changed: Notify::new(),
             configuration: ArcSwapOption::empty(),
             queues: Mutex::new(IndexMap::new()),
         }
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub(crate) fn settings(&self) -> Arc<EntrySettings> {
         self.settings.load_full()
     }
 
-    /// Puts changed settings in force. The addresses this process listens on
-    /// stay those of its start.
+    /// Replaces the settings. The process keeps listening on its original addresses.
     pub(crate) fn set_settings(&self, settings: EntrySettings) {
         self.settings.store(Arc::new(settings));
     }
@@ -136,29 +135,34 @@
         self.configuration.load_full()
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the entry takes new connections.
     pub(crate) fn is_ready(&self) -> bool {
-        *self.stage.borrow() == Stage::Serving && readiness::is_ready(|it| self.meets(it))
+        *self.stage.borrow() == ShutdownStage::Serving
+            && readiness::is_ready(|requirement| self.meets(requirement))
     }
 
     fn meets(&self, requirement: Requirement) -> bool {
         match requirement {
             Requirement::ListenerOpen => self.is_listening.load(Ordering::Relaxed),
             Requirement::Configuration => self.configuration.load().is_some(),
-            Requirement::QuarantineLoaded => !self.suspects.is_uninformed(),
+            Requirement::QuarantineLoaded => !self.suspect_tracker.is_uninformed(),
         }
     }
 
-    /// Connections of callers are taken from now on.
+    /// Records that callers' connections are accepted from now on.
     pub(crate) fn set_listening(&self) {
         self.is_listening.store(true, Ordering::Relaxed);
     }
 
-    /// Puts a configuration in force; versions only rise.
+    /// Activates a configuration if its version is higher than that of the one in force.
     ///
-    /// Returns whether it was newer than the one in force.
+    /// Returns whether it was activated.
     pub(crate) fn set_configuration(&self, configuration: Configuration) -> bool {
-        let current = self.configuration.load().as_ref().map(|it| it.version);
+        let current = self
+            .configuration
+            .load()
+            .as_ref()
+            .map(|current| current.version);
         if current.is_some_and(|current| configuration.version <= current) {
             return false;
         }
@@ -168,37 +172,37 @@
         true
     }
 
-    /// Takes over the targets that may get requests.
+    /// Replaces the targets that may get requests.
     pub(crate) fn set_targets<'a>(&self, usable: impl Iterator<Item = &'a Target>) {
         let targets: Vec<&Target> = usable.collect();
         let count = i64::try_from(targets.len()).unwrap_or(i64::MAX);
         self.metrics.targets.set(count);
-        self.suspects
-            .on_target_list(targets.iter().copied().map(place));
+        self.suspect_tracker
+            .on_target_list(targets.iter().copied().map(target_incarnation));
         let mut services: Vec<&Arc<str>> = targets.iter().map(|target| &target.service).collect();
         services.sort();
         services.dedup();
         for service in services {
-            self.queue(service);
+            self.queue_or_create(service);
         }
         let queues = self.queues.lock().expect("no holder panics").clone();
         for (name, queue) in &queues {
             let of_service = targets.iter().filter(|target| target.service == *name);
             queue.set_targets(of_service.copied());
-            queue.set_engine_news(&self.engine_news.borrow());
+            queue.set_engine_update(&self.engine_update.borrow());
         }
     }
 
-    /// Takes over a leader's word on the engines.
-    pub(crate) fn set_engine_news(&self, news: EngineUpdate) {
+    /// Applies a leader's engine update to all queues.
+    pub(crate) fn set_engine_update(&self, update: EngineUpdate) {
         let queues = self.queues.lock().expect("no holder panics").clone();
         for queue in queues.values() {
-            queue.set_engine_news(&news);
+            queue.set_engine_update(&update);
         }
-        self.engine_news.send_replace(news);
+        self.engine_update.send_replace(update);
     }
 
-    /// Takes over who shares the targets.
+    /// Replaces the entries that share the targets.
     pub(crate) fn set_membership(&self, membership: &Membership) {
         let mut current = self.membership.lock().expect("no holder panics");
         if *current == *membership {
@@ -218,30 +222,32 @@
         queues.values().cloned().collect()
     }
 
-    /// The queue of a service that has one.
-    pub(crate) fn known_queue(&self, service: &str) -> Option<Arc<ServiceQueue>> {
+    /// The queue of a service, if it exists.
+    pub(crate) fn existing_queue(&self, service: &str) -> Option<Arc<ServiceQueue>> {
         let queues = self.queues.lock().expect("no holder panics");
         queues.get(service).cloned()
     }
 
-    /// The queue of a service; one is made at its first use.
-    pub(crate) fn queue(&self, service: &Arc<str>) -> Arc<ServiceQueue> {
+    /// The queue of a service, created at its first use.
+    pub(crate) fn queue_or_create(&self, service: &Arc<str>) -> Arc<ServiceQueue> {
         let mut queues = self.queues.lock().expect("no holder panics");
         if let Some(queue) = queues.get(service) {
             return Arc::clone(queue);
         }
-        let description = self
+        let service_configuration = self
             .configuration()
             .and_then(|configuration| configuration.service(service).cloned());
         let queue = Arc::new(ServiceQueue::new(
             Arc::clone(service),
             self.clock,
             self.membership.lock().expect("no holder panics").clone(),
-            description.as_deref().and_then(|it| it.engine.as_ref()),
+            service_configuration
+                .as_deref()
+                .and_then(|service| service.engine.as_ref()),
         ));
-        // Before the configuration is known a service cannot be told to be one
-        // of engines, so its queue is not kept.
-        if description.is_some() {
+        // Before the configuration is known, it is unknown whether the service has engines, so
+        // the queue is not stored.
+        if service_configuration.is_some() {
             queues.insert(Arc::clone(service), Arc::clone(&queue));
         }
         queue
--- a/crates/entry/src/store_watch.rs
+++ b/crates/entry/src/store_watch.rs
@@ -1,7 +1,7 @@
-//! Following the store: one long watch a topic, for as long as the process lives.
+//! Watches the store: one long-poll watch per topic, for the lifetime of the process.
 //!
-//! Each topic has a watch of its own: one watch over all keys would wake every
-//! entry at each switch of a map, and every answered watch is paid for.
+//! Each topic has its own watch. A single watch over all keys would wake every entry at each
+//! switch of an expert map, and every watch that returns is billed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,166 +11,168 @@
 use berylhook_quarantine::stored;
 use tokio::time::sleep;
 
-use crate::control::{Control, Followed};
+use crate::control::{Control, WatchedTopic};
 
-/// Keys by which the leaders of the groups are elected.
+/// Prefix of the keys that elect the groups' leaders.
 const LEADER_PREFIX: &str = "berylhook/leader/";
 
-/// Longest wait of one watch; the platform allows 30 s. Connections that go
-/// silent are found by probes, not by the end of the wait.
+/// Longest wait of one watch; the platform allows 30 s. Dead connections are detected by
+/// keepalive probes, not by the end of the wait.
 const WATCH_WAIT_MS: u64 = 25_000;
 
-/// Wait of a watch that finds out whether the store is back.
-const RETURN_WATCH_WAIT_MS: u64 = 1;
+/// Wait of the first watch after a failure, which tests whether the store responds again.
+const RECOVERY_WATCH_WAIT_MS: u64 = 1;
 
-/// Pause between an answered watch and the next. Changes come in bursts, each
-/// call is paid for, and this adds little to the seconds a change may take.
+/// Pause between a watch that returned and the next one. Changes come in bursts and each call is
+/// billed; the pause adds little to the seconds that a change may take to arrive.
 const WATCH_PAUSE: Duration = Duration::from_millis(100);
 
-/// The same for targets. Hundreds register within seconds, and with fifty entries each
-/// answer is paid for fifty times. The first change of a burst is told at once; a target
-/// that leaves may get requests for two seconds more.
+/// Pause between watches of the target list. Hundreds of targets register within seconds, and
+/// with fifty entries each change is billed fifty times. The first change of a burst is still
+/// delivered at once, and a target that is leaving may get requests for another two seconds.
 const TARGETS_WATCH_PAUSE: Duration = Duration::from_millis(400);
 
-/// First and longest wait after a failed call. The store is shared by all
-/// processes, which must not all return at once.
+/// Shortest and longest retry delay after a failed call. All processes share the store and must
+/// not retry at the same moment.
 const RETRY_MIN_MS: u64 = 100;
 const RETRY_MAX_MS: u64 = 600;
 
-/// An absence at least this long may have let the targets' entries lapse.
-const AWAY_MS: u64 = 700;
+/// Shortest outage of the store during which targets' list entries may have expired.
+const MIN_OUTAGE_MS: u64 = 700;
 
-fn topic(followed: Followed) -> Topic<'static> {
-    match followed {
-        Followed::Configuration => Topic::Configuration,
-        Followed::Targets => Topic::Targets,
-        Followed::Leaders => Topic::Own(LEADER_PREFIX),
-        Followed::Quarantine => Topic::Own(stored::PREFIX),
+fn store_topic(topic: WatchedTopic) -> Topic<'static> {
+    match topic {
+        WatchedTopic::Configuration => Topic::Configuration,
+        WatchedTopic::Targets => Topic::Targets,
+        WatchedTopic::Leaders => Topic::Own(LEADER_PREFIX),
+        WatchedTopic::Quarantine => Topic::Own(stored::PREFIX),
     }
 }
 
-fn watch_pause(followed: Followed) -> Duration {
-    match followed {
-        Followed::Targets => TARGETS_WATCH_PAUSE,
-        Followed::Configuration | Followed::Leaders | Followed::Quarantine => WATCH_PAUSE,
+fn watch_pause(topic: WatchedTopic) -> Duration {
+    match topic {
+        WatchedTopic::Targets => TARGETS_WATCH_PAUSE,
+        WatchedTopic::Configuration | WatchedTopic::Leaders | WatchedTopic::Quarantine => {
+            WATCH_PAUSE
+        }
     }
 }
 
-/// Whether the store answers one task, and since when it does not.
-struct Contact {
-    followed: Followed,
+/// Whether the store responds to one task's calls, and since when it does not.
+struct StoreAvailability {
+    topic: WatchedTopic,
     failures: u32,
-    lost_ms: Option<u64>,
+    failing_since_ms: Option<u64>,
 }
 
-/// Follows one topic for as long as the process lives.
-pub(crate) async fn follow_store(control: Arc<Control>, followed: Followed) {
-    let mut store = control.open();
-    let mut contact = Contact {
-        followed,
+/// Watches one topic for the lifetime of the process.
+pub(crate) async fn watch_store(control: Arc<Control>, topic: WatchedTopic) {
+    let mut store = control.open_store();
+    let mut availability = StoreAvailability {
+        topic,
         failures: 0,
-        lost_ms: None,
+        failing_since_ms: None,
     };
     let mut position = None;
     loop {
-        let answered = match position {
-            None => read(&control, &mut store, followed, &mut contact).await,
+        let update = match position {
+            None => read_topic(&control, &mut store, topic, &mut availability).await,
             Some(position) => {
-                let wait_ms = contact.watch_wait_ms();
-                watch_once(&control, &mut store, followed, position, wait_ms).await
+                let wait_ms = availability.watch_wait_ms();
+                watch_once(&control, &mut store, topic, position, wait_ms).await
             }
         };
-        match answered {
-            Ok(Answered::Read(read)) => position = Some(read),
-            Ok(Answered::Watched(watched)) => {
-                contact.regained(&control);
+        match update {
+            Ok(Update::Read(read)) => position = Some(read),
+            Ok(Update::Watched(watched)) => {
+                availability.record_success(&control);
                 position = Some(watched.position);
-                control.apply(watched);
-                sleep(watch_pause(followed)).await;
+                control.apply_watched(watched);
+                sleep(watch_pause(topic)).await;
             }
             Err(StoreError::HistoryGone) => {
-                log::info!(topic = followed.name(); "the store's history is gone; reading the keys");
+                log::info!(topic = topic.name(); "the store no longer has the history since the last watch; reading all keys");
                 position = None;
             }
             Err(StoreError::Restored) => {
-                log::warn!(topic = followed.name(); "the store was restored from an older copy; reading the keys");
+                log::warn!(topic = topic.name(); "the store was restored from an older copy; reading all keys");
                 position = None;
             }
             Err(error) => {
-                contact.lost(&control, &error);
-                sleep(contact.retry_after()).await;
-                store = control.reopen(store);
+                availability.record_failure(&control, &error);
+                sleep(availability.retry_delay()).await;
+                store = control.reopen_store(store);
             }
         }
     }
 }
 
-enum Answered {
-    /// The keys were read; a watch goes on from this position.
+enum Update {
+    /// The keys were read; the next watch starts at this position.
     Read(Position),
     Watched(Watched),
 }
 
-async fn read(
+async fn read_topic(
     control: &Control,
     store: &mut Store,
-    followed: Followed,
-    contact: &mut Contact,
-) -> Result<Answered, StoreError> {
-    let position = match followed {
-        Followed::Configuration => {
+    topic: WatchedTopic,
+    availability: &mut StoreAvailability,
+) -> Result<Update, StoreError> {
+    let position = match topic {
+        WatchedTopic::Configuration => {
             let read = store.configuration().await;
-            count(control, "read", &read);
+            count_call(control, "read", &read);
             let (document, position) = read?;
-            contact.regained(control);
-            control.take(document, None, "store");
+            availability.record_success(control);
+            control.merge(document, None, "store");
             position
         }
-        Followed::Targets => {
+        WatchedTopic::Targets => {
             let read = store.listing().await;
-            count(control, "read", &read);
+            count_call(control, "read", &read);
             let listing = read?;
-            contact.regained(control);
+            availability.record_success(control);
             let position = listing.position;
-            control.take(None, Some(listing), "store");
+            control.merge(None, Some(listing), "store");
             position
         }
-        Followed::Leaders => {
+        WatchedTopic::Leaders => {
             let read = store.position_of(LEADER_PREFIX).await;
-            count(control, "read", &read);
+            count_call(control, "read", &read);
             let position = read?;
-            contact.regained(control);
-            control.own_keys.send_modify(|count| *count += 1);
+            availability.record_success(control);
+            control.leadership_changes.send_modify(|count| *count += 1);
             position
         }
-        Followed::Quarantine => {
+        WatchedTopic::Quarantine => {
             let read = store.own_items(stored::PREFIX).await;
-            count(control, "read", &read);
+            count_call(control, "read", &read);
             let (items, position) = read?;
-            contact.regained(control);
-            control.take_quarantine(&items, position);
+            availability.record_success(control);
+            control.apply_quarantine(&items, position);
             position
         }
     };
-    Ok(Answered::Read(position))
+    Ok(Update::Read(position))
 }
 
 async fn watch_once(
     control: &Control,
     store: &mut Store,
-    followed: Followed,
+    topic: WatchedTopic,
     position: Position,
     wait_ms: u64,
-) -> Result<Answered, StoreError> {
+) -> Result<Update, StoreError> {
     let watched = tokio::select! {
-        watched = store.watch(topic(followed), position, wait_ms) => watched,
-        () = control.restored_since(position) => Err(StoreError::Restored),
+        watched = store.watch(store_topic(topic), position, wait_ms) => watched,
+        () = control.wait_for_restore_since(position) => Err(StoreError::Restored),
     };
-    count(control, "watch", &watched);
-    Ok(Answered::Watched(watched?))
+    count_call(control, "watch", &watched);
+    Ok(Update::Watched(watched?))
 }
 
-fn count<T>(control: &Control, call: &'static str, result: &Result<T, StoreError>) {
+fn count_call<T>(control: &Control, call: &'static str, result: &Result<T, StoreError>) {
     let result = match result {
         Ok(_) => "ok",
         Err(StoreError::HistoryGone) => "history-gone",
@@ -180,47 +182,47 @@
     control.count_store_call(call, result);
 }
 
-impl Contact {
-    fn regained(&mut self, control: &Control) {
-        control.set_answers(self.followed, true);
-        let Some(lost_ms) = self.lost_ms.take() else {
+impl StoreAvailability {
+    fn record_success(&mut self, control: &Control) {
+        control.set_topic_reachable(self.topic, true);
+        let Some(failing_since_ms) = self.failing_since_ms.take() else {
             return;
         };
-        let away_ms = control.now_ms().0.saturating_sub(lost_ms);
-        let topic = self.followed.name();
-        log::info!(topic, away_ms, failures = self.failures; "the store answers again");
-        if self.followed == Followed::Targets && away_ms >= AWAY_MS {
-            control.store_returned();
+        let outage_ms = control.now_ms().0.saturating_sub(failing_since_ms);
+        let topic = self.topic.name();
+        log::info!(topic, away_ms = outage_ms, failures = self.failures; "the store responds again");
+        if self.topic == WatchedTopic::Targets && outage_ms >= MIN_OUTAGE_MS {
+            control.on_store_recovered();
         }
         self.failures = 0;
     }
 
-    fn lost(&mut self, control: &Control, error: &StoreError) {
+    fn record_failure(&mut self, control: &Control, error: &StoreError) {
         if self.failures == 0 {
-            let topic = self.followed.name();
-            log::warn!(topic, reason:% = error; "the store does not answer");
+            let topic = self.topic.name();
+            log::warn!(topic, reason:% = error; "the store does not respond");
         }
         self.failures = self.failures.saturating_add(1);
         let now_ms = control.now_ms().0;
-        self.lost_ms.get_or_insert(now_ms);
-        control.set_answers(self.followed, false);
+        self.failing_since_ms.get_or_insert(now_ms);
+        control.set_topic_reachable(self.topic, false);
     }
 
-    /// How long the next watch may wait.
+    /// The wait of the next watch.
     ///
-    /// One that follows a failure does not: a long one would answer at the next
-    /// change only, and that change would pass for one of the outage.
+    /// The first watch after a failure returns at once. A long one would return only at the next
+    /// change, and that change would be taken for one that happened during the outage.
     fn watch_wait_ms(&self) -> u64 {
         if self.failures > 0 {
-            RETURN_WATCH_WAIT_MS
+            RECOVERY_WATCH_WAIT_MS
         } else {
             WATCH_WAIT_MS
         }
     }
 
-    fn retry_after(&self) -> Duration {
-        let doubled = RETRY_MIN_MS << self.failures.min(8);
-        let longest_ms = doubled.min(RETRY_MAX_MS);
-        Duration::from_millis(longest_ms / 2 + rand::random::<u64>() % (longest_ms / 2))
+    fn retry_delay(&self) -> Duration {
+        let doubled_ms = RETRY_MIN_MS << self.failures.min(8);
+        let max_ms = doubled_ms.min(RETRY_MAX_MS);
+        Duration::from_millis(max_ms / 2 + rand::random::<u64>() % (max_ms / 2))
     }
 }
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -1,9 +1,9 @@
-//! Requests whose answer is a stream of events.
+//! Requests whose response is a stream of events.
 //!
-//! Events are passed on whole and in order as they come. If a target breaks
-//! off, and the route allows it, another one goes on behind the last event
-//! delivered, within the same answer. The answer's head is sent with the first
-//! event: until then a target that fails costs the caller nothing.
+//! Complete events are forwarded in order as they arrive. If a target fails, and the route allows
+//! it, another target resumes the stream after the last event delivered, within the same
+//! response. The response head is sent with the first event, so a target that fails before it
+//! costs the caller nothing.
 
 mod events;
 mod head;
@@ -27,336 +27,349 @@
 use tokio::time::{sleep, timeout};
 
 use self::events::split_events;
-use self::head::{Head, Judged, judge};
-use crate::call::{CallError, Link, SendResult};
+use self::head::{Classification, ResponseKind, classify};
+use crate::call::{CallError, ConnectionGuard, SendResult};
 use crate::job::Job;
-use crate::queue::Hold;
-use crate::responses::{Body, BrokenAnswer, Own};
+use crate::queue::SlotGuard;
+use crate::responses::{Body, IncompleteResponse, LocalError};
 
-/// Callers give a stream up after two seconds without an event. Longer tries
-/// to go on with it serve nobody.
-const LONGEST_GAP: Duration = Duration::from_millis(1_900);
+/// Callers abandon a stream after two seconds without an event, so longer attempts to resume it
+/// are of no use.
+const MAX_GAP: Duration = Duration::from_millis(1_900);
 
-/// A stream without events for this long, from a target that is silent as a
-/// whole, goes on elsewhere. It leaves the next target half of the time that
-/// callers wait.
-const SILENT_AFTER: Duration = Duration::from_millis(900);
+/// A stream resumes elsewhere after this long without events, if nothing else arrives from its
+/// target either. This leaves the next target half of the time that callers wait.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A run of the request at one target that has answered.
-struct Run {
-    hold: Hold,
+/// A stream from one target that has sent its response head.
+struct TargetStream {
+    slot: SlotGuard,
     body: Incoming,
     splitter: EventSplitter,
-    sent: Instant,
-    /// What the target told of its load with the answer's head.
+    sent_at: Instant,
+    /// The load that the target reported in the response head.
     load: Option<Load>,
-    last_event: Option<Instant>,
+    last_event_at: Option<Instant>,
     headers: HeaderMap,
     status: StatusCode,
-    /// Ends the call at the target when dropped.
-    _link: Link,
+    /// Cancels the request at the target when dropped.
+    _connection: ConnectionGuard,
 }
 
-/// What one target made of the request.
-enum Started {
-    /// It streams.
-    Streams(Box<Run>),
-    /// It failed with an answer of its own.
-    Failed(Box<Response<Body>>),
-    /// It did not run it.
+/// The result of starting the request at one target.
+enum StartResult {
+    /// The target streams.
+    Streaming(Box<TargetStream>),
+    /// The target returned an error response.
+    ErrorResponse(Box<Response<Body>>),
+    /// The target did not run the request.
     NotRun,
-    /// The request may not go to any target.
-    HeldBack(QuarantineRejection),
-    /// The target takes none now, and was not sent it.
+    /// The quarantine rejected the request for all targets.
+    Quarantined(QuarantineRejection),
+    /// The target's admission gate withheld the request; nothing was sent.
     Withheld,
-    /// It may have run it.
+    /// The target may have run the request.
     Unknown,
 }
 
-/// What comes next of a run.
-enum Next {
-    /// Whole events, ready to be passed on.
+/// The result of reading from a stream.
+enum ReadResult {
+    /// Complete events, ready to be forwarded.
     Events(Bytes),
-    /// The stream ended as it should.
+    /// The stream ended properly.
     End,
-    /// The target broke off.
-    Broken,
+    /// The stream failed, its target fell silent, or the deadline passed.
+    Interrupted,
 }
 
-/// A request that is being served.
-struct Session {
+/// The state of one request, over all its targets.
+struct StreamSession {
     job: Job,
     progress: StreamProgress,
-    tried: Vec<Incarnation>,
-    sends: u32,
+    tried_targets: Vec<Incarnation>,
+    send_count: u32,
     may_have_run: bool,
-    /// What it needs to be sent while targets end under it.
+    /// The quarantine's clearance of the request, kept over all its sends.
     clearance: RunClearance,
-    gap_began: Instant,
+    gap_started: Instant,
 }
 
 /// Serves the request.
-pub(crate) async fn run(job: Job) -> Response<Body> {
-    if let Some(refusal) = job.refuse_if_held() {
+pub(crate) async fn serve(job: Job) -> Response<Body> {
+    if let Some(refusal) = job.refuse_if_quarantined() {
         return refusal;
     }
-    let Ok(hold) = job.enter().await else {
-        return job.own(Own::NoPlace);
+    let Ok(slot) = job.acquire_slot().await else {
+        return job.end_with_error(LocalError::NoSlot);
     };
-    let mut session = Session {
+    let mut session = StreamSession {
         progress: StreamProgress::new(job.head.last_event_id),
         job,
-        tried: Vec::new(),
-        sends: 0,
+        tried_targets: Vec::new(),
+        send_count: 0,
         may_have_run: false,
         clearance: RunClearance::default(),
-        gap_began: Instant::now(),
+        gap_started: Instant::now(),
     };
-    let mut started = session.start(hold).await;
+    let mut started = session.start_run(slot).await;
     loop {
-        let mut next_is_second_send = true;
+        let mut next_counts_as_retry = true;
         match started {
-            Started::Streams(mut run) => match session.next(&mut run).await {
-                Next::Events(events) => return streaming_response(session, run, events),
-                // The body finds the end once more when it is asked for events.
-                Next::End => return streaming_response(session, run, Bytes::new()),
-                Next::Broken => session.broke_off(*run),
+            StartResult::Streaming(mut run) => match session.read_events(&mut run).await {
+                ReadResult::Events(events) => return streaming_response(session, run, events),
+                // The response body reads the end of the stream again when it is polled.
+                ReadResult::End => return streaming_response(session, run, Bytes::new()),
+                ReadResult::Interrupted => session.record_interruption(*run),
             },
-            Started::Failed(response) => {
+            StartResult::ErrorResponse(response) => {
                 session
                     .job
                     .finish("failed-by-target", Some(response.status().as_u16()));
                 return *response;
             }
-            Started::NotRun => {}
-            Started::Withheld => next_is_second_send = false,
-            Started::HeldBack(_) if session.may_have_run => return session.give_up(),
-            Started::HeldBack(held) => return session.job.hold_back(held),
-            Started::Unknown => session.may_have_run = true,
+            StartResult::NotRun => {}
+            StartResult::Withheld => next_counts_as_retry = false,
+            StartResult::Quarantined(_) if session.may_have_run => return session.give_up(),
+            StartResult::Quarantined(rejection) => {
+                return session.job.reject_quarantined(rejection);
+            }
+            StartResult::Unknown => session.may_have_run = true,
         }
-        started = match session.start_again(next_is_second_send).await {
+        started = match session.start_another_run(next_counts_as_retry).await {
             Some(started) => started,
             None => return session.give_up(),
         };
     }
 }
 
-impl Session {
-    async fn start(&mut self, mut hold: Hold) -> Started {
-        let target = hold.target().clone();
+impl StreamSession {
+    async fn start_run(&mut self, mut slot: SlotGuard) -> StartResult {
+        let target = slot.target().clone();
         let resume_after = self.progress.resume_after();
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let mut clearance = std::mem::take(&mut self.clearance);
-        let send = self.job.send(&mut hold, resume_after, &mut clearance);
-        let exchange = timeout(self.job.left(), send);
-        // A target that may be asked once only is waited for.
-        let may_leave = self.job.route.retry_policy.allows_second_run();
-        let answered = tokio::select! {
-            answered = exchange => answered,
-            () = self.silence(&target.incarnation), if may_leave => Ok(Err(CallError::Unknown)),
+        let send = self.job.send(&mut slot, resume_after, &mut clearance);
+        let response = timeout(self.job.remaining(), send);
+        // If no second run is allowed, the only option is to wait for this target.
+        let can_retry = self.job.route.retry_policy.allows_second_run();
+        let result = tokio::select! {
+            result = response => result,
+            () = self.wait_for_silence(&target.incarnation), if can_retry => {
+                Ok(Err(CallError::Unknown))
+            }
         };
         self.clearance = clearance;
-        let answered = match answered {
-            Err(_) if !self.job.is_at_target() => {
-                Ok(Err(CallError::HeldBack(QuarantineRejection::OUT_OF_TIME)))
-            }
-            answered => answered,
+        let result = match result {
+            Err(_) if !self.job.may_be_running() => Ok(Err(CallError::Quarantined(
+                QuarantineRejection::OUT_OF_TIME,
+            ))),
+            result => result,
         };
-        let judged = match answered {
-            Ok(Err(CallError::HeldBack(held))) => {
-                self.job.log_send(&target, SendResult::HeldBack);
-                hold.close(None);
-                return Started::HeldBack(held);
+        let classification = match result {
+            Ok(Err(CallError::Quarantined(rejection))) => {
+                self.job.log_send(&target, SendResult::Quarantined);
+                slot.close(None);
+                return StartResult::Quarantined(rejection);
             }
             Ok(Err(CallError::Withheld(_))) => {
                 self.job.log_send(&target, SendResult::Withheld);
-                self.tried.push(target.incarnation);
-                hold.close(None);
-                return Started::Withheld;
+                self.tried_targets.push(target.incarnation);
+                slot.close(None);
+                return StartResult::Withheld;
             }
-            Err(_) => Judged::failed(SendResult::Silent),
-            Ok(Err(error)) => Judged::failed(error.into()),
-            Ok(Ok(answer)) => judge(answer).await,
+            Err(_) => Classification::invalid(SendResult::NoResponse),
+            Ok(Err(error)) => Classification::invalid(error.into()),
+            Ok(Ok(response)) => classify(response).await,
         };
-        self.note(&target, judged.result);
-        match judged.head {
-            Head::Streams(stream) => Started::Streams(Box::new(Run {
-                hold,
+        self.record_send(&target, classification.result);
+        match classification.kind {
+            ResponseKind::Stream(stream) => StartResult::Streaming(Box::new(TargetStream {
+                slot,
                 body: stream.body,
                 splitter: EventSplitter::default(),
-                sent,
+                sent_at,
                 load: stream.load,
-                last_event: None,
+                last_event_at: None,
                 headers: stream.headers,
                 status: stream.status,
-                _link: stream.link,
+                _connection: stream.connection,
             })),
-            Head::Failed(response) => {
-                hold.close(None);
-                Started::Failed(response)
+            ResponseKind::Error(response) => {
+                slot.close(None);
+                StartResult::ErrorResponse(response)
             }
-            Head::Nothing => {
-                hold.close(judged.evidence());
-                if judged.result.may_have_run() {
-                    Started::Unknown
+            ResponseKind::Invalid => {
+                slot.close(classification.health_sample());
+                if classification.result.may_have_run() {
+                    StartResult::Unknown
                 } else {
-                    Started::NotRun
+                    StartResult::NotRun
                 }
             }
         }
     }
 
-    /// Logs a send, remembers where not to go again, and whether the service
-    /// runs at all.
-    fn note(&mut self, target: &Target, result: SendResult) {
-        // A group that forms anew refuses everything, which is no use of one of
-        // the few targets that the request may run on.
-        self.sends += u32::from(result.may_have_run());
+    /// Logs a send, excludes the target from further attempts where it failed, and records
+    /// whether its group accepts requests.
+    fn record_send(&mut self, target: &Target, result: SendResult) {
+        // A group that is forming again refuses all requests. That does not count against the
+        // number of targets that may run the request.
+        self.send_count += u32::from(result.may_have_run());
         self.job.log_send(target, result);
         match result {
             SendResult::NotRun => self.job.queue.on_refused(&target.incarnation),
-            // The target alone is in need, and its gate keeps requests from it.
-            SendResult::AsksForRest => {}
-            SendResult::Streams => self.job.queue.on_accepted(&target.incarnation),
-            _ => self.tried.push(target.incarnation.clone()),
+            // Only this target is overloaded, and its admission gate withholds further requests
+            // from it.
+            SendResult::BackoffRequested => {}
+            SendResult::StreamStarted => self.job.queue.on_accepted(&target.incarnation),
+            _ => self.tried_targets.push(target.incarnation.clone()),
         }
     }
 
-    /// Starts another run, if that may and can be done while the caller waits. One that
-    /// follows a target which was sent nothing is no second send.
-    async fn start_again(&mut self, is_second_send: bool) -> Option<Started> {
+    /// Starts another run, if that is allowed and possible before the caller gives up. A run that
+    /// follows a withheld send does not count as a retry.
+    async fn start_another_run(&mut self, counts_as_retry: bool) -> Option<StartResult> {
         let is_allowed = self.job.route.retry_policy.allows_second_run() || !self.may_have_run;
-        let waited = self.gap_began.elapsed();
-        let patience = LONGEST_GAP.saturating_sub(waited).min(self.job.left());
-        let has_sends = self.sends < self.job.route.max_targets;
-        let may_go_on = is_allowed && has_sends && !patience.is_zero();
-        if !may_go_on || (is_second_send && !self.job.queue.affords_repeat()) {
+        let gap = self.gap_started.elapsed();
+        let max_wait = MAX_GAP.saturating_sub(gap).min(self.job.remaining());
+        let has_targets_left = self.send_count < self.job.route.max_targets;
+        let can_retry = is_allowed && has_targets_left && !max_wait.is_zero();
+        if !can_retry || (counts_as_retry && !self.job.queue.try_take_retry()) {
             return None;
         }
-        let hold = match self.job.queue.enter_again(&self.tried) {
-            Some(hold) => hold,
-            None => self.job.enter_to_resume(patience).await.ok()?,
+        let slot = match self.job.queue.try_acquire_other_slot(&self.tried_targets) {
+            Some(slot) => slot,
+            None => self.job.acquire_slot_to_resume(max_wait).await.ok()?,
         };
-        Some(self.start(hold).await)
+        Some(self.start_run(slot).await)
     }
 
-    /// Waits for whole events of the run.
-    async fn next(&mut self, run: &mut Run) -> Next {
+    /// Reads complete events from the stream.
+    async fn read_events(&mut self, run: &mut TargetStream) -> ReadResult {
         loop {
             let frame = tokio::select! {
                 frame = run.body.frame() => frame,
-                () = sleep(self.job.left()) => return Next::Broken,
-                () = self.silence(&run.hold.target().incarnation) => return Next::Broken,
+                () = sleep(self.job.remaining()) => return ReadResult::Interrupted,
+                () = self.wait_for_silence(&run.slot.target().incarnation) => {
+                    return ReadResult::Interrupted;
+                }
             };
             let data = match frame {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => data,
                     Err(_trailers) => continue,
                 },
-                Some(Err(_)) => return Next::Broken,
-                None => return Self::end(run),
+                Some(Err(_)) => return ReadResult::Interrupted,
+                None => return Self::end_of_body(run),
             };
             let Some(events) = run.splitter.push(&data) else {
                 continue;
             };
-            self.note_event(run);
-            match self.pass(&events.bytes) {
-                Some(passed) if passed.is_empty() => {}
-                Some(passed) => {
-                    self.gap_began = Instant::now();
-                    return Next::Events(passed);
+            self.record_event(run);
+            match self.undelivered_events(&events.bytes) {
+                Some(undelivered) if undelivered.is_empty() => {}
+                Some(undelivered) => {
+                    self.gap_started = Instant::now();
+                    return ReadResult::Events(undelivered);
                 }
-                None => return Next::Broken,
+                None => return ReadResult::Interrupted,
             }
         }
     }
 
-    /// Ends once this stream and its whole target are silent while others of the
+    /// Completes once this stream and its whole target are silent while other targets of the
     /// service are not.
-    async fn silence(&self, target: &Incarnation) {
+    async fn wait_for_silence(&self, target: &Incarnation) {
         loop {
-            let silent_for = self.gap_began.elapsed();
-            match SILENT_AFTER.checked_sub(silent_for) {
-                Some(left) => sleep(left).await,
+            let silent_for = self.gap_started.elapsed();
+            match SILENCE_TIMEOUT.checked_sub(silent_for) {
+                Some(remaining) => sleep(remaining).await,
                 None if self.job.queue.is_silent(target) => return,
-                None => sleep(SILENT_AFTER / 4).await,
+                None => sleep(SILENCE_TIMEOUT / 4).await,
             }
         }
     }
 
-    /// A clean end in the middle of an event is no end.
-    fn end(run: &mut Run) -> Next {
+    /// The end of the response body; an end in the middle of an event is a failure.
+    fn end_of_body(run: &mut TargetStream) -> ReadResult {
         let splitter = std::mem::take(&mut run.splitter);
         if splitter.rest().is_empty() {
-            Next::End
+            ReadResult::End
         } else {
-            Next::Broken
+            ReadResult::Interrupted
         }
     }
 
-    fn note_event(&self, run: &mut Run) {
+    fn record_event(&self, run: &mut TargetStream) {
         let now = Instant::now();
-        self.job.queue.on_progress(&run.hold.target().incarnation);
-        match run.last_event.replace(now) {
-            Some(last) => self.note_gap(millis(now.duration_since(last))),
+        self.job
+            .queue
+            .on_stream_event(&run.slot.target().incarnation);
+        match run.last_event_at.replace(now) {
+            Some(last) => self.record_gap(millis(now.duration_since(last))),
             None => self.job.queue.on_first_event(FirstEvent {
                 load: run.load,
-                latency_ms: millis(now.duration_since(run.sent)),
+                latency_ms: millis(now.duration_since(run.sent_at)),
             }),
         }
     }
 
-    fn note_gap(&self, gap_ms: f64) {
-        self.job.observe_pause(gap_ms);
-        let goal_ms = self.job.route.pause_objective_ms;
-        #[allow(clippy::cast_precision_loss)] // milliseconds of a pause
-        let goal_ms = goal_ms.map_or(f64::INFINITY, |ms| ms as f64);
-        self.job.queue.on_gap(gap_ms, goal_ms);
+    fn record_gap(&self, gap_ms: f64) {
+        self.job.observe_gap(gap_ms);
+        let objective_ms = self.job.route.pause_objective_ms;
+        #[allow(clippy::cast_precision_loss)] // a few seconds at most
+        let objective_ms = objective_ms.map_or(f64::INFINITY, |ms| ms as f64);
+        self.job.queue.on_event_gap(gap_ms, objective_ms);
     }
 
-    /// The events not delivered before; `None` if one is missing.
-    fn pass(&mut self, events: &Bytes) -> Option<Bytes> {
-        let mut passed = VecDeque::new();
+    /// The events that were not delivered before; `None` if one is missing in between.
+    fn undelivered_events(&mut self, events: &Bytes) -> Option<Bytes> {
+        let mut undelivered = VecDeque::new();
         for event in split_events(events) {
             match self.progress.classify(event_id(&event)) {
-                Delivery::Forward => passed.push_back(event),
+                Delivery::Forward => undelivered.push_back(event),
                 Delivery::Duplicate => {}
                 Delivery::Gap => return None,
             }
         }
-        match passed.len() {
+        match undelivered.len() {
             0 => Some(Bytes::new()),
-            1 => passed.pop_front(),
-            _ => Some(passed.into_iter().flatten().collect()),
+            1 => undelivered.pop_front(),
+            _ => Some(undelivered.into_iter().flatten().collect()),
         }
     }
 
-    fn broke_off(&mut self, run: Run) {
+    fn record_interruption(&mut self, run: TargetStream) {
         self.may_have_run = true;
-        self.tried.push(run.hold.target().incarnation.clone());
-        self.job.log_send(run.hold.target(), SendResult::BrokeOff);
-        run.hold.close(Some(HealthSample::Failure));
+        self.tried_targets
+            .push(run.slot.target().incarnation.clone());
+        self.job
+            .log_send(run.slot.target(), SendResult::StreamInterrupted);
+        run.slot.close(Some(HealthSample::Failure));
     }
 
     fn give_up(self) -> Response<Body> {
-        let why = match self.may_have_run {
-            true if self.job.left().is_zero() => Own::TooLate,
-            true => Own::AnswerLost,
-            false => Own::NotRun,
+        let reason = match self.may_have_run {
+            true if self.job.remaining().is_zero() => LocalError::DeadlineExceeded,
+            true => LocalError::ResponseLost,
+            false => LocalError::NotRun,
         };
-        self.job.own(why)
+        self.job.end_with_error(reason)
     }
 
-    /// Goes on with a stream that broke off; `None` if that cannot be done.
-    async fn resume(&mut self) -> Option<Box<Run>> {
-        let mut next_is_second_send = true;
+    /// Resumes an interrupted stream at another target; `None` if that is not possible.
+    async fn resume(&mut self) -> Option<Box<TargetStream>> {
+        let mut next_counts_as_retry = true;
         loop {
-            let started = self.start_again(next_is_second_send).await?;
-            next_is_second_send = !matches!(started, Started::Withheld);
+            let started = self.start_another_run(next_counts_as_retry).await?;
+            next_counts_as_retry = !matches!(started, StartResult::Withheld);
             match started {
-                Started::Streams(run) => return Some(run),
-                Started::HeldBack(_) => return None,
-                Started::Failed(_) | Started::Unknown | Started::NotRun | Started::Withheld => {}
+                StartResult::Streaming(run) => return Some(run),
+                StartResult::Quarantined(_) => return None,
+                StartResult::ErrorResponse(_)
+                | StartResult::Unknown
+                | StartResult::NotRun
+                | StartResult::Withheld => {}
             }
         }
     }
@@ -366,59 +379,66 @@
     duration.as_secs_f64() * 1_000.0
 }
 
-/// Where a streaming answer stands.
-enum Position {
-    /// Events are at hand that were not passed on yet.
-    Ready(Box<Session>, Box<Run>, Bytes),
-    /// The next events have to be waited for.
-    Wait(Box<Session>, Box<Run>),
-    /// Nothing follows.
-    Over,
+/// The state of a streaming response body.
+enum BodyState {
+    /// These events were read and not forwarded yet.
+    Ready(Box<StreamSession>, Box<TargetStream>, Bytes),
+    /// The next events have to be read.
+    Reading(Box<StreamSession>, Box<TargetStream>),
+    /// The response is complete or has failed.
+    Finished,
 }
 
-fn streaming_response(session: Session, mut run: Box<Run>, first: Bytes) -> Response<Body> {
-    session.job.observe_answer();
+fn streaming_response(
+    session: StreamSession,
+    mut run: Box<TargetStream>,
+    first: Bytes,
+) -> Response<Body> {
+    session.job.observe_first_response();
     let headers = std::mem::take(&mut run.headers);
     let status = run.status;
-    let first = Position::Ready(Box::new(session), run, first);
-    let frames = unfold(first, |position| Box::pin(step(position)) as StepFuture);
+    let first = BodyState::Ready(Box::new(session), run, first);
+    let frames = unfold(first, |state| Box::pin(next_frame(state)) as NextFrame);
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-type StepFuture =
-    Pin<Box<dyn Future<Output = Option<(Result<Frame<Bytes>, BrokenAnswer>, Position)>> + Send>>;
+type NextFrame = Pin<
+    Box<dyn Future<Output = Option<(Result<Frame<Bytes>, IncompleteResponse>, BodyState)>> + Send>,
+>;
 
-async fn step(position: Position) -> Option<(Result<Frame<Bytes>, BrokenAnswer>, Position)> {
-    let (mut session, mut run) = match position {
-        Position::Ready(session, run, events) if !events.is_empty() => {
-            return Some((Ok(Frame::data(events)), Position::Wait(session, run)));
+async fn next_frame(
+    state: BodyState,
+) -> Option<(Result<Frame<Bytes>, IncompleteResponse>, BodyState)> {
+    let (mut session, mut run) = match state {
+        BodyState::Ready(session, run, events) if !events.is_empty() => {
+            return Some((Ok(Frame::data(events)), BodyState::Reading(session, run)));
         }
-        Position::Ready(session, run, _) | Position::Wait(session, run) => (session, run),
-        Position::Over => return None,
+        BodyState::Ready(session, run, _) | BodyState::Reading(session, run) => (session, run),
+        BodyState::Finished => return None,
     };
     loop {
-        match session.next(&mut run).await {
-            Next::Events(events) => {
-                return Some((Ok(Frame::data(events)), Position::Wait(session, run)));
+        match session.read_events(&mut run).await {
+            ReadResult::Events(events) => {
+                return Some((Ok(Frame::data(events)), BodyState::Reading(session, run)));
             }
-            Next::End => {
-                run.hold.close(Some(HealthSample::Success));
-                session.job.note_outlived();
+            ReadResult::End => {
+                run.slot.close(Some(HealthSample::Success));
+                session.job.report_target_survived();
                 session
                     .job
                     .finish("streamed", Some(StatusCode::OK.as_u16()));
                 return None;
             }
-            Next::Broken => {
-                session.broke_off(*run);
+            ReadResult::Interrupted => {
+                session.record_interruption(*run);
                 run = match session.resume().await {
                     Some(run) => run,
                     None => {
                         session.job.finish("cut", None);
-                        return Some((Err(BrokenAnswer), Position::Over));
+                        return Some((Err(IncompleteResponse), BodyState::Finished));
                     }
                 };
             }
--- a/crates/entry/src/streaming/events.rs
+++ b/crates/entry/src/streaming/events.rs
@@ -1,8 +1,8 @@
-//! Cutting bytes into whole events.
+//! Splits a byte buffer into events.
 
 use bytes::Bytes;
 
-/// Cuts whole events apart, each with its blank line.
+/// Splits complete events, each with the blank line that ends it.
 pub(super) fn split_events(events: &Bytes) -> Vec<Bytes> {
     let mut rest = events.clone();
     let mut parts = Vec::new();
@@ -13,16 +13,16 @@
 }
 
 fn event_length(bytes: &[u8]) -> Option<usize> {
-    let lf = find(bytes, b"\n\n").map(|at| at + 2);
-    let crlf = find(bytes, b"\r\n\r\n").map(|at| at + 4);
+    let lf = find(bytes, b"\n\n").map(|position| position + 2);
+    let crlf = find(bytes, b"\r\n\r\n").map(|position| position + 4);
     match (lf, crlf) {
         (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
         (lf, crlf) => lf.or(crlf),
     }
 }
 
-fn find(bytes: &[u8], border: &[u8]) -> Option<usize> {
+fn find(bytes: &[u8], separator: &[u8]) -> Option<usize> {
     bytes
-        .windows(border.len())
-        .position(|window| window == border)
+        .windows(separator.len())
+        .position(|window| window == separator)
 }
--- a/crates/entry/src/streaming/head.rs
+++ b/crates/entry/src/streaming/head.rs
@@ -1,4 +1,4 @@
-//! What the head of a target's answer to a stream means.
+//! Classifies the head of a target's response to a streaming request.
 
 use berylhook_traffic::dispatch::Load;
 use berylhook_traffic::health::HealthSample;
@@ -7,91 +7,102 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use crate::call::{Answer, Link, SendResult};
+use crate::call::{ConnectionGuard, SendResult, TargetResponse};
 use crate::connection_headers::strip_connection_headers;
-use crate::responses::{Body, promises_not_run, whole};
+use crate::responses::{Body, complete_response, implies_not_run};
 
-/// Largest answer of a target that refuses or fails a stream.
-const MAX_FAILURE_BYTES: usize = 1 << 20;
+/// Largest error response to a streaming request.
+const MAX_ERROR_BYTES: usize = 1 << 20;
 
-/// The beginning of a stream.
-pub(super) struct Stream {
+/// A stream with its response head.
+pub(super) struct StreamHead {
     pub(super) body: Incoming,
     pub(super) load: Option<Load>,
-    pub(super) link: Link,
+    pub(super) connection: ConnectionGuard,
     pub(super) headers: HeaderMap,
     pub(super) status: StatusCode,
 }
 
-/// What a target's answer begins with.
-pub(super) enum Head {
+/// The kind of a target's response.
+pub(super) enum ResponseKind {
     /// A stream.
-    Streams(Stream),
-    /// A failure of its own.
-    Failed(Box<Response<Body>>),
-    /// Nothing that could be passed on.
-    Nothing,
+    Stream(StreamHead),
+    /// A complete error response of the target.
+    Error(Box<Response<Body>>),
+    /// Nothing that can be forwarded.
+    Invalid,
 }
 
-/// What one send came to.
-pub(super) struct Judged {
-    pub(super) head: Head,
+/// The result of one send.
+pub(super) struct Classification {
+    pub(super) kind: ResponseKind,
     pub(super) result: SendResult,
 }
 
-impl Judged {
-    pub(super) fn failed(result: SendResult) -> Self {
+impl Classification {
+    pub(super) fn invalid(result: SendResult) -> Self {
         Self {
-            head: Head::Nothing,
+            kind: ResponseKind::Invalid,
             result,
         }
     }
 
-    /// What it says of the target. A refusal is common where a whole group
-    /// refuses, and says nothing of one rank.
-    pub(super) fn evidence(&self) -> Option<HealthSample> {
-        let is_refusal = matches!(self.result, SendResult::NotRun | SendResult::AsksForRest);
+    /// What the result says about the target's health. Refusals are common when a whole group
+    /// refuses requests, and say nothing about one rank.
+    pub(super) fn health_sample(&self) -> Option<HealthSample> {
+        let is_refusal = matches!(
+            self.result,
+            SendResult::NotRun | SendResult::BackoffRequested
+        );
         (!is_refusal).then_some(HealthSample::Failure)
     }
 }
 
-/// What a target's answer means.
-pub(super) async fn judge(answer: Answer) -> Judged {
-    let status = answer.response.status();
-    if answer.head.is_not_run {
-        return Judged::failed(SendResult::of_refusal(status, &answer.head));
+/// Classifies a target's response.
+pub(super) async fn classify(response: TargetResponse) -> Classification {
+    let status = response.http.status();
+    if response.head.is_not_run {
+        return Classification::invalid(SendResult::from_not_run(status, &response.head));
     }
-    let is_genuine = answer.head.is_sealed && !answer.head.is_encoded;
-    if !is_genuine || promises_not_run(status) {
-        return Judged::failed(SendResult::BrokenAnswer);
+    let is_genuine = response.head.is_sealed && !response.head.is_encoded;
+    if !is_genuine || implies_not_run(status) {
+        return Classification::invalid(SendResult::InvalidResponse);
     }
-    let (parts, body) = answer.response.into_parts();
+    let (parts, body) = response.http.into_parts();
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
     if !status.is_success() {
-        return failure(status, headers, body).await;
+        return read_error_response(status, headers, body).await;
     }
-    // A run at another target may make the answer longer or shorter.
+    // After a resume at another target, the response may be longer or shorter.
     headers.remove(CONTENT_LENGTH);
-    Judged {
-        head: Head::Streams(Stream {
+    Classification {
+        kind: ResponseKind::Stream(StreamHead {
             body,
-            load: answer.head.load,
-            link: answer.link,
+            load: response.head.load,
+            connection: response.connection,
             headers,
             status,
         }),
-        result: SendResult::Streams,
+        result: SendResult::StreamStarted,
     }
 }
 
-/// A failure of the target's own, if it comes whole.
-async fn failure(status: StatusCode, headers: HeaderMap, body: Incoming) -> Judged {
-    match Limited::new(body, MAX_FAILURE_BYTES).collect().await {
-        Ok(body) => Judged {
-            head: Head::Failed(Box::new(whole(status, headers, body.to_bytes()))),
-            result: SendResult::Failed,
+/// Reads an error response of the target; it can be forwarded only if it is complete.
+async fn read_error_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Incoming,
+) -> Classification {
+    match Limited::new(body, MAX_ERROR_BYTES).collect().await {
+        Ok(body) => Classification {
+            kind: ResponseKind::Error(Box::new(complete_response(
+                status,
+                headers,
+                body.to_bytes(),
+            ))),
+            result: SendResult::ErrorResponse,
         },
-        Err(_) => Judged::failed(SendResult::BrokenAnswer),
+        Err(_) => Classification::invalid(SendResult::InvalidResponse),
     }
 }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,30 +1,31 @@
-//! An entry's settings: what is optional, and what is refused.
+//! Optional settings of an entry, and settings that are rejected.
 
 use berylhook_entry::settings::EntrySettings;
 
-fn settings(node: &str) -> String {
+fn settings_with(node_line: &str) -> String {
     format!(
-        "[node]\nname = entry-1\ndata_centre = here\n{node}\n\
+        "[node]\nname = entry-1\ndata_centre = here\n{node_line}\n\
          [listen]\ncallers = 10.0.0.1:1\nready = 10.0.0.1:2\npeers = 10.0.0.1:3\n\
          [store]\naddress = 10.0.0.9:1\n"
     )
 }
 
 #[test]
-fn the_share_of_a_processor_is_the_whole_where_none_is_named() {
-    let whole = EntrySettings::parse(&settings("")).expect("it is valid");
-    let named = EntrySettings::parse(&settings("processor_share = 0.18")).expect("it is valid");
+fn processor_share_defaults_to_one() {
+    let default = EntrySettings::parse(&settings_with("")).expect("the settings are valid");
+    let explicit = EntrySettings::parse(&settings_with("processor_share = 0.18"))
+        .expect("the settings are valid");
 
-    assert!((whole.processor_share - 1.0).abs() < f64::EPSILON);
-    assert!((named.processor_share - 0.18).abs() < f64::EPSILON);
+    assert!((default.processor_share - 1.0).abs() < f64::EPSILON);
+    assert!((explicit.processor_share - 0.18).abs() < f64::EPSILON);
 }
 
 #[test]
-fn a_share_of_a_processor_that_is_none_is_refused() {
+fn invalid_processor_share_is_rejected() {
     for share in ["0", "-1", "NaN", "much"] {
-        let text = settings(&format!("processor_share = {share}"));
+        let text = settings_with(&format!("processor_share = {share}"));
 
-        let error = EntrySettings::parse(&text).expect_err("it is no share");
+        let error = EntrySettings::parse(&text).expect_err("the share is not valid");
 
         let message = error.to_string();
         assert!(message.contains("processor_share"), "{message}");
