--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -100,8 +100,8 @@
 }
 
 impl Drop for Job {
-    // A disconnected caller drops its request at any await point. Without this log line, such a
-    // request could not be told from one that never arrived.
+    // A disconnected caller drops its request at any await point. Without this log line, the logs
+    // would not show that the request had arrived.
     fn drop(&mut self) {
         if !self.record.is_end_logged.load(Ordering::Relaxed) {
             self.report_caller_disconnected();
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -57,8 +57,8 @@
 /// Time between two discovery rounds.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Delay of the next round if the last one discovered new entries. They must learn of this entry
-/// before its callers arrive.
+/// Delay of the next round if the last one discovered new entries or got no reply. New entries
+/// must learn of this one before its callers arrive.
 const DISCOVERY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Maximum of concurrent queries. A peer that does not respond must not delay the others, and a
@@ -68,7 +68,7 @@
 /// Consecutive failed queries after which a peer is removed.
 const MAX_FAILURES: u32 = 3;
 
-/// A peer with at least this multiple of this process's processor share is preferred as leader.
+/// A peer whose processor share exceeds that of this process by this factor is preferred as leader.
 const LARGER_PEER_FACTOR: f64 = 1.5;
 
 /// A query to a peer.
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -105,7 +105,7 @@
         self.queue.admit(&self.target.incarnation)
     }
 
-    /// Releases the slot, with the run's evidence on the target's health.
+    /// Releases the slot and reports the sample of the target's health, if there is one.
     pub(crate) fn close(mut self, health_sample: Option<HealthSample>) {
         self.is_open = false;
         self.release(health_sample);
@@ -256,7 +256,7 @@
         slot.ok_or(SlotError::TimedOut)
     }
 
-    /// Waits for a slot. The wait is longer if a response can be expected, although a late one: a
+    /// Waits for a slot, longer than the usual limit if a late response can still be expected: a
     /// caller rejected now would return to a service in the same state.
     async fn wait_for_slot(
         self: &Arc<Self>,
--- a/crates/entry/src/responses.rs
+++ b/crates/entry/src/responses.rs
@@ -18,7 +18,7 @@
 pub(crate) type Body = UnsyncBoxBody<Bytes, IncompleteResponse>;
 
 /// The error of a response body that cannot be completed. It makes the HTTP server close the
-/// connection, so that the caller cannot take the truncated response for a complete one.
+/// connection, so that the caller cannot mistake the truncated response for a complete one.
 #[derive(Debug)]
 pub(crate) struct IncompleteResponse;
 
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -161,7 +161,7 @@
     sleep(DRAIN_DELAY).await;
     shared.stage.send_replace(ShutdownStage::Closing);
     log::info!("stopping: closing idle connections");
-    // An error here is that of the traffic thread, which is joined next.
+    // The sender is dropped without a message if the traffic thread panics; the join reports it.
     let _ = traffic_ended.await;
     Ok(())
 }
