--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -107,11 +107,11 @@
             return false;
         }
         let members = self.peers.limit_members();
-        let own = self.peers.own_address();
+        let own_address = self.peers.own_address();
         let home = self.with_coordinator(queue, |coordinator, now_ms| {
             coordinator.home(&members, now_ms)
         });
-        if home == own {
+        if home == own_address {
             self.allocate_and_notify(queue, &states, &members).await;
         } else {
             self.request_permits(queue, home, &states).await;
@@ -140,9 +140,9 @@
         states: &[(Incarnation, LimitState)],
         members: &Members,
     ) {
-        let own = self.peers.own_address();
+        let own_address = self.peers.own_address();
         let requested_ms = self.shared.clock.now_ms();
-        let grants = self.allocate_permits(queue, own, &permit_requests(states), members);
+        let grants = self.allocate_permits(queue, own_address, &permit_requests(states), members);
         queue.on_permits(&grants.unwrap_or_default(), requested_ms);
         let limits = states
             .iter()
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -161,10 +161,10 @@
     }
 
     fn add_peers(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        let own = self.own_address();
+        let own_address = self.own_address();
         let mut known = self.known.lock().expect("no holder panics");
         for address in addresses {
-            if address != own {
+            if address != own_address {
                 known.entry(address).or_default();
             }
         }
@@ -172,10 +172,10 @@
     }
 
     fn publish(&self, known: &IndexMap<SocketAddr, PeerState>) {
-        let own = self.shared.settings().processor_share;
+        let own_share = self.shared.settings().processor_share;
         let present = known.values().filter(|peer| peer.failures == 0);
         let mut shares = present.filter_map(|peer| peer.processor_share);
-        let has_more_cpu = shares.any(|share| share > own * LARGER_PEER_FACTOR);
+        let has_more_cpu = shares.any(|share| share > own_share * LARGER_PEER_FACTOR);
         self.shared
             .has_peer_with_more_cpu
             .send_replace(has_more_cpu);
@@ -210,11 +210,11 @@
     /// The addresses of all known peers and seeds, in random order.
     pub(crate) fn shuffled_addresses(&self) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no holder panics");
-        let own = self.own_address();
+        let own_address = self.own_address();
         let settings = self.shared.settings();
         let seeds = settings.seeds.iter().copied();
         let mut addresses: Vec<SocketAddr> = known.keys().copied().chain(seeds).collect();
-        addresses.retain(|address| *address != own);
+        addresses.retain(|address| *address != own_address);
         addresses.sort_unstable();
         addresses.dedup();
         addresses.shuffle(&mut rand::rng());
--- a/crates/entry/src/peers/limits.rs
+++ b/crates/entry/src/peers/limits.rs
@@ -26,10 +26,10 @@
     /// Seeds that have not replied yet count as known: an entry that has not reached any peer
     /// must not take a whole limit for itself.
     pub(crate) fn limit_members(&self) -> Members {
-        let own = self.own_address();
+        let own_address = self.own_address();
         let settings = self.shared.settings();
         let known = self.known.lock().expect("no holder panics");
-        let seeds = settings.seeds.iter().filter(|seed| **seed != own);
+        let seeds = settings.seeds.iter().filter(|seed| **seed != own_address);
         let uncontacted_seeds = seeds.filter(|seed| !known.contains_key(*seed)).copied();
         let senders = known.iter().filter(|(_, peer)| peer.may_send());
         let senders = senders.map(|(address, _)| *address);
@@ -37,9 +37,12 @@
             .iter()
             .filter(|(_, peer)| peer.failures == 0 && peer.sharing.is_some());
         let present = present.map(|(address, _)| *address);
-        let own_if_ready = self.shared.is_ready().then_some(own);
+        let own_if_ready = self.shared.is_ready().then_some(own_address);
         Members {
-            known: senders.chain(uncontacted_seeds).chain([own]).collect(),
+            known: senders
+                .chain(uncontacted_seeds)
+                .chain([own_address])
+                .collect(),
             present: present.chain(own_if_ready).collect(),
         }
     }
--- a/crates/entry/src/peers/membership.rs
+++ b/crates/entry/src/peers/membership.rs
@@ -37,7 +37,7 @@
     /// entry that missed a reply owns no targets until it replies again, as its callers are
     /// already moving to other entries.
     fn membership(&self) -> Membership {
-        let own = Member {
+        let own_member = Member {
             address: self.own_address(),
             data_centre: Arc::clone(&self.shared.settings().data_centre),
             demand_per_s: *self.demand_per_s.lock().expect("no holder panics"),
@@ -52,7 +52,7 @@
                 demand_per_s: sharing.demand_per_s,
             })
         });
-        Membership::new(own, others)
+        Membership::new(own_member, others)
     }
 
     /// Measures this entry's demand and keeps the division of the targets up to date.
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -25,7 +25,7 @@
 
 /// Fraction of the remaining time for one target if another one may be tried after it. A target
 /// that hangs then costs less than half of the caller's time.
-const FIRST_ATTEMPT_FRACTION: f64 = 0.4;
+const NON_FINAL_ATTEMPT_FRACTION: f64 = 0.4;
 
 /// The result of one attempt at one target.
 enum AttemptResult {
@@ -83,7 +83,7 @@
         let may_repeat = job.route.retry_policy.allows_second_run();
         let is_last = history.send_count + 1 >= job.route.max_targets;
         let attempt_timeout = if may_repeat && !is_last {
-            job.remaining().mul_f64(FIRST_ATTEMPT_FRACTION)
+            job.remaining().mul_f64(NON_FINAL_ATTEMPT_FRACTION)
         } else {
             job.remaining()
         };
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -93,8 +93,8 @@
         // The receiver is gone if the control thread has failed to start.
         let _ = started_sender.send(());
         serve_callers(listener, Arc::clone(shared)).await;
-        let grace = grace_left(shared);
-        if timeout(grace, shared.connections.wait_until_drained())
+        let drain_timeout = remaining_grace(shared);
+        if timeout(drain_timeout, shared.connections.wait_until_drained())
             .await
             .is_err()
         {
@@ -104,7 +104,7 @@
     })
 }
 
-fn grace_left(shared: &Shared) -> Duration {
+fn remaining_grace(shared: &Shared) -> Duration {
     Duration::from_millis(shared.settings().grace_ms).saturating_sub(DRAIN_DELAY + EXIT_MARGIN)
 }
 
@@ -168,12 +168,12 @@
 
 /// Returns a future that completes at SIGTERM. It reloads the settings at SIGHUP and regularly.
 fn stop_signal(shared: Arc<Shared>, path: PathBuf) -> anyhow::Result<impl Future<Output = ()>> {
-    let mut term = signal(SignalKind::terminate()).context("signals cannot be handled")?;
+    let mut terminate = signal(SignalKind::terminate()).context("signals cannot be handled")?;
     let mut hangup = signal(SignalKind::hangup()).context("signals cannot be handled")?;
     Ok(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => return,
+                _ = terminate.recv() => return,
                 _ = hangup.recv() => reload(&shared, &path),
                 // The platform may change the file without a signal.
                 () = sleep(RELOAD_INTERVAL) => reload(&shared, &path),
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -66,31 +66,31 @@
     let mut stage = shared.stage.subscribe();
     let open_connection = shared.connections.open();
     let service = service_fn(move |request| respond(Arc::clone(&shared), request));
-    let served = http1::Builder::new()
+    let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle_timeout + IDLE_GRACE)
         .max_buf_size(max_head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(served);
+    tokio::pin!(connection);
     let is_closing = tokio::select! {
-        _ended = &mut served => false,
+        _ended = &mut connection => false,
         _ = stage.wait_for(|stage| *stage == ShutdownStage::Closing) => true,
     };
     if is_closing {
-        served.as_mut().graceful_shutdown();
+        connection.as_mut().graceful_shutdown();
         // An error means that the caller disconnected, or that a response was truncated on
         // purpose.
-        let _ = served.await;
+        let _ = connection.await;
     }
     open_connection.close();
 }
 
 fn set_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let set = stream
+    let result = stream
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
-    if let Err(error) = set {
+    if let Err(error) = result {
         log::warn!(reason:% = error; "a connection's options cannot be set");
     }
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -91,7 +91,7 @@
 
 impl Shared {
     pub(crate) fn new(settings: EntrySettings) -> Self {
-        let own = Member {
+        let own_member = Member {
             address: settings.peer_address,
             data_centre: Arc::clone(&settings.data_centre),
             demand_per_s: None,
@@ -99,7 +99,7 @@
         let clock = Clock::start();
         let metrics = Arc::new(Metrics::new());
         Self {
-            membership: Mutex::new(Membership::new(own, [])),
+            membership: Mutex::new(Membership::new(own_member, [])),
             arrival_count: AtomicU64::new(0),
             settings: ArcSwap::from_pointee(settings),
             clock,
@@ -187,8 +187,8 @@
         }
         let queues = self.queues.lock().expect("no holder panics").clone();
         for (name, queue) in &queues {
-            let of_service = targets.iter().filter(|target| target.service == *name);
-            queue.set_targets(of_service.copied());
+            let service_targets = targets.iter().filter(|target| target.service == *name);
+            queue.set_targets(service_targets.copied());
             queue.set_engine_update(&self.engine_update.borrow());
         }
     }
