--- /dev/null
+++ b/crates/entry/src/peers/leadership.rs
@@ -0,0 +1,138 @@
+//! Engine updates that a leader sends the other entries, and the transfer of leadership.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use berylhook_calls::{Call, CallError, Connection, serve};
+use berylhook_core::time::MonoMs;
+use berylhook_groups::handover::{LeadershipTransfer, Successors, TransferResult};
+use berylhook_traffic::engine_update::EngineUpdate;
+use bytes::Bytes;
+use futures_util::future::BoxFuture;
+use futures_util::{StreamExt, stream};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use super::{Peers, REPLY_TIMEOUT};
+
+/// HTTP path of engine updates.
+pub(super) const ENGINE_UPDATE_PATH: &str = "/notice";
+
+/// HTTP path of leadership transfers.
+pub(super) const TRANSFER_PATH: &str = "/lead";
+
+/// Time between two updates while nothing changes, for peers that missed one.
+const ENGINE_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Maximum of updates in flight at the same time.
+const MAX_CONCURRENT_UPDATES: usize = 16;
+
+/// How long a leader's update stays valid without another one. A new leader is elected within
+/// this time.
+const ENGINE_UPDATE_TTL_MS: u64 = 6_000;
+
+impl Peers {
+    pub(super) async fn handle_engine_update(
+        &self,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
+        let Some(update) = serve::read_json::<EngineUpdate>(request).await else {
+            return serve::plain(StatusCode::BAD_REQUEST, "send a notice in JSON");
+        };
+        self.apply_engine_update(update);
+        serve::plain(StatusCode::OK, "")
+    }
+
+    /// Accepts a transfer of leadership. An entry that is itself stopping refuses, so that the
+    /// leader tries another one.
+    pub(super) async fn handle_transfer(
+        &self,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
+        let Some(transfer) = serve::read_json::<LeadershipTransfer>(request).await else {
+            return serve::plain(StatusCode::BAD_REQUEST, "send a transfer in JSON");
+        };
+        if *self.shared.is_stopping.borrow() {
+            return serve::plain(StatusCode::SERVICE_UNAVAILABLE, "this entry stops too");
+        }
+        log::info!(service = &*transfer.service, fence = transfer.fence; "accepted a leadership transfer");
+        self.last_transfer.send_replace(Some(transfer));
+        serve::plain(StatusCode::OK, "")
+    }
+
+    fn apply_engine_update(&self, update: EngineUpdate) {
+        let slow_engines = update.slowdowns.len();
+        let closed_groups = update.groups.iter().filter(|group| !group.is_open).count();
+        log::info!(slow_engines, closed_groups; "applying a leader's engine update");
+        let now_ms = self.shared.clock.now_ms();
+        self.engine_update_ms.store(now_ms.0, Ordering::Relaxed);
+        self.shared.set_engine_update(update);
+    }
+
+    /// Sends the engine updates of this process to the peers while it leads, and otherwise
+    /// expires the update of a previous leader.
+    pub(crate) async fn publish_engine_updates(
+        self: Arc<Self>,
+        mut updates: watch::Receiver<Option<EngineUpdate>>,
+    ) {
+        loop {
+            let current = updates.borrow_and_update().clone();
+            match current {
+                Some(update) => self.send_to_all(update).await,
+                None => self.expire_engine_update(),
+            }
+            // The sender closes only at the end of the process.
+            let _ = timeout(ENGINE_UPDATE_INTERVAL, updates.changed()).await;
+        }
+    }
+
+    /// Sends the update to all peers concurrently: a peer that does not respond must not keep the
+    /// others from learning that a group has closed.
+    async fn send_to_all(&self, update: EngineUpdate) {
+        self.apply_engine_update(update.clone());
+        let update = &update;
+        let sends = self
+            .shuffled_addresses()
+            .into_iter()
+            .map(|address| async move {
+                let call = Call::post(ENGINE_UPDATE_PATH.to_owned(), update, REPLY_TIMEOUT);
+                if let Err(error) = Connection::new(address).call(call).await {
+                    log::debug!(reason:% = error; "a peer did not accept an engine update");
+                }
+            });
+        stream::iter(sends)
+            .buffer_unordered(MAX_CONCURRENT_UPDATES)
+            .collect::<()>()
+            .await;
+    }
+
+    fn expire_engine_update(&self) {
+        let received_ms = MonoMs(self.engine_update_ms.load(Ordering::Relaxed));
+        let age_ms = self.shared.clock.now_ms().since(received_ms);
+        if age_ms > ENGINE_UPDATE_TTL_MS {
+            self.shared.set_engine_update(EngineUpdate::default());
+        }
+    }
+}
+
+impl Successors for Peers {
+    fn transfer(&self, transfer: LeadershipTransfer) -> BoxFuture<'_, TransferResult> {
+        Box::pin(async move {
+            for address in self.shuffled_addresses() {
+                let call = Call::post(TRANSFER_PATH.to_owned(), &transfer, REPLY_TIMEOUT);
+                match Connection::new(address).call(call).await {
+                    Ok(_) => return TransferResult::Accepted,
+                    Err(CallError::Unknown { .. }) => return TransferResult::Unknown,
+                    Err(error @ (CallError::NotSent { .. } | CallError::Status { .. })) => {
+                        log::info!(reason:% = error; "a peer did not accept a leadership transfer");
+                    }
+                }
+            }
+            TransferResult::Refused
+        })
+    }
+}
--- /dev/null
+++ b/crates/entry/src/store_watch.rs
@@ -0,0 +1,228 @@
+//! Watches the store: one long-poll watch per topic, for the lifetime of the process.
+//!
+//! Each topic has its own watch. A single watch over all keys would wake every entry at each
+//! switch of an expert map, and every watch that returns is billed.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use berylhook_core::position::Position;
+use berylhook_platform::store::{Store, StoreError, Topic, Watched};
+use berylhook_quarantine::stored;
+use tokio::time::sleep;
+
+use crate::control::{Control, WatchedTopic};
+
+/// Prefix of the keys that elect the groups' leaders.
+const LEADER_PREFIX: &str = "berylhook/leader/";
+
+/// Longest wait of one watch; the platform allows 30 s. Dead connections are detected by
+/// keepalive probes, not by the end of the wait.
+const WATCH_WAIT_MS: u64 = 25_000;
+
+/// Wait of the first watch after a failure, which tests whether the store responds again.
+const RECOVERY_WATCH_WAIT_MS: u64 = 1;
+
+/// Pause between a watch that returned and the next one. Changes come in bursts and each call is
+/// billed; the pause adds little to the seconds that a change may take to arrive.
+const WATCH_PAUSE: Duration = Duration::from_millis(100);
+
+/// Pause between watches of the target list. Hundreds of targets register within seconds, and
+/// with fifty entries each change is billed fifty times. The first change of a burst is still
+/// delivered at once, and a target that is leaving may get requests for another two seconds.
+const TARGETS_WATCH_PAUSE: Duration = Duration::from_millis(400);
+
+/// Shortest and longest retry delay after a failed call. All processes share the store and must
+/// not retry at the same moment.
+const RETRY_MIN_MS: u64 = 100;
+const RETRY_MAX_MS: u64 = 600;
+
+/// Shortest outage of the store during which targets' list entries may have expired.
+const MIN_OUTAGE_MS: u64 = 700;
+
+fn store_topic(topic: WatchedTopic) -> Topic<'static> {
+    match topic {
+        WatchedTopic::Configuration => Topic::Configuration,
+        WatchedTopic::Targets => Topic::Targets,
+        WatchedTopic::Leaders => Topic::Own(LEADER_PREFIX),
+        WatchedTopic::Quarantine => Topic::Own(stored::PREFIX),
+    }
+}
+
+fn watch_pause(topic: WatchedTopic) -> Duration {
+    match topic {
+        WatchedTopic::Targets => TARGETS_WATCH_PAUSE,
+        WatchedTopic::Configuration | WatchedTopic::Leaders | WatchedTopic::Quarantine => {
+            WATCH_PAUSE
+        }
+    }
+}
+
+/// Whether the store responds to one task's calls, and since when it does not.
+struct StoreAvailability {
+    topic: WatchedTopic,
+    failures: u32,
+    failing_since_ms: Option<u64>,
+}
+
+/// Watches one topic for the lifetime of the process.
+pub(crate) async fn watch_store(control: Arc<Control>, topic: WatchedTopic) {
+    let mut store = control.open_store();
+    let mut availability = StoreAvailability {
+        topic,
+        failures: 0,
+        failing_since_ms: None,
+    };
+    let mut position = None;
+    loop {
+        let update = match position {
+            None => read_topic(&control, &mut store, topic, &mut availability).await,
+            Some(position) => {
+                let wait_ms = availability.watch_wait_ms();
+                watch_once(&control, &mut store, topic, position, wait_ms).await
+            }
+        };
+        match update {
+            Ok(Update::Read(read)) => position = Some(read),
+            Ok(Update::Watched(watched)) => {
+                availability.record_success(&control);
+                position = Some(watched.position);
+                control.apply_watched(watched);
+                sleep(watch_pause(topic)).await;
+            }
+            Err(StoreError::HistoryGone) => {
+                log::info!(topic = topic.name(); "the store no longer has the history since the last watch; reading all keys");
+                position = None;
+            }
+            Err(StoreError::Restored) => {
+                log::warn!(topic = topic.name(); "the store was restored from an older copy; reading all keys");
+                position = None;
+            }
+            Err(error) => {
+                availability.record_failure(&control, &error);
+                sleep(availability.retry_delay()).await;
+                store = control.reopen_store(store);
+            }
+        }
+    }
+}
+
+enum Update {
+    /// The keys were read; the next watch starts at this position.
+    Read(Position),
+    Watched(Watched),
+}
+
+async fn read_topic(
+    control: &Control,
+    store: &mut Store,
+    topic: WatchedTopic,
+    availability: &mut StoreAvailability,
+) -> Result<Update, StoreError> {
+    let position = match topic {
+        WatchedTopic::Configuration => {
+            let read = store.configuration().await;
+            count_call(control, "read", &read);
+            let (document, position) = read?;
+            availability.record_success(control);
+            control.merge(document, None, "store");
+            position
+        }
+        WatchedTopic::Targets => {
+            let read = store.listing().await;
+            count_call(control, "read", &read);
+            let listing = read?;
+            availability.record_success(control);
+            let position = listing.position;
+            control.merge(None, Some(listing), "store");
+            position
+        }
+        WatchedTopic::Leaders => {
+            let read = store.position_of(LEADER_PREFIX).await;
+            count_call(control, "read", &read);
+            let position = read?;
+            availability.record_success(control);
+            control.leadership_changes.send_modify(|count| *count += 1);
+            position
+        }
+        WatchedTopic::Quarantine => {
+            let read = store.own_items(stored::PREFIX).await;
+            count_call(control, "read", &read);
+            let (items, position) = read?;
+            availability.record_success(control);
+            control.apply_quarantine(&items, position);
+            position
+        }
+    };
+    Ok(Update::Read(position))
+}
+
+async fn watch_once(
+    control: &Control,
+    store: &mut Store,
+    topic: WatchedTopic,
+    position: Position,
+    wait_ms: u64,
+) -> Result<Update, StoreError> {
+    let watched = tokio::select! {
+        watched = store.watch(store_topic(topic), position, wait_ms) => watched,
+        () = control.wait_for_restore_since(position) => Err(StoreError::Restored),
+    };
+    count_call(control, "watch", &watched);
+    Ok(Update::Watched(watched?))
+}
+
+fn count_call<T>(control: &Control, call: &'static str, result: &Result<T, StoreError>) {
+    let result = match result {
+        Ok(_) => "ok",
+        Err(StoreError::HistoryGone) => "history-gone",
+        Err(StoreError::Restored) => "restored",
+        Err(_) => "failed",
+    };
+    control.count_store_call(call, result);
+}
+
+impl StoreAvailability {
+    fn record_success(&mut self, control: &Control) {
+        control.set_topic_reachable(self.topic, true);
+        let Some(failing_since_ms) = self.failing_since_ms.take() else {
+            return;
+        };
+        let outage_ms = control.now_ms().0.saturating_sub(failing_since_ms);
+        let topic = self.topic.name();
+        log::info!(topic, away_ms = outage_ms, failures = self.failures; "the store responds again");
+        if self.topic == WatchedTopic::Targets && outage_ms >= MIN_OUTAGE_MS {
+            control.on_store_recovered();
+        }
+        self.failures = 0;
+    }
+
+    fn record_failure(&mut self, control: &Control, error: &StoreError) {
+        if self.failures == 0 {
+            let topic = self.topic.name();
+            log::warn!(topic, reason:% = error; "the store does not respond");
+        }
+        self.failures = self.failures.saturating_add(1);
+        let now_ms = control.now_ms().0;
+        self.failing_since_ms.get_or_insert(now_ms);
+        control.set_topic_reachable(self.topic, false);
+    }
+
+    /// The wait of the next watch.
+    ///
+    /// The first watch after a failure returns at once. A long one would return only at the next
+    /// change, and that change would be taken for one that happened during the outage.
+    fn watch_wait_ms(&self) -> u64 {
+        if self.failures > 0 {
+            RECOVERY_WATCH_WAIT_MS
+        } else {
+            WATCH_WAIT_MS
+        }
+    }
+
+    fn retry_delay(&self) -> Duration {
+        let doubled_ms = RETRY_MIN_MS << self.failures.min(8);
+        let max_ms = doubled_ms.min(RETRY_MAX_MS);
+        Duration::from_millis(max_ms / 2 + rand::random::<u64>() % (max_ms / 2))
+    }
+}
