--- a/crates/traffic/src/dispatch.rs
+++ b/crates/traffic/src/dispatch.rs
@@ -16,11 +16,11 @@
 //! | `outlook` | whether those who are late can still be served |
 //! | [`crate::concurrency`] | how many may run |
 
+mod forecast;
 mod outage;
-mod outlook;
-mod places;
-mod standstill;
-mod waiting;
+mod stall;
+mod target_table;
+mod wait_queue;
 
 use std::sync::Arc;
 
@@ -30,11 +30,11 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
+use self::forecast::Outlook;
 use self::outage::{GroupName, Outages};
-use self::outlook::Outlook;
-use self::places::Places;
-use self::standstill::Standstills;
-use self::waiting::{WaitQueue, Waiting};
+use self::stall::Standstills;
+use self::target_table::Places;
+use self::wait_queue::{WaitQueue, Waiting};
 use crate::concurrency::{
     ConcurrencyLimiter, FirstEvent, PassModel, PassObjective, SharedCapacity,
 };
