--- a/crates/traffic/src/dispatch.rs
+++ b/crates/traffic/src/dispatch.rs
@@ -1,20 +1,19 @@
-//! Who waits, who is placed where, and who is refused, for one service.
+//! Queueing, placement and refusal of the requests of one service.
 //!
-//! A request is placed at once if there is room. Otherwise it waits, more
-//! urgent ones first, for as long as waiting serves its caller: a refusal that
-//! comes early leaves time to come back, one that comes late does not. A
-//! request that would not be placed in that time, going by how fast places
-//! become free, is refused without waiting, unless it can be expected to be
-//! served late.
+//! A request is placed at once if a target has a free slot. Otherwise it is queued, more urgent
+//! requests first, for as long as queueing helps its caller: a caller that is refused early has
+//! time for a retry, one that is refused late does not. A request that is not expected to be placed
+//! within its wait limit, going by how often slots have become free, is refused without queueing,
+//! unless it is expected to be served late.
 //!
-//! | Part | Decides |
+//! | Module | Decides |
 //! |---|---|
-//! | `waiting` | the order of those who wait |
-//! | `places` | which target is next |
-//! | `outage` | which groups run at all |
-//! | `standstill` | which groups get no further with what they have |
-//! | `outlook` | whether those who are late can still be served |
-//! | [`crate::concurrency`] | how many may run |
+//! | `wait_queue` | the order of the queued requests |
+//! | `target_table` | which target gets the next request |
+//! | `outage` | which groups accept requests at all |
+//! | `stall` | which groups make no progress on the requests that they have |
+//! | `forecast` | whether requests that are already late can still be served |
+//! | [`crate::concurrency`] | how many requests may run at once |
 
 mod forecast;
 mod outage;
@@ -30,11 +29,11 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
-use self::forecast::Outlook;
+use self::forecast::Forecast;
 use self::outage::{GroupName, Outages};
-use self::stall::Standstills;
-use self::target_table::Places;
-use self::wait_queue::{WaitQueue, Waiting};
+use self::stall::StallDetector;
+use self::target_table::TargetTable;
+use self::wait_queue::{QueuedRequest, WaitQueue};
 use crate::concurrency::{
     ConcurrencyLimiter, FirstEvent, PassModel, PassObjective, SharedCapacity,
 };
@@ -44,329 +43,328 @@
 use crate::ownership::Membership;
 use crate::target::{Incarnation, Target};
 
-/// Weight of a newly measured interval between two freed places.
-const FREED_WEIGHT: f64 = 0.2;
+/// Weight of the newest interval between two freed slots in the moving average.
+const SLOT_INTERVAL_WEIGHT: f64 = 0.2;
 
-/// Least work that a generation is taken to add to a step.
-const LEAST_WORK_MS: f64 = 0.001;
+/// Lower bound for the time that a generation adds to a step: this time is a divisor.
+const MIN_WORK_MS: f64 = 0.001;
 
-/// A target from which nothing has come for this long, while others of its
-/// service bring events, is silent.
-const TARGET_SILENT_MS: u64 = 600;
+/// A target is silent if none of its streams got an event for this long, while other targets of its
+/// service deliver events.
+const SILENCE_TIMEOUT_MS: u64 = 600;
 
-/// A waiting request.
+/// Identifies a submitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What a target said of its load in an answer.
+/// The load that a target reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests being worked on.
+    /// Requests that the target is working on.
     pub running: u32,
-    /// Requests waiting at the target.
+    /// Requests that are queued at the target.
     pub waiting: u32,
 }
 
-/// What becomes of a request that arrives.
+/// What happened to a submitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// Send it to this target.
+    /// The request occupies a slot at this target and is to be sent there.
     Placed(Target),
-    /// It waits; [`Dispatcher::next`] places it.
+    /// The request is queued; [`Dispatcher::place_next`] places it.
     Queued,
-    /// It would not be placed in time.
+    /// The request is not expected to be placed in time.
     Refused,
 }
 
-/// What a request asks of the dispatcher.
+/// The urgency of a request and how long it may wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRequest {
-    /// How urgent it is; 0 is first.
+    /// Urgency of the request; 0 is the most urgent.
     pub urgency: u32,
-    /// How long it is willing to wait while the service runs.
+    /// Longest wait for a slot that still allows a response in time.
     pub wait_limit_ms: u64,
-    /// How long it is willing to wait for a late answer.
+    /// Longest wait for a slot if the response will be late.
     pub late_wait_limit_ms: u64,
-    /// Placed up to this moment, it can still be answered within its goal.
+    /// If placed up to this time, the request can still meet its latency objective.
     pub on_time_until_ms: MonoMs,
 }
 
-/// The waiting, placed and refused requests of one service.
+/// The queued and running requests of one service.
 pub struct Dispatcher {
-    places: Places,
+    targets: TargetTable,
     queue: WaitQueue,
     outages: Outages,
-    standstills: Standstills,
-    /// Groups that came to stand still since this was last taken.
-    stopped: Vec<GroupName>,
-    outlook: Outlook,
-    concurrency: Option<ConcurrencyLimiter>,
-    /// Time of a pass in which nothing runs.
+    stall_detector: StallDetector,
+    /// Groups that have stalled since [`Self::take_stalled_groups`] was last called.
+    stalled_groups: Vec<GroupName>,
+    forecast: Forecast,
+    limiter: Option<ConcurrencyLimiter>,
+    /// Duration of a forward pass in which no generation runs.
     empty_pass_ms: f64,
     running: usize,
-    freed_every_ms: f64,
-    freed_ms: MonoMs,
+    mean_slot_interval_ms: f64,
+    slot_freed_ms: MonoMs,
 }
 
 impl Dispatcher {
-    /// A service without targets, shared by the entries of `membership`.
+    /// Creates a dispatcher without targets. The entries of `membership` share the targets.
     #[must_use]
     pub fn new(membership: Membership, engine: Option<&EngineModel>) -> Self {
-        let per_sequence_ms = engine.map_or(1.0, |it| it.per_sequence_ms.max(LEAST_WORK_MS));
-        let step_ms = engine.map_or(0.0, |it| it.step_ms);
+        let per_sequence_ms = engine.map_or(1.0, |engine| engine.per_sequence_ms.max(MIN_WORK_MS));
+        let step_ms = engine.map_or(0.0, |engine| engine.step_ms);
         let model = engine.map(PassModel::for_engine);
         Self {
-            places: Places::new(membership, step_ms / per_sequence_ms),
+            targets: TargetTable::new(membership, step_ms / per_sequence_ms),
             queue: WaitQueue::default(),
             outages: Outages::default(),
-            standstills: Standstills::default(),
-            stopped: Vec::new(),
-            outlook: Outlook::default(),
-            empty_pass_ms: model.map_or(0.0, |it| it.empty_pass_ms),
-            concurrency: model.map(ConcurrencyLimiter::new),
+            stall_detector: StallDetector::default(),
+            stalled_groups: Vec::new(),
+            forecast: Forecast::default(),
+            empty_pass_ms: model.map_or(0.0, |model| model.empty_pass_ms),
+            limiter: model.map(ConcurrencyLimiter::new),
             running: 0,
-            freed_every_ms: 0.0,
-            freed_ms: MonoMs(0),
+            mean_slot_interval_ms: 0.0,
+            slot_freed_ms: MonoMs(0),
         }
     }
 
-    /// Takes over the targets that may get requests.
+    /// Replaces the targets that may get requests.
     ///
-    /// What runs at a target that is no longer among them still counts until
-    /// it ends.
+    /// Requests that run at a target that was removed still count until they end.
     pub fn set_targets<'a>(&mut self, targets: impl Iterator<Item = &'a Target>) {
-        self.places.set(targets);
-        self.resize();
+        self.targets.set_targets(targets);
+        self.update_capacity();
     }
 
-    /// This process has just started, and may do so together with all others: the service
-    /// may have been down until now.
+    /// Notes that this process has just started. All other processes may have started at the same
+    /// time, so the service may have been down until now.
     pub fn on_process_start(&mut self, now_ms: MonoMs) {
-        self.outlook.on_outage(now_ms);
+        self.forecast.on_outage(now_ms);
     }
 
     /// Whether the target may get requests.
     #[must_use]
-    pub fn has_target(&self, of: &Incarnation) -> bool {
-        self.places.contains(of)
+    pub fn has_target(&self, incarnation: &Incarnation) -> bool {
+        self.targets.contains(incarnation)
     }
 
-    /// Takes over who shares the targets.
+    /// Replaces the entries that share the targets.
     pub fn set_membership(&mut self, membership: Membership) {
-        self.places.set_membership(membership);
-        self.resize();
+        self.targets.set_membership(membership);
+        self.update_capacity();
     }
 
-    /// Takes over a leader's word on the targets.
-    pub fn set_engine_update(&mut self, news: &EngineUpdate, now_ms: MonoMs) {
-        self.places.set_paces(&news.slowdowns);
-        self.places.set_groups(&news.groups);
-        if self.outages.on_news(&news.groups, now_ms) {
-            self.outlook.on_outage(now_ms);
-            self.resize();
+    /// Applies a leader's update on the slowdowns and the states of the groups.
+    pub fn set_engine_update(&mut self, update: &EngineUpdate, now_ms: MonoMs) {
+        self.targets.set_slowdowns(&update.slowdowns);
+        self.targets.set_groups(&update.groups);
+        if self.outages.on_group_update(&update.groups, now_ms) {
+            self.forecast.on_outage(now_ms);
+            self.update_capacity();
         }
     }
 
-    /// The bound is one on groups that run: what a lost group carried must not be put on
-    /// top of what the others do.
-    fn resize(&mut self) {
+    /// Counts only the slots of groups that are up: the load of a lost group must not be added to
+    /// that of the remaining groups.
+    fn update_capacity(&mut self) {
         let outages = &self.outages;
-        let (engines, slots) = self.places.carried_by(|group| !outages.is_down(group));
+        let (engines, slots) = self.targets.capacity_of(|group| !outages.is_down(group));
         let (engines, slots) = match engines {
-            0 => self.places.carried_by(|_| true),
+            0 => self.targets.capacity_of(|_| true),
             engines => (engines, slots),
         };
-        let size = SharedCapacity {
+        let capacity = SharedCapacity {
             engines,
             slots,
-            share: self.places.equal_share(),
+            share: self.targets.equal_share(),
         };
-        if let Some(concurrency) = &mut self.concurrency {
-            concurrency.set_capacity(size);
-            self.places.expect_running(concurrency.limit());
+        if let Some(limiter) = &mut self.limiter {
+            limiter.set_capacity(capacity);
+            self.targets.expect_running(limiter.limit());
         }
     }
 
-    /// The bound on what runs, if there is one.
+    /// The limit on concurrently running requests; `None` if the service has none.
     #[must_use]
     pub fn concurrency_limit(&self) -> Option<f64> {
-        self.concurrency.as_ref().map(ConcurrencyLimiter::limit)
+        self.limiter.as_ref().map(ConcurrencyLimiter::limit)
     }
 
-    /// A stream from the target got an event; returns whether its group stood still until
+    /// Records an event on a stream from the target; returns whether its group was stalled until
     /// now.
-    pub fn on_stream_event(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
-        self.outages.on_progress(now_ms);
-        self.places.on_progress(of, now_ms);
-        let group = self.places.group_of(of);
-        self.standstills.on_progress(&group, now_ms)
+    pub fn on_stream_event(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        self.outages.on_stream_event(now_ms);
+        self.targets.on_stream_event(incarnation, now_ms);
+        let group = self.targets.group_of(incarnation);
+        self.stall_detector.on_stream_event(&group, now_ms)
     }
 
-    /// Groups that came to stand still since this was last called, by name where it is known.
+    /// Groups that have stalled since the last call; `None` stands for targets of no known group.
     pub fn take_stalled_groups(&mut self) -> Vec<Option<Arc<str>>> {
-        std::mem::take(&mut self.stopped)
+        std::mem::take(&mut self.stalled_groups)
     }
 
-    fn look_for_standstills(&mut self, now_ms: MonoMs) {
-        for group in self.places.groups() {
-            let running = self.places.running_in(group);
-            if self.standstills.look(group, running, now_ms) {
-                self.stopped.push(group.clone());
-                self.outlook.on_outage(now_ms);
+    fn detect_stalls(&mut self, now_ms: MonoMs) {
+        for group in self.targets.groups() {
+            let running = self.targets.running_in(group);
+            if self.stall_detector.check(group, running, now_ms) {
+                self.stalled_groups.push(group.clone());
+                self.forecast.on_outage(now_ms);
             }
         }
     }
 
     /// Whether a request may be sent to the group now.
     fn may_send(&self, group: &GroupName, now_ms: MonoMs) -> bool {
-        let is_tried = self.standstills.is_still(group) && self.places.running_in(group) > 0;
-        !is_tried && self.outages.may_send(group, now_ms)
+        let is_probed = self.stall_detector.is_stalled(group) && self.targets.running_in(group) > 0;
+        !is_probed && self.outages.may_send(group, now_ms)
     }
 
-    /// Whether nothing comes from the target while others of the service bring
-    /// events.
+    /// Whether the target delivers no events while others of its service do.
     ///
-    /// All ranks of a group run each pass together, so a target that alone is
-    /// silent is not slow: it is cut off, or its VM is frozen. Its callers would
-    /// wait until they give up, while another target could answer them.
+    /// All ranks of a group run each forward pass together, so a single silent target is not slow:
+    /// it is disconnected or its VM is frozen. Its callers would wait until they give up, while
+    /// another target could serve them.
     #[must_use]
-    pub fn is_silent(&self, of: &Incarnation, now_ms: MonoMs) -> bool {
-        self.outages.progresses(now_ms) && self.places.silent_ms(of, now_ms) > TARGET_SILENT_MS
+    pub fn is_silent(&self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        self.outages.has_recent_events(now_ms)
+            && self.targets.silence_ms(incarnation, now_ms) > SILENCE_TIMEOUT_MS
     }
 
-    /// A stream got its first event.
+    /// Records the first event of a stream.
     pub fn on_first_event(&mut self, first: FirstEvent) {
-        if let Some(concurrency) = &mut self.concurrency {
-            concurrency.on_first_event(first);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.on_first_event(first);
         }
     }
 
-    /// A stream got an event `gap_ms` after the one before it; callers find a
-    /// pause of `pause_goal_ms` acceptable.
-    pub fn on_event_gap(&mut self, gap_ms: f64, pause_goal_ms: f64, now_ms: MonoMs) {
-        let goal = PassObjective {
-            pause_ms: pause_goal_ms,
-            min_pass_ms: self.empty_pass_ms * self.places.slowest(),
+    /// Records an event that came `gap_ms` after the previous one of its stream, where the route's
+    /// objective for such pauses is `pause_objective_ms`.
+    pub fn on_event_gap(&mut self, gap_ms: f64, pause_objective_ms: f64, now_ms: MonoMs) {
+        let objective = PassObjective {
+            pause_ms: pause_objective_ms,
+            min_pass_ms: self.empty_pass_ms * self.targets.max_slowdown(),
         };
-        if let Some(concurrency) = &mut self.concurrency {
-            concurrency.on_event_gap(gap_ms);
-            concurrency.adjust(goal, self.running, now_ms);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.on_event_gap(gap_ms);
+            limiter.adjust(objective, self.running, now_ms);
         }
     }
 
-    /// Requests that run, that wait, and targets that may get more.
+    /// The numbers of running requests, queued requests and targets.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.running, self.queue.len(), self.places.len())
+        (self.running, self.queue.len(), self.targets.len())
     }
 
-    /// A target refused a request although this entry had places for it; returns whether
-    /// its group is taken to be down from now on.
-    pub fn on_refused(&mut self, by: &Incarnation, now_ms: MonoMs) -> bool {
-        if self.concurrency.is_none() {
+    /// Records that a target refused a request although it should have had a free slot. Returns
+    /// whether its group was up and is considered down from now on.
+    pub fn on_refused(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        if self.limiter.is_none() {
             return false;
         }
-        let group = self.places.group_of(by);
-        let ran = self.outages.on_refused(&group, now_ms);
-        self.outlook.on_outage(now_ms);
-        if ran {
-            self.resize();
+        let group = self.targets.group_of(incarnation);
+        let was_up = self.outages.on_refused(&group, now_ms);
+        self.forecast.on_outage(now_ms);
+        if was_up {
+            self.update_capacity();
         }
-        ran
+        was_up
     }
 
-    /// A target accepted a request; returns whether its group was down.
-    pub fn on_accepted(&mut self, by: &Incarnation, now_ms: MonoMs) -> bool {
-        let group = self.places.group_of(by);
-        let is_back = self.outages.on_accepted(&group);
-        if is_back {
-            self.outlook.on_outage(now_ms);
-            self.resize();
+    /// Records that a target accepted a request; returns whether its group was down.
+    pub fn on_accepted(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        let group = self.targets.group_of(incarnation);
+        let has_recovered = self.outages.on_accepted(&group);
+        if has_recovered {
+            self.forecast.on_outage(now_ms);
+            self.update_capacity();
         }
-        is_back
+        has_recovered
     }
 
-    /// Whether those who wait can be expected to be served within `late_patience_ms`,
-    /// although late.
-    pub fn can_serve_late(&mut self, late_patience_ms: u64, now_ms: MonoMs) -> bool {
+    /// Whether the queued requests are expected to be served within `late_wait_limit_ms`, although
+    /// late.
+    pub fn can_serve_late(&mut self, late_wait_limit_ms: u64, now_ms: MonoMs) -> bool {
         let waiting = self.queue.len();
-        self.is_down() || self.outlook.serves(waiting, late_patience_ms, now_ms)
+        self.is_down() || self.forecast.can_serve(waiting, late_wait_limit_ms, now_ms)
     }
 
-    /// Whether the service refuses everything at present, or gets no further with what it
-    /// has.
+    /// Whether all groups of the service are down or stalled.
     #[must_use]
     pub fn is_down(&self) -> bool {
-        let mut groups = self.places.groups().peekable();
-        let is_down =
-            |group: &GroupName| self.outages.is_down(group) || self.standstills.is_still(group);
+        let mut groups = self.targets.groups().peekable();
+        let is_down = |group: &GroupName| {
+            self.outages.is_down(group) || self.stall_detector.is_stalled(group)
+        };
         groups.peek().is_some() && groups.all(is_down)
     }
 
-    /// A request arrives that is willing to wait for `patience_ms`.
+    /// Places or queues a request, or refuses it if it is not expected to be placed in time.
     pub fn submit(
         &mut self,
         ticket: Ticket,
-        wish: PlacementRequest,
+        request: PlacementRequest,
         random: u64,
         now_ms: MonoMs,
     ) -> SubmitOutcome {
-        self.outlook.on_arrival(now_ms);
-        self.look_for_standstills(now_ms);
-        let ahead = self.queue.ahead_of(wish.urgency);
-        if ahead == 0
+        self.forecast.on_arrival(now_ms);
+        self.detect_stalls(now_ms);
+        let preceding = self.queue.count_preceding(request.urgency);
+        if preceding == 0
             && let Some(target) = self.place(random, now_ms, true)
         {
             return SubmitOutcome::Placed(target);
         }
         #[allow(clippy::cast_precision_loss)] // short queues and waits
-        let needed_ms = (ahead as f64 + 1.0) * self.freed_every_ms;
+        let expected_wait_ms = (preceding as f64 + 1.0) * self.mean_slot_interval_ms;
         #[allow(clippy::cast_precision_loss)]
-        let is_timely = needed_ms <= wish.wait_limit_ms as f64;
-        if !is_timely && !self.can_serve_late(wish.late_wait_limit_ms, now_ms) {
+        let is_in_time = expected_wait_ms <= request.wait_limit_ms as f64;
+        if !is_in_time && !self.can_serve_late(request.late_wait_limit_ms, now_ms) {
             return SubmitOutcome::Refused;
         }
-        if self.min_backoff_left_ms(now_ms) > wish.wait_limit_ms.max(wish.late_wait_limit_ms) {
+        if self.min_backoff_left_ms(now_ms) > request.wait_limit_ms.max(request.late_wait_limit_ms)
+        {
             return SubmitOutcome::Refused;
         }
-        self.queue.push(Waiting {
+        self.queue.push(QueuedRequest {
             ticket,
-            urgency: wish.urgency,
-            timely_until_ms: wish.on_time_until_ms,
+            urgency: request.urgency,
+            on_time_until_ms: request.on_time_until_ms,
         });
         SubmitOutcome::Queued
     }
 
-    /// A waiting request gives up.
+    /// Removes a request that no longer waits from the queue.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
 
-    /// Places the first waiting request if there is room now.
+    /// Places the first queued request if a slot is free.
     pub fn place_next(&mut self, random: u64, now_ms: MonoMs) -> Option<(Ticket, Target)> {
         let ticket = self.queue.first(now_ms)?;
-        self.look_for_standstills(now_ms);
+        self.detect_stalls(now_ms);
         let target = self.place(random, now_ms, false)?;
         self.queue.remove(ticket);
         Some((ticket, target))
     }
 
-    /// Places a request that runs already at one more target, none of
-    /// `exclude`. It holds its place in the bound until
-    /// [`release`](Self::release).
+    /// Places a request that already runs at one more target, none of `exclude`. The additional
+    /// slot counts towards the concurrency limit until [`release`](Self::release) is called.
     pub fn place_additional(
         &mut self,
         exclude: &[Incarnation],
         random: u64,
         now_ms: MonoMs,
     ) -> Option<Target> {
-        self.look_for_standstills(now_ms);
+        self.detect_stalls(now_ms);
         let target = self.occupy(exclude, random, now_ms, true)?;
         self.running += 1;
         Some(target)
     }
 
-    /// Takes a place at a target whose group may get a request now.
+    /// Occupies a slot at a target whose group may get a request now.
     fn occupy(
         &mut self,
         exclude: &[Incarnation],
@@ -374,150 +372,162 @@
         now_ms: MonoMs,
         is_new: bool,
     ) -> Option<Target> {
-        let groups = self.places.groups().cloned();
-        let closed: Vec<GroupName> = groups
+        let groups = self.targets.groups().cloned();
+        let unavailable: Vec<GroupName> = groups
             .filter(|group| !self.may_send(group, now_ms))
             .collect();
-        let may_send = |group: &GroupName| !closed.contains(group);
+        let may_send = |group: &GroupName| !unavailable.contains(group);
         let target = self
-            .places
+            .targets
             .occupy(exclude, random, now_ms, is_new, may_send)?;
-        let group = self.places.group_of(&target.incarnation);
-        let others = self.places.running_in(&group).saturating_sub(1);
-        self.standstills.on_placed(&group, others, now_ms);
+        let group = self.targets.group_of(&target.incarnation);
+        let others = self.targets.running_in(&group).saturating_sub(1);
+        self.stall_detector.on_placed(&group, others, now_ms);
         self.outages.on_sent(&group, now_ms);
         Some(target)
     }
 
     fn place(&mut self, random: u64, now_ms: MonoMs, is_new: bool) -> Option<Target> {
         let is_open = |group: &GroupName| self.may_send(group, now_ms);
-        if !self.places.groups().any(is_open) {
+        if !self.targets.groups().any(is_open) {
             return None;
         }
         let running = self.running;
         let has_room = self
-            .concurrency
+            .limiter
             .as_mut()
-            .is_none_or(|concurrency| concurrency.has_room(running));
+            .is_none_or(|limiter| limiter.has_room(running));
         if !has_room {
             return None;
         }
         let target = self.occupy(&[], random, now_ms, is_new)?;
         self.running += 1;
-        self.outlook.on_placed(now_ms);
+        self.forecast.on_placed(now_ms);
         Some(target)
     }
 
-    /// A target told its load in an answer to one of this entry's requests.
-    pub fn on_load(&mut self, of: &Incarnation, load: Load, now_ms: MonoMs) {
-        self.places.on_load(of, load, now_ms);
+    /// Records the load that a target reported in a response to this entry.
+    pub fn on_load(&mut self, incarnation: &Incarnation, load: Load, now_ms: MonoMs) {
+        self.targets.on_load(incarnation, load, now_ms);
     }
 
-    /// A target said in an answer how much it takes; returns what is new.
+    /// Applies the backpressure signal of a response; returns what changed.
     pub fn on_signal(
         &mut self,
-        of: &Incarnation,
+        incarnation: &Incarnation,
         signal: BackpressureSignal,
         random: u64,
         now_ms: MonoMs,
     ) -> SignalUpdate {
-        self.places.on_signal(of, signal, random, now_ms)
+        self.targets.on_signal(incarnation, signal, random, now_ms)
     }
 
-    /// A target accepted a request; returns whether it was on trial after a rest until now.
-    pub fn end_backoff_trial(&mut self, of: &Incarnation, now_ms: MonoMs) -> bool {
-        self.places.on_accepted(of, now_ms)
+    /// Records that a target accepted a request; returns whether that ended the trial after a
+    /// backoff.
+    pub fn end_backoff_trial(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        self.targets.on_accepted(incarnation, now_ms)
     }
 
-    /// For how long all targets rest that do not leave; 0 if one does not, or there is none.
+    /// The shortest remaining backoff of the targets that are not leaving; 0 if one of them takes
+    /// requests, or there is none.
     #[must_use]
     pub fn min_backoff_left_ms(&self, now_ms: MonoMs) -> u64 {
-        self.places.all_rest_ms(now_ms)
+        self.targets.min_backoff_left_ms(now_ms)
     }
 
-    /// How much longer a target wants nothing from this entry.
+    /// Remaining time of the backoff that a target asked for.
     #[must_use]
-    pub fn backoff_left_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
-        self.places.rest_left_ms(of, now_ms)
+    pub fn backoff_left_ms(&self, incarnation: &Incarnation, now_ms: MonoMs) -> u64 {
+        self.targets.backoff_left_ms(incarnation, now_ms)
     }
 
-    /// A peer told of a target's limit; returns what is new.
+    /// Applies a peer's report on a target's rate limit; returns what changed.
     pub fn on_limit_report(
         &mut self,
-        of: &Incarnation,
+        incarnation: &Incarnation,
         limit: Option<RequestRate>,
-        heard_ms: MonoMs,
+        reported_ms: MonoMs,
     ) -> Option<LimitChange> {
-        self.places.on_limit_report(of, limit, heard_ms)
+        self.targets
+            .on_limit_report(incarnation, limit, reported_ms)
     }
 
-    /// Permits under a target's limit have come.
-    pub fn on_permits(&mut self, of: &Incarnation, count: u32, until_ms: MonoMs) {
-        self.places.on_permits(of, count, until_ms);
+    /// Adds permits that were granted under a target's rate limit.
+    pub fn on_permits(&mut self, incarnation: &Incarnation, count: u32, until_ms: MonoMs) {
+        self.targets.on_permits(incarnation, count, until_ms);
     }
 
-    /// Requests that did not go to the target chosen first, by why, since this was last
-    /// called.
+    /// Requests that could not go to their preferred target since the last call, by reason.
     pub fn take_withheld_counts(&mut self) -> IndexMap<WithheldReason, u32> {
-        self.places.take_kept_back()
+        self.targets.take_withheld_counts()
     }
 
-    /// What peers should know of the targets that name a limit, or did of late.
+    /// State of the rate limits of targets that have one, or had one recently, for peers.
     #[must_use]
     pub fn limit_states(&self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
-        self.places.limit_states(now_ms)
+        self.targets.limit_states(now_ms)
     }
 
-    /// The same, and counts the demand for permits anew from here.
+    /// Like [`limit_states`](Self::limit_states), but restarts the count of the demand for permits.
     pub fn take_limit_states(&mut self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
-        self.places.take_limit_states(now_ms)
+        self.targets.take_limit_states(now_ms)
     }
 
-    /// A placed request is about to be sent.
+    /// Checks that a placed request may still be sent to its target.
     ///
     /// # Errors
     ///
-    /// If its target takes none now: it has said so since the request was placed.
-    pub fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), WithheldReason> {
-        self.places.admit(of, now_ms)
+    /// If the target has stopped accepting requests since the request was placed.
+    pub fn admit(
+        &mut self,
+        incarnation: &Incarnation,
+        now_ms: MonoMs,
+    ) -> Result<(), WithheldReason> {
+        self.targets.admit(incarnation, now_ms)
     }
 
-    /// A placed request goes away unsent; [`release`](Self::release) follows.
-    pub fn cancel_unsent(&mut self, of: &Incarnation) {
-        self.places.leave_unsent(of);
+    /// Drops a placed request before it was sent; [`release`](Self::release) must follow.
+    pub fn cancel_unsent(&mut self, incarnation: &Incarnation) {
+        self.targets.cancel_unsent(incarnation);
     }
 
-    /// When a target takes a request again, by what they say; `None` if one does now, or all
-    /// are about to leave.
+    /// Time until a target accepts a request again, as announced by the targets; `None` if one
+    /// accepts requests now, or all are leaving.
     #[must_use]
     pub fn until_accepting_ms(&self, now_ms: MonoMs) -> Option<u64> {
-        self.places.takes_again_ms(now_ms)
+        self.targets.until_accepting_ms(now_ms)
     }
 
-    /// The limit that a target names.
+    /// The rate limit that a target announced.
     #[must_use]
-    pub fn rate_limit(&self, of: &Incarnation) -> Option<RequestRate> {
-        self.places.limit(of)
+    pub fn rate_limit(&self, incarnation: &Incarnation) -> Option<RequestRate> {
+        self.targets.rate_limit(incarnation)
     }
 
-    /// How many targets name a limit.
+    /// The number of targets that announced a rate limit.
     #[must_use]
     pub fn limited_target_count(&self) -> usize {
-        self.places.limited()
+        self.targets.limited_target_count()
     }
 
-    /// A request at the target ended; `evidence` is what it says of the target,
-    /// if anything.
-    pub fn release(&mut self, of: &Incarnation, evidence: Option<HealthSample>, now_ms: MonoMs) {
+    /// Frees the slot of a request that ended; `sample` is what its end shows of the target's
+    /// health, if anything.
+    pub fn release(
+        &mut self,
+        incarnation: &Incarnation,
+        sample: Option<HealthSample>,
+        now_ms: MonoMs,
+    ) {
         self.running = self.running.saturating_sub(1);
-        self.note_freed(now_ms);
-        self.places.release(of, evidence, now_ms);
+        self.record_slot_freed(now_ms);
+        self.targets.release(incarnation, sample, now_ms);
     }
 
     #[allow(clippy::cast_precision_loss)] // intervals are short
-    fn note_freed(&mut self, now_ms: MonoMs) {
-        let interval_ms = now_ms.since(self.freed_ms).min(1_000) as f64;
-        self.freed_every_ms += FREED_WEIGHT * (interval_ms - self.freed_every_ms);
-        self.freed_ms = now_ms;
+    fn record_slot_freed(&mut self, now_ms: MonoMs) {
+        let interval_ms = now_ms.since(self.slot_freed_ms).min(1_000) as f64;
+        self.mean_slot_interval_ms +=
+            SLOT_INTERVAL_WEIGHT * (interval_ms - self.mean_slot_interval_ms);
+        self.slot_freed_ms = now_ms;
     }
 }
--- a/crates/traffic/src/dispatch/forecast.rs
+++ b/crates/traffic/src/dispatch/forecast.rs
@@ -1,33 +1,34 @@
-//! Whether those who cannot be placed in time can still be served late.
+//! Forecasts whether requests that cannot be placed in time can still be served late.
 //!
-//! A late answer is worth more to a caller than a refusal, as long as keeping the caller
-//! makes nobody else late: the timely go first. What decides is where capacity goes.
+//! A late response is worth more to a caller than a refusal, as long as keeping the late requests
+//! delays no others: requests that can still be on time are placed first. The forecast depends on
+//! the capacity.
 //!
-//! - After an outage, and after a start of this process, it *returns*: groups form, maps
-//!   follow the demand, and what the last second served says little of the next. Who is
-//!   refused then comes back into the same second, is refused again, and is lost although
-//!   there is room moments later.
-//! - Otherwise the last second tells. If more are placed than arrive, the backlog drains, and
-//!   who would be served within the time that callers bear waits for it. If more arrive than
-//!   are placed, as under a burst, those who are late stay behind all newcomers and would
-//!   wait for nothing.
+//! - After an outage, and after a start of this process, capacity *recovers*: groups form, expert
+//!   maps adapt to the demand, and the throughput of the last second says little about the next.
+//!   Callers that are refused then retry within the same second, are refused again and give up,
+//!   although there is capacity moments later.
+//! - Otherwise the last second decides. If more requests were placed than arrived, the backlog
+//!   drains, and a request stays queued if it would be served within the time that callers wait. If
+//!   more arrived than were placed, as in a burst, late requests stay behind all new ones, and
+//!   waiting would be useless.
 
 use std::collections::VecDeque;
 
 use berylhook_core::time::MonoMs;
 
-/// Time in which capacity returns: a group forms within two seconds, and its map follows
-/// the demand within two more.
-const RETURN_TIME_MS: u64 = 4_000;
+/// How long capacity takes to recover: a group forms within two seconds, and its expert map adapts
+/// to the demand within two more.
+const RECOVERY_TIME_MS: u64 = 4_000;
 
-/// Span over which arrivals and placements are counted: long enough to have hundreds of
-/// them, short enough to follow a burst.
+/// Window over which arrivals and placements are counted: long enough to contain hundreds of them,
+/// short enough to follow a burst.
 const WINDOW_MS: u64 = 1_000;
 
-/// Parts of the span that are forgotten one by one.
+/// Part of the window that expires at a time.
 const SLICE_MS: u64 = 100;
 
-/// What happened within one part of the span.
+/// Counts for one part of the window.
 #[derive(Clone, Copy, Debug)]
 struct Slice {
     began_ms: MonoMs,
@@ -35,29 +36,29 @@
     placed: u32,
 }
 
-/// What is known of where a service's capacity goes.
+/// Arrivals, placements and outages of a service, from which its capacity is forecast.
 #[derive(Debug, Default)]
-pub(super) struct Outlook {
-    /// Since when capacity returns, if it was away.
-    returns_since_ms: Option<MonoMs>,
+pub(super) struct Forecast {
+    /// Start of the recovery after the last outage, if there was one.
+    recovery_started_ms: Option<MonoMs>,
     slices: VecDeque<Slice>,
 }
 
-impl Outlook {
-    /// A request has arrived.
+impl Forecast {
+    /// Counts an arrived request.
     pub(super) fn on_arrival(&mut self, now_ms: MonoMs) {
         self.slice(now_ms).arrived += 1;
     }
 
-    /// A request was placed.
+    /// Counts a placed request.
     pub(super) fn on_placed(&mut self, now_ms: MonoMs) {
         self.slice(now_ms).placed += 1;
     }
 
-    /// The service is down, runs again after it was, or may have been down: this process
+    /// Notes that the service is down, has come back, or may have been down because this process
     /// has just started.
     pub(super) fn on_outage(&mut self, now_ms: MonoMs) {
-        self.returns_since_ms = Some(now_ms);
+        self.recovery_started_ms = Some(now_ms);
     }
 
     fn slice(&mut self, now_ms: MonoMs) -> &mut Slice {
@@ -79,10 +80,10 @@
         &mut self.slices[last]
     }
 
-    /// Whether so many who wait can be expected to be served within `time_ms`.
-    pub(super) fn serves(&mut self, waiting: usize, time_ms: u64, now_ms: MonoMs) -> bool {
-        let since_ms = self.returns_since_ms.map(|since| now_ms.since(since));
-        if since_ms.is_some_and(|since_ms| since_ms < RETURN_TIME_MS) {
+    /// Whether `waiting` requests are expected to be served within `time_ms`.
+    pub(super) fn can_serve(&mut self, waiting: usize, time_ms: u64, now_ms: MonoMs) -> bool {
+        let recovering_ms = self.recovery_started_ms.map(|since| now_ms.since(since));
+        if recovering_ms.is_some_and(|recovering_ms| recovering_ms < RECOVERY_TIME_MS) {
             return true;
         }
         self.slice(now_ms);
--- a/crates/traffic/src/dispatch/outage.rs
+++ b/crates/traffic/src/dispatch/outage.rs
@@ -1,12 +1,13 @@
-//! Which groups run, which refuse everything, and whether anything comes at all.
+//! Tracks which groups are down, that is, refuse all requests, and whether the service delivers any
+//! events.
 //!
-//! A group that lost a rank refuses all that it gets until it has formed anew, while other
-//! groups of its service go on. Every request sent there meanwhile is refused, after a stall
-//! at times, and each counts against the budget for second sends. So it gets a try now and
-//! then, or none until its leader says that it runs again.
+//! A group that lost a rank refuses all requests until it has formed again, while other groups of
+//! its service keep running. Each request that is sent to it in the meantime is refused, sometimes
+//! only after a stall, and its retry counts against the retry budget. So such a group gets a probe
+//! request at intervals, or none until its leader reports that it is up again.
 //!
-//! Targets of which no group is known are taken for one: a leader may not have told yet, and
-//! where all ranks are of one group it is so.
+//! Targets of no known group are treated as one group: their leader may not have reported yet, and
+//! the assumption is right if all ranks are of one group.
 
 use std::sync::Arc;
 
@@ -15,103 +16,107 @@
 
 use crate::engine_update::GroupUpdate;
 
-/// Time between two tries of a group that refuses everything. All entries try, and a group
-/// takes over half a second to form anew.
-const TRY_EVERY_MS: u64 = 150;
+/// Interval between two probe requests to a group that refuses all requests. All entries send
+/// probes, and a group takes over half a second to form again.
+const PROBE_INTERVAL_MS: u64 = 150;
 
-/// Time until a group that its leader calls closed is tried without another word: the leader
-/// repeats itself every two seconds, and tells at once when the group runs.
-const TOLD_CLOSED_MS: u64 = 2_500;
+/// How long a leader's report that a group is closed holds without being repeated: leaders repeat
+/// their reports every two seconds, and report at once when a group opens.
+const CLOSED_REPORT_TTL_MS: u64 = 2_500;
 
-/// A service is getting events if its last one is this recent: a few passes.
-const PROGRESS_WITHIN_MS: u64 = 300;
+/// The service delivers events if its last one is at most this old: a few forward passes.
+const PROGRESS_WINDOW_MS: u64 = 300;
 
-/// A group's name; `None` where none is known.
+/// A group's name; `None` for the targets of no known group.
 pub(super) type GroupName = Option<Arc<str>>;
 
-/// What is known of one group's outage.
+/// State of one group.
 #[derive(Debug, Default)]
 struct Outage {
-    /// When the next request may try a group that refuses them all; `None` while it runs.
-    retry_ms: Option<MonoMs>,
-    /// Whether its leader called it closed.
-    is_told_closed: bool,
+    /// Time from which the next probe may be sent to a group that is down; `None` while it is up.
+    next_probe_ms: Option<MonoMs>,
+    /// Whether the leader's last report said that the group is closed.
+    is_reported_closed: bool,
 }
 
-/// What is known of a service's outages.
+/// The groups of a service that are or were down.
 #[derive(Debug, Default)]
 pub(super) struct Outages {
     by_group: IndexMap<GroupName, Outage>,
-    /// When any stream of the service last got an event.
-    progressed_ms: MonoMs,
+    /// Time of the last event on any stream of the service.
+    last_event_ms: MonoMs,
 }
 
 impl Outages {
-    /// A target of the group refused a request although this entry had places for it;
-    /// returns whether the group ran until then.
+    /// Records that a target of the group refused a request although it should have had a free
+    /// slot; returns whether the group was up until then.
     pub(super) fn on_refused(&mut self, group: &GroupName, now_ms: MonoMs) -> bool {
         let outage = self.by_group.entry(group.clone()).or_default();
-        let ran = outage.retry_ms.is_none();
-        let retry_ms = now_ms + TRY_EVERY_MS;
-        outage.retry_ms = outage.retry_ms.max(Some(retry_ms));
-        ran
+        let was_up = outage.next_probe_ms.is_none();
+        let next_probe_ms = now_ms + PROBE_INTERVAL_MS;
+        outage.next_probe_ms = outage.next_probe_ms.max(Some(next_probe_ms));
+        was_up
     }
 
-    /// A target of the group accepted a request; returns whether the group was down.
+    /// Records that a target of the group accepted a request; returns whether the group was down.
     pub(super) fn on_accepted(&mut self, group: &GroupName) -> bool {
         let outage = self.by_group.swap_remove(group);
-        outage.is_some_and(|outage| outage.retry_ms.is_some())
+        outage.is_some_and(|outage| outage.next_probe_ms.is_some())
     }
 
-    /// The leader tells of the groups; returns whether one has closed.
-    pub(super) fn on_news(&mut self, groups: &[GroupUpdate], now_ms: MonoMs) -> bool {
-        let mut is_changed = false;
+    /// Applies a leader's report on the groups; returns whether any group has closed.
+    pub(super) fn on_group_update(&mut self, groups: &[GroupUpdate], now_ms: MonoMs) -> bool {
+        let mut has_closed = false;
         for group in groups {
             let name = Some(Arc::clone(&group.name));
             let outage = self.by_group.entry(name).or_default();
-            match (outage.is_told_closed, group.is_open) {
+            match (outage.is_reported_closed, group.is_open) {
                 (_, false) => {
-                    is_changed |= outage.retry_ms.is_none();
-                    outage.retry_ms = Some(now_ms + TOLD_CLOSED_MS);
+                    has_closed |= outage.next_probe_ms.is_none();
+                    outage.next_probe_ms = Some(now_ms + CLOSED_REPORT_TTL_MS);
                 }
                 // Groups that were lost together open some milliseconds apart, and the first one
-                // would get all that waits. A try goes at once; the others once it streams.
-                (true, true) => outage.retry_ms = outage.retry_ms.and(Some(now_ms)),
+                // would get the whole backlog. So one probe is sent at once, and the other requests
+                // follow when it is accepted.
+                (true, true) => outage.next_probe_ms = outage.next_probe_ms.and(Some(now_ms)),
                 (false, true) => {}
             }
-            outage.is_told_closed = !group.is_open;
+            outage.is_reported_closed = !group.is_open;
         }
-        is_changed
+        has_closed
     }
 
-    pub(super) fn on_progress(&mut self, now_ms: MonoMs) {
-        self.progressed_ms = now_ms;
+    pub(super) fn on_stream_event(&mut self, now_ms: MonoMs) {
+        self.last_event_ms = now_ms;
     }
 
-    /// Whether the group refuses everything at present.
+    /// Whether the group refuses all requests at present.
     pub(super) fn is_down(&self, group: &GroupName) -> bool {
         let outage = self.by_group.get(group);
-        outage.is_some_and(|outage| outage.retry_ms.is_some())
+        outage.is_some_and(|outage| outage.next_probe_ms.is_some())
     }
 
-    /// Whether streams of the service bring events.
-    pub(super) fn progresses(&self, now_ms: MonoMs) -> bool {
-        now_ms.since(self.progressed_ms) < PROGRESS_WITHIN_MS
+    /// Whether any stream of the service got an event recently.
+    pub(super) fn has_recent_events(&self, now_ms: MonoMs) -> bool {
+        now_ms.since(self.last_event_ms) < PROGRESS_WINDOW_MS
     }
 
-    /// Whether a request may be sent to the group now, so that one at a time tries a group
-    /// that is down.
+    /// Whether a request may be sent to the group now. A group that is down gets one probe at a
+    /// time.
     pub(super) fn may_send(&self, group: &GroupName, now_ms: MonoMs) -> bool {
-        let retry_ms = self.by_group.get(group).and_then(|outage| outage.retry_ms);
-        retry_ms.is_none_or(|due_ms| due_ms <= now_ms)
+        let next_probe_ms = self
+            .by_group
+            .get(group)
+            .and_then(|outage| outage.next_probe_ms);
+        next_probe_ms.is_none_or(|due_ms| due_ms <= now_ms)
     }
 
-    /// A request is sent to the group.
+    /// Records that a request is sent to the group.
     pub(super) fn on_sent(&mut self, group: &GroupName, now_ms: MonoMs) {
         if let Some(outage) = self.by_group.get_mut(group)
-            && outage.retry_ms.is_some()
+            && outage.next_probe_ms.is_some()
         {
-            outage.retry_ms = Some(now_ms + TRY_EVERY_MS);
+            outage.next_probe_ms = Some(now_ms + PROBE_INTERVAL_MS);
         }
     }
 }
--- a/crates/traffic/src/dispatch/target_table.rs
+++ b/crates/traffic/src/dispatch/target_table.rs
@@ -1,4 +1,4 @@
-//! The targets of a service, what runs at each, and which one is next.
+//! The targets of a service, the load of each, and the choice of a target for a request.
 
 use std::sync::Arc;
 
@@ -17,171 +17,173 @@
 use crate::ownership::{Membership, Preference};
 use crate::target::{Incarnation, Target};
 
-/// A report of another process's load on a target is taken as current for
-/// this long: about the life of a short generation.
-const LOAD_VALID_MS: u64 = 1_000;
+/// How long a report on the load of other entries at a target is considered current: about the
+/// duration of a short generation.
+const LOAD_REPORT_TTL_MS: u64 = 1_000;
 
-/// Weight of the newest number of running requests in the usual one. An entry has some
-/// ten arrivals a second, so it follows the load within two seconds: slowly enough that
-/// a few arrivals at once do not pass for a fuller service.
+/// Weight of the newest number of running requests in the moving average. With some ten arrivals
+/// per second at an entry, the average follows the load within two seconds, and a few simultaneous
+/// arrivals do not look like a busier service.
 const RUNNING_WEIGHT: f64 = 0.05;
 
-struct Place {
+/// A target with its load, its health and what it announced.
+struct TargetState {
     target: Target,
     group: GroupName,
     running: u32,
     health: Health,
-    /// How slow it is; 1 is usual, more is slower.
-    pace: f64,
-    /// Requests of other entries there, and when that was learnt.
+    /// Duration of its work as a multiple of the usual one; 1 or more.
+    slowdown: f64,
+    /// Requests of other entries at the target, and when this was learnt.
     others: Option<(u32, MonoMs)>,
     preference: Preference,
-    /// When any stream from it last brought an event.
-    progressed_ms: MonoMs,
-    /// What it said of how much it takes.
+    /// Time of the last event on any stream from the target.
+    last_event_ms: MonoMs,
+    /// Decides whether the target's rate limit, backoff or leaving withholds requests.
     gate: AdmissionGate,
 }
 
-impl Place {
+impl TargetState {
     fn new(target: Target) -> Self {
         Self {
             target,
             group: None,
             running: 0,
             health: Health::default(),
-            pace: 1.0,
+            slowdown: 1.0,
             others: None,
             preference: Preference {
                 is_owned: true,
                 penalty: 0.0,
             },
-            progressed_ms: MonoMs(0),
+            last_event_ms: MonoMs(0),
             gate: AdmissionGate::default(),
         }
     }
 
-    /// Requests there: this entry's, and those of others as far as they are known.
+    /// Requests at the target: those of this entry, and those of other entries as far as known.
     ///
-    /// A target of another entry of which nothing is known is taken to be as full as
-    /// targets usually are. Taken to be empty, it would draw requests from all around
-    /// whenever the entries' own targets have one each.
-    fn load(&self, of_others: OfOthers, now_ms: MonoMs) -> f64 {
-        let told = self
+    /// A target of another entry whose load is unknown is assumed to have the average load. If it
+    /// were assumed to be idle, it would attract requests from many entries as soon as each of
+    /// their owned targets has one.
+    fn load(&self, assumed: AssumedOtherLoad, now_ms: MonoMs) -> f64 {
+        let reported = self
             .others
-            .filter(|(_, at_ms)| now_ms.since(*at_ms) < LOAD_VALID_MS);
-        let others = match told {
+            .filter(|(_, at_ms)| now_ms.since(*at_ms) < LOAD_REPORT_TTL_MS);
+        let others = match reported {
             Some((count, _)) => f64::from(count),
-            None if self.preference.is_owned => of_others.at_own,
-            None => of_others.elsewhere,
+            None if self.preference.is_owned => assumed.at_owned,
+            None => assumed.at_other,
         };
         f64::from(self.running) + others
     }
 }
 
-/// Requests of other entries that a target is taken to have if it has not told.
+/// Assumed number of requests of other entries at a target that has not reported its load.
 #[derive(Clone, Copy, Debug)]
-struct OfOthers {
-    /// One of the entry's own, which others use as far as their parts overlap.
-    at_own: f64,
-    /// Any other.
-    elsewhere: f64,
+struct AssumedOtherLoad {
+    /// At an owned target, which other entries use as far as their arcs overlap.
+    at_owned: f64,
+    /// At any other target.
+    at_other: f64,
 }
 
-/// Where a request goes.
-struct Choice {
+/// The result of a search for a target.
+struct SearchResult {
     target: Option<Target>,
-    /// The target that it would have gone to if that took one more, by index.
-    kept_back: Option<usize>,
+    /// Index of the preferred target, if the request cannot go there as the target's admission gate
+    /// withholds it.
+    withheld: Option<usize>,
 }
 
 /// The targets that may get requests.
-pub(super) struct Places {
-    /// The entries that share the targets, as far as they are known.
+pub(super) struct TargetTable {
+    /// The entries that share the targets, as far as known.
     membership: Membership,
-    /// The places in the order in which they are looked through: own ones first,
-    /// then by penalty.
+    /// Indices of the targets in the order in which they are searched: owned targets first, then by
+    /// penalty.
     order: Vec<usize>,
-    /// Of these, how many are owned.
-    own_count: usize,
-    /// This entry's part of the targets by its demand, from 0 to 1.
+    /// The number of owned targets, which are the first of `order`.
+    owned_count: usize,
+    /// This entry's share of the total demand, from 0 to 1.
     share: f64,
-    /// How many times its share the part is over which it spreads its requests.
+    /// Width of the arc over which this entry spreads its requests, as a multiple of its share.
     overlap: f64,
-    /// Slots of a target, on average.
+    /// Mean number of slots per target.
     slots_per_target: f64,
-    /// Requests of this entry at all targets, of late.
-    usual_running: f64,
-    /// Whether there was a request.
-    has_run: bool,
+    /// Moving average of `running`.
+    average_running: f64,
+    /// Whether any request was placed yet.
+    has_placed: bool,
     /// Requests of this entry at all targets.
     running: u32,
-    /// The groups that the targets are of.
+    /// The groups of the targets.
     groups: IndexSet<GroupName>,
-    /// The fixed part of a target's work, in requests.
+    /// The fixed part of a target's work, expressed in requests.
     base_load: f64,
-    /// Requests that did not go to the target chosen first, by why.
-    kept_back: IndexMap<WithheldReason, u32>,
-    /// By incarnation: what was learnt of a former one says nothing of a target
-    /// that has started anew under the same id.
-    places: IndexMap<Incarnation, Place>,
+    /// Requests that could not go to their preferred target, by reason.
+    withheld_counts: IndexMap<WithheldReason, u32>,
+    /// Keyed by incarnation: what was learnt of a previous incarnation says nothing about a target
+    /// that has restarted under the same id.
+    states: IndexMap<Incarnation, TargetState>,
 }
 
-impl Places {
+impl TargetTable {
     pub(super) fn new(membership: Membership, base_load: f64) -> Self {
         Self {
             membership,
             order: Vec::new(),
-            own_count: 0,
+            owned_count: 0,
             share: 1.0,
             overlap: 1.0,
             slots_per_target: 0.0,
-            usual_running: 0.0,
-            has_run: false,
+            average_running: 0.0,
+            has_placed: false,
             running: 0,
             groups: IndexSet::new(),
             base_load,
-            kept_back: IndexMap::new(),
-            places: IndexMap::new(),
+            withheld_counts: IndexMap::new(),
+            states: IndexMap::new(),
         }
     }
 
-    pub(super) fn contains(&self, of: &Incarnation) -> bool {
-        self.places.contains_key(of)
+    pub(super) fn contains(&self, incarnation: &Incarnation) -> bool {
+        self.states.contains_key(incarnation)
     }
 
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.states.len()
     }
 
-    /// Takes over the targets that may get requests.
-    pub(super) fn set<'a>(&mut self, targets: impl Iterator<Item = &'a Target>) {
-        let mut before = std::mem::take(&mut self.places);
+    /// Replaces the targets that may get requests. Targets that stay keep their state.
+    pub(super) fn set_targets<'a>(&mut self, targets: impl Iterator<Item = &'a Target>) {
+        let mut before = std::mem::take(&mut self.states);
         for target in targets {
-            let place = match before.swap_remove(&target.incarnation) {
-                Some(place) => Place {
+            let state = match before.swap_remove(&target.incarnation) {
+                Some(state) => TargetState {
                     target: target.clone(),
-                    ..place
+                    ..state
                 },
-                None => Place::new(target.clone()),
+                None => TargetState::new(target.clone()),
             };
-            self.places.insert(target.incarnation.clone(), place);
+            self.states.insert(target.incarnation.clone(), state);
         }
-        self.note_groups();
-        self.prefer();
+        self.collect_groups();
+        self.update_preferences();
     }
 
-    /// Takes over who shares the targets.
+    /// Replaces the entries that share the targets.
     pub(super) fn set_membership(&mut self, membership: Membership) {
         self.membership = membership;
-        self.prefer();
+        self.update_preferences();
     }
 
-    /// Works out which targets are this entry's own, and how far the others are.
-    fn prefer(&mut self) {
-        let targets: Vec<&Target> = self.places.values().map(|place| &place.target).collect();
-        let preferences = self.membership.preferences(&targets, self.usual_running);
-        for (place, preference) in self.places.values_mut().zip(&preferences.targets) {
-            place.preference = *preference;
+    /// Computes which targets this entry owns, and the penalties of the others.
+    fn update_preferences(&mut self) {
+        let targets: Vec<&Target> = self.states.values().map(|state| &state.target).collect();
+        let preferences = self.membership.preferences(&targets, self.average_running);
+        for (state, preference) in self.states.values_mut().zip(&preferences.targets) {
+            state.preference = *preference;
         }
         let by_index = &preferences.targets;
         self.order = (0..by_index.len()).collect();
@@ -190,284 +192,295 @@
             let ((a_other, a_penalty), (b_other, b_penalty)) = (key(a), key(b));
             a_other.cmp(&b_other).then(a_penalty.total_cmp(&b_penalty))
         });
-        self.own_count = by_index.iter().filter(|it| it.is_owned).count();
+        self.owned_count = by_index.iter().filter(|it| it.is_owned).count();
         self.share = preferences.share;
         self.overlap = preferences.overlap;
         #[allow(clippy::cast_precision_loss)] // ten thousand at most
-        let count = self.places.len().max(1) as f64;
-        self.slots_per_target = f64::from(self.slots()) / count;
+        let count = self.states.len().max(1) as f64;
+        self.slots_per_target = f64::from(self.total_slots()) / count;
     }
 
-    /// Takes the usual number of running requests to be that, until there was one.
+    /// Sets the average number of running requests, unless a request was placed already.
     pub(super) fn expect_running(&mut self, running: f64) {
-        if !self.has_run {
-            self.usual_running = running;
-            self.prefer();
+        if !self.has_placed {
+            self.average_running = running;
+            self.update_preferences();
         }
     }
 
-    fn note_running(&mut self) {
-        self.has_run = true;
+    fn record_running(&mut self) {
+        self.has_placed = true;
         let running = f64::from(self.running);
-        self.usual_running += RUNNING_WEIGHT * (running - self.usual_running);
+        self.average_running += RUNNING_WEIGHT * (running - self.average_running);
     }
 
-    /// What a target runs of late, by this entry's own part: all parts are as wide as
-    /// their entries' demands, so others' targets are about as full.
-    fn usual_load(&self) -> f64 {
+    /// Average load of a target, estimated from this entry's own load: arcs are as wide as their
+    /// entries' demands, so the targets of other entries have about the same load.
+    fn average_load(&self) -> f64 {
         #[allow(clippy::cast_precision_loss)] // ten thousand at most
-        let fair = self.share * self.places.len() as f64;
-        (self.usual_running / fair.max(1.0)).min(self.slots_per_target)
+        let owned_targets = self.share * self.states.len() as f64;
+        (self.average_running / owned_targets.max(1.0)).min(self.slots_per_target)
     }
 
-    /// The targets' paces, by address; all others have the usual one.
-    pub(super) fn set_paces(&mut self, paces: &Slowdowns) {
-        for place in self.places.values_mut() {
-            let target = &place.target;
-            let pace = paces.get(&target.address);
-            let of_target = pace.filter(|pace| pace.applies_to(&target.incarnation));
-            place.pace = of_target.map_or(1.0, |pace| pace.factor).max(1.0);
+    /// Sets the slowdowns by target address; all other targets have a slowdown of 1.
+    pub(super) fn set_slowdowns(&mut self, slowdowns: &Slowdowns) {
+        for state in self.states.values_mut() {
+            let target = &state.target;
+            let slowdown = slowdowns.get(&target.address);
+            let applicable = slowdown.filter(|slowdown| slowdown.applies_to(&target.incarnation));
+            state.slowdown = applicable.map_or(1.0, |slowdown| slowdown.factor).max(1.0);
         }
     }
 
-    /// Takes over which targets form which groups.
+    /// Sets which targets form which groups.
     pub(super) fn set_groups(&mut self, groups: &[GroupUpdate]) {
         let engines = groups.iter().flat_map(|group| {
             let engines = group.engines.iter();
             engines.map(move |engine| (*engine, &group.name))
         });
         let by_engine: IndexMap<_, _> = engines.collect();
-        for place in self.places.values_mut() {
-            let name = by_engine.get(&place.target.address);
-            place.group = name.map(|name| Arc::clone(name));
+        for state in self.states.values_mut() {
+            let name = by_engine.get(&state.target.address);
+            state.group = name.map(|name| Arc::clone(name));
         }
-        self.note_groups();
+        self.collect_groups();
     }
 
-    fn note_groups(&mut self) {
-        let groups = self.places.values().map(|place| place.group.clone());
+    fn collect_groups(&mut self) {
+        let groups = self.states.values().map(|state| state.group.clone());
         self.groups = groups.collect();
     }
 
-    /// The groups that the targets are of.
+    /// The groups of the targets.
     pub(super) fn groups(&self) -> impl Iterator<Item = &GroupName> {
         self.groups.iter()
     }
 
-    /// Requests of this entry at targets of the group.
+    /// Requests of this entry at the group's targets.
     pub(super) fn running_in(&self, group: &GroupName) -> u32 {
-        let of_group = self.places.values().filter(|place| place.group == *group);
-        of_group.map(|place| place.running).sum()
+        let in_group = self.states.values().filter(|state| state.group == *group);
+        in_group.map(|state| state.running).sum()
     }
 
-    /// The target's group.
-    pub(super) fn group_of(&self, of: &Incarnation) -> GroupName {
-        self.places.get(of).and_then(|place| place.group.clone())
+    /// The group of a target.
+    pub(super) fn group_of(&self, incarnation: &Incarnation) -> GroupName {
+        self.states
+            .get(incarnation)
+            .and_then(|state| state.group.clone())
     }
 
-    /// Targets of these groups, and the requests that they work on at once. Entries are not
-    /// trusted to name sensible numbers, so the sum must not overflow.
-    pub(super) fn carried_by(&self, includes: impl Fn(&GroupName) -> bool) -> (usize, u32) {
-        let of_groups = self.places.values().filter(|place| includes(&place.group));
-        let slots = of_groups.map(|place| place.target.slots);
+    /// The number of targets in these groups, and the sum of their slots. The store's entries may
+    /// contain absurd slot counts, so the sum saturates.
+    pub(super) fn capacity_of(&self, includes: impl Fn(&GroupName) -> bool) -> (usize, u32) {
+        let in_groups = self.states.values().filter(|state| includes(&state.group));
+        let slots = in_groups.map(|state| state.target.slots);
         slots.fold((0, 0_u32), |(count, sum), slots| {
             (count + 1, sum.saturating_add(slots))
         })
     }
 
-    /// The pace of the slowest target.
-    pub(super) fn slowest(&self) -> f64 {
-        let paces = self.places.values().map(|place| place.pace);
-        paces.fold(1.0, f64::max)
+    /// The slowdown of the slowest target.
+    pub(super) fn max_slowdown(&self) -> f64 {
+        let slowdowns = self.states.values().map(|state| state.slowdown);
+        slowdowns.fold(1.0, f64::max)
     }
 
-    /// Requests that all targets work on at once. Entries are not trusted to name
-    /// sensible numbers, so the sum must not overflow.
-    pub(super) fn slots(&self) -> u32 {
-        let slots = self.places.values().map(|place| place.target.slots);
+    /// The sum of all targets' slots. The store's entries may contain absurd slot counts, so the
+    /// sum saturates.
+    pub(super) fn total_slots(&self) -> u32 {
+        let slots = self.states.values().map(|state| state.target.slots);
         slots.fold(0, u32::saturating_add)
     }
 
-    /// This entry's part of what the targets carry, from 0 to 1, as a first guess: an
-    /// equal one. Demands are too uncertain in the first seconds, when it counts most,
-    /// and the bound finds its way from there by itself.
+    /// This entry's initial share of the capacity, from 0 to 1: all entries have equal shares. In
+    /// the first seconds, when the share matters most, demands are too uncertain, and the
+    /// concurrency limit adapts by itself afterwards.
     pub(super) fn equal_share(&self) -> f64 {
         #[allow(clippy::cast_precision_loss)] // a thousand at most
         let entries = self.membership.len().max(1) as f64;
         1.0 / entries
     }
 
-    pub(super) fn on_progress(&mut self, of: &Incarnation, now_ms: MonoMs) {
-        if let Some(place) = self.places.get_mut(of) {
-            place.progressed_ms = now_ms;
+    pub(super) fn on_stream_event(&mut self, incarnation: &Incarnation, now_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.last_event_ms = now_ms;
         }
     }
 
-    /// Time since any stream from the target brought an event.
-    pub(super) fn silent_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
-        let place = self.places.get(of);
-        place.map_or(u64::MAX, |place| now_ms.since(place.progressed_ms))
+    /// Time since the last event on any stream from the target.
+    pub(super) fn silence_ms(&self, incarnation: &Incarnation, now_ms: MonoMs) -> u64 {
+        let state = self.states.get(incarnation);
+        state.map_or(u64::MAX, |state| now_ms.since(state.last_event_ms))
     }
 
-    /// A target told its load in an answer to one of this entry's requests.
-    pub(super) fn on_load(&mut self, of: &Incarnation, load: Load, now_ms: MonoMs) {
-        if let Some(place) = self.places.get_mut(of) {
-            let others = (load.running + load.waiting).saturating_sub(place.running);
-            place.others = Some((others, now_ms));
+    /// Records the load that a target reported in a response to this entry.
+    pub(super) fn on_load(&mut self, incarnation: &Incarnation, load: Load, now_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            let others = (load.running + load.waiting).saturating_sub(state.running);
+            state.others = Some((others, now_ms));
         }
     }
 
-    /// A target said in an answer how much it takes.
+    /// Applies the backpressure signal of a response.
     pub(super) fn on_signal(
         &mut self,
-        of: &Incarnation,
+        incarnation: &Incarnation,
         signal: BackpressureSignal,
         random: u64,
         now_ms: MonoMs,
     ) -> SignalUpdate {
-        let Some(place) = self.places.get_mut(of) else {
+        let Some(state) = self.states.get_mut(incarnation) else {
             return SignalUpdate::default();
         };
-        let rest = signal.backoff_ms.filter(|rest_ms| *rest_ms > 0);
-        let rest_ms =
-            rest.filter(|rest_ms| place.gate.start_backoff(*rest_ms, random, now_ms) == 0);
+        let backoff = signal.backoff_ms.filter(|backoff_ms| *backoff_ms > 0);
+        let backoff_ms =
+            backoff.filter(|backoff_ms| state.gate.start_backoff(*backoff_ms, random, now_ms) == 0);
         SignalUpdate {
-            limit: place.gate.on_limit_signal(signal.limit, now_ms),
-            backoff_ms: rest_ms,
-            is_newly_leaving: signal.is_leaving && place.gate.mark_leaving(),
+            limit: state.gate.on_limit_signal(signal.limit, now_ms),
+            backoff_ms,
+            is_newly_leaving: signal.is_leaving && state.gate.mark_leaving(),
         }
     }
 
-    /// A target accepted a request; returns whether that ends the trial after a rest.
-    pub(super) fn on_accepted(&mut self, by: &Incarnation, now_ms: MonoMs) -> bool {
-        let place = self.places.get_mut(by);
-        place.is_some_and(|place| place.gate.on_accepted(now_ms))
+    /// Records that a target accepted a request; returns whether that ended the trial after a
+    /// backoff.
+    pub(super) fn on_accepted(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        let state = self.states.get_mut(incarnation);
+        state.is_some_and(|state| state.gate.on_accepted(now_ms))
     }
 
-    /// How much longer a target wants nothing from this entry.
-    pub(super) fn rest_left_ms(&self, of: &Incarnation, now_ms: MonoMs) -> u64 {
-        let place = self.places.get(of);
-        place.map_or(0, |place| place.gate.backoff_left_ms(now_ms))
+    /// Remaining time of the backoff that a target asked for.
+    pub(super) fn backoff_left_ms(&self, incarnation: &Incarnation, now_ms: MonoMs) -> u64 {
+        let state = self.states.get(incarnation);
+        state.map_or(0, |state| state.gate.backoff_left_ms(now_ms))
     }
 
-    /// The limit that a target names.
-    pub(super) fn limit(&self, of: &Incarnation) -> Option<RequestRate> {
-        self.places.get(of)?.gate.limit()
+    /// The rate limit that a target announced.
+    pub(super) fn rate_limit(&self, incarnation: &Incarnation) -> Option<RequestRate> {
+        self.states.get(incarnation)?.gate.limit()
     }
 
-    /// A peer told of a target's limit.
+    /// Applies a peer's report on a target's rate limit.
     pub(super) fn on_limit_report(
         &mut self,
-        of: &Incarnation,
+        incarnation: &Incarnation,
         limit: Option<RequestRate>,
-        heard_ms: MonoMs,
+        reported_ms: MonoMs,
     ) -> Option<LimitChange> {
-        let place = self.places.get_mut(of)?;
-        place.gate.on_peer_report(limit, heard_ms)
+        let state = self.states.get_mut(incarnation)?;
+        state.gate.on_peer_report(limit, reported_ms)
     }
 
-    /// Permits under a target's limit have come.
-    pub(super) fn on_permits(&mut self, of: &Incarnation, count: u32, until_ms: MonoMs) {
-        if let Some(place) = self.places.get_mut(of) {
-            place.gate.add_permits(count, until_ms);
+    /// Adds permits that were granted under a target's rate limit.
+    pub(super) fn on_permits(&mut self, incarnation: &Incarnation, count: u32, until_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.gate.add_permits(count, until_ms);
         }
     }
 
-    /// Requests that did not go to the target chosen first, by why, since this was last
-    /// called.
-    pub(super) fn take_kept_back(&mut self) -> IndexMap<WithheldReason, u32> {
-        std::mem::take(&mut self.kept_back)
+    /// Requests that could not go to their preferred target since the last call, by reason.
+    pub(super) fn take_withheld_counts(&mut self) -> IndexMap<WithheldReason, u32> {
+        std::mem::take(&mut self.withheld_counts)
     }
 
-    /// What peers should know of the targets that name a limit, or did of late.
+    /// State of the rate limits of targets that have one, or had one recently, for peers.
     pub(super) fn limit_states(&self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
-        let states = self.places.iter().filter_map(|(of, place)| {
-            let state = place.gate.state(now_ms)?;
-            Some((of.clone(), state))
+        let states = self.states.iter().filter_map(|(incarnation, state)| {
+            let limit_state = state.gate.state(now_ms)?;
+            Some((incarnation.clone(), limit_state))
         });
         states.collect()
     }
 
-    /// The same, and counts the demand for permits anew from here.
+    /// Like [`Self::limit_states`], but restarts the count of the demand for permits.
     pub(super) fn take_limit_states(&mut self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
-        let states = self.places.iter_mut().filter_map(|(of, place)| {
-            let state = place.gate.take_state(now_ms)?;
-            Some((of.clone(), state))
+        let states = self.states.iter_mut().filter_map(|(incarnation, state)| {
+            let limit_state = state.gate.take_state(now_ms)?;
+            Some((incarnation.clone(), limit_state))
         });
         states.collect()
     }
 
-    /// A request that has a place at the target is about to be sent.
+    /// Checks that a placed request may still be sent to its target.
     ///
-    /// A target that is not listed any more is not asked to take it either.
-    pub(super) fn admit(&mut self, of: &Incarnation, now_ms: MonoMs) -> Result<(), WithheldReason> {
-        match self.places.get_mut(of) {
-            Some(place) => place.gate.admit(now_ms),
+    /// The request is also withheld if the target is no longer listed.
+    pub(super) fn admit(
+        &mut self,
+        incarnation: &Incarnation,
+        now_ms: MonoMs,
+    ) -> Result<(), WithheldReason> {
+        match self.states.get_mut(incarnation) {
+            Some(state) => state.gate.admit(now_ms),
             None => Err(WithheldReason::NotListed),
         }
     }
 
-    /// A request that has a place at the target goes away unsent.
-    pub(super) fn leave_unsent(&mut self, of: &Incarnation) {
-        if let Some(place) = self.places.get_mut(of) {
-            place.gate.cancel_placement();
+    /// Drops a placed request before it was sent.
+    pub(super) fn cancel_unsent(&mut self, incarnation: &Incarnation) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.gate.cancel_placement();
         }
     }
 
-    /// When a target takes a request again, as far as they say; `None` if one does now, or
-    /// all are about to leave.
-    pub(super) fn takes_again_ms(&self, now_ms: MonoMs) -> Option<u64> {
+    /// Time until a target accepts a request again, as announced by the targets; `None` if one
+    /// accepts requests now, or all are leaving.
+    pub(super) fn until_accepting_ms(&self, now_ms: MonoMs) -> Option<u64> {
         if self.gates().any(|gate| gate.can_place(now_ms)) {
             return None;
         }
-        let quiet = self.staying().map(|gate| gate.hold_off_left_ms(now_ms));
-        let least_quiet_ms = quiet.filter(|left_ms| *left_ms > 0).min();
-        [least_quiet_ms, self.turn_ms(now_ms)]
+        let hold_offs = self
+            .staying_gates()
+            .map(|gate| gate.hold_off_left_ms(now_ms));
+        let min_hold_off_ms = hold_offs.filter(|left_ms| *left_ms > 0).min();
+        [min_hold_off_ms, self.permit_turn_ms(now_ms)]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// For how long all targets rest that do not leave; 0 if one does not, or there is none.
-    pub(super) fn all_rest_ms(&self, now_ms: MonoMs) -> u64 {
-        let rests = self.staying().map(|gate| gate.backoff_left_ms(now_ms));
-        rests.min().unwrap_or(0)
+    /// The shortest remaining backoff of the targets that are not leaving; 0 if one of them takes
+    /// requests, or there is none.
+    pub(super) fn min_backoff_left_ms(&self, now_ms: MonoMs) -> u64 {
+        let backoffs = self
+            .staying_gates()
+            .map(|gate| gate.backoff_left_ms(now_ms));
+        backoffs.min().unwrap_or(0)
     }
 
     fn gates(&self) -> impl Iterator<Item = &AdmissionGate> {
-        self.places.values().map(|place| &place.gate)
+        self.states.values().map(|state| &state.gate)
     }
 
-    fn staying(&self) -> impl Iterator<Item = &AdmissionGate> {
+    fn staying_gates(&self) -> impl Iterator<Item = &AdmissionGate> {
         self.gates().filter(|gate| !gate.is_leaving())
     }
 
-    /// Time until this entry has its turn at the targets that only their limits keep
-    /// requests from, by the sum of these; `None` if there is no such target.
-    fn turn_ms(&self, now_ms: MonoMs) -> Option<u64> {
-        let awake = self
-            .staying()
+    /// Expected time until this entry gets a permit at one of the targets that only their rate
+    /// limits keep from accepting requests: the permits of all these targets are taken to go to the
+    /// entries in turn. `None` if there is no such target.
+    fn permit_turn_ms(&self, now_ms: MonoMs) -> Option<u64> {
+        let unblocked = self
+            .staying_gates()
             .filter(|gate| gate.hold_off_left_ms(now_ms) == 0);
-        let limits = awake
+        let limits = unblocked
             .filter_map(AdmissionGate::limit)
             .map(RequestRate::per_s);
         let per_s: f64 = limits.sum();
         #[allow(clippy::cast_precision_loss)] // a thousand entries at most
         let entries = self.membership.len() as f64;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // saturates
-        let turn_ms = (entries * 1_000.0 / per_s) as u64;
-        (per_s > 0.0).then_some(turn_ms)
+        let permit_turn_ms = (entries * 1_000.0 / per_s) as u64;
+        (per_s > 0.0).then_some(permit_turn_ms)
     }
 
-    /// How many targets name a limit.
-    pub(super) fn limited(&self) -> usize {
+    /// The number of targets that announced a rate limit.
+    pub(super) fn limited_target_count(&self) -> usize {
         self.gates().filter(|gate| gate.limit().is_some()).count()
     }
 
-    /// The least loaded target with a free slot, occupied by one request more;
-    /// `random` decides between equals, so that entries that know the same do
-    /// not all choose the same. A request that is not `is_new` has been counted before
-    /// where a target takes no more.
+    /// Occupies a slot at the least loaded target. `random` breaks ties, so that entries with the
+    /// same information do not all choose the same target. Only a request that `is_new` is counted
+    /// as withheld; a queued one was counted when it was submitted.
     pub(super) fn occupy(
         &mut self,
         exclude: &[Incarnation],
@@ -477,36 +490,36 @@
         may_send: impl Fn(&GroupName) -> bool,
     ) -> Option<Target> {
         let choice = self.choose(exclude, random, now_ms, may_send);
-        let kept_back = choice.kept_back.filter(|_| is_new);
-        if let Some((_, place)) = kept_back.and_then(|index| self.places.get_index_mut(index)) {
-            let why = place.gate.withhold(now_ms);
-            *self.kept_back.entry(why).or_default() += 1;
+        let withheld = choice.withheld.filter(|_| is_new);
+        if let Some((_, state)) = withheld.and_then(|index| self.states.get_index_mut(index)) {
+            let reason = state.gate.withhold(now_ms);
+            *self.withheld_counts.entry(reason).or_default() += 1;
         }
         let target = choice.target?;
-        if let Some(place) = self.places.get_mut(&target.incarnation) {
-            place.running += 1;
-            place.gate.place();
+        if let Some(state) = self.states.get_mut(&target.incarnation) {
+            state.running += 1;
+            state.gate.place();
         }
         self.running += 1;
-        self.note_running();
+        self.record_running();
         Some(target)
     }
 
-    /// A request at the target ended; `evidence` is what it says of the target,
-    /// if anything.
+    /// Frees the slot of a request that ended; `sample` is what its end shows of the target's
+    /// health, if anything.
     pub(super) fn release(
         &mut self,
-        of: &Incarnation,
-        evidence: Option<HealthSample>,
+        incarnation: &Incarnation,
+        sample: Option<HealthSample>,
         now_ms: MonoMs,
     ) {
         self.running = self.running.saturating_sub(1);
-        let Some(place) = self.places.get_mut(of) else {
+        let Some(state) = self.states.get_mut(incarnation) else {
             return;
         };
-        place.running = place.running.saturating_sub(1);
-        if let Some(evidence) = evidence {
-            place.health.record(evidence, now_ms);
+        state.running = state.running.saturating_sub(1);
+        if let Some(sample) = sample {
+            state.health.record(sample, now_ms);
         }
     }
 
@@ -516,77 +529,77 @@
         random: u64,
         now_ms: MonoMs,
         may_send: impl Fn(&GroupName) -> bool,
-    ) -> Choice {
-        let sound = self.best(exclude, random, now_ms, |place| {
-            let is_busy_trial = place.health.is_on_trial() && place.running > 0;
-            !place.health.is_ejected(now_ms) && !is_busy_trial && may_send(&place.group)
+    ) -> SearchResult {
+        let healthy = self.search(exclude, random, now_ms, |state| {
+            let is_busy_trial = state.health.is_on_trial() && state.running > 0;
+            !state.health.is_ejected(now_ms) && !is_busy_trial && may_send(&state.group)
         });
-        let sound_exists = self.places.values().any(|place| {
-            let is_excluded = exclude.contains(&place.target.incarnation);
-            !place.health.is_ejected(now_ms) && !is_excluded && may_send(&place.group)
+        let healthy_exists = self.states.values().any(|state| {
+            let is_excluded = exclude.contains(&state.target.incarnation);
+            !state.health.is_ejected(now_ms) && !is_excluded && may_send(&state.group)
         });
-        match sound.target {
-            None if !sound_exists => {
-                self.best(exclude, random, now_ms, |place| may_send(&place.group))
+        match healthy.target {
+            None if !healthy_exists => {
+                self.search(exclude, random, now_ms, |state| may_send(&state.group))
             }
-            _ => sound,
+            _ => healthy,
         }
     }
 
-    fn best(
+    fn search(
         &self,
         exclude: &[Incarnation],
         random: u64,
         now_ms: MonoMs,
-        accepts: impl Fn(&Place) -> bool,
-    ) -> Choice {
-        let usual = self.usual_load();
-        let of_others = OfOthers {
-            at_own: usual * (1.0 - 1.0 / self.overlap),
-            elsewhere: usual,
+        accepts: impl Fn(&TargetState) -> bool,
+    ) -> SearchResult {
+        let average = self.average_load();
+        let assumed = AssumedOtherLoad {
+            at_owned: average * (1.0 - 1.0 / self.overlap),
+            at_other: average,
         };
-        let mut best: Option<(f64, &Place)> = None;
-        let mut kept_back: Option<(f64, usize)> = None;
-        for index in self.looked_through(random) {
-            let Some((incarnation, place)) = self.places.get_index(index) else {
+        let mut best: Option<(f64, &TargetState)> = None;
+        let mut withheld: Option<(f64, usize)> = None;
+        for index in self.search_order(random) {
+            let Some((incarnation, state)) = self.states.get_index(index) else {
                 break;
             };
-            // Work is never less than one request at a target of usual pace, and
-            // penalties only rise from here on.
-            let least = self.base_load + 1.0 + place.preference.penalty;
-            if !place.preference.is_owned && best.is_some_and(|(score, _)| score <= least) {
+            // A score is at least that of one request at a target without slowdown, and the
+            // penalties of the remaining targets are no lower than this one.
+            let min_score = self.base_load + 1.0 + state.preference.penalty;
+            if !state.preference.is_owned && best.is_some_and(|(score, _)| score <= min_score) {
                 break;
             }
-            let is_full = place.running >= place.target.slots;
-            if is_full || exclude.contains(incarnation) || !accepts(place) {
+            let is_full = state.running >= state.target.slots;
+            if is_full || exclude.contains(incarnation) || !accepts(state) {
                 continue;
             }
-            // A slow rank holds up every pass by its fixed part alone.
-            let work = self.base_load + place.load(of_others, now_ms) + 1.0;
-            let score = work * place.pace + place.preference.penalty;
-            match place.gate.can_place(now_ms) {
-                true if best.is_none_or(|(least, _)| score < least) => best = Some((score, place)),
-                false if kept_back.is_none_or(|(least, _)| score < least) => {
-                    kept_back = Some((score, index));
+            // The fixed part of a slow rank's work alone delays every forward pass of its group.
+            let work = self.base_load + state.load(assumed, now_ms) + 1.0;
+            let score = work * state.slowdown + state.preference.penalty;
+            match state.gate.can_place(now_ms) {
+                true if best.is_none_or(|(min, _)| score < min) => best = Some((score, state)),
+                false if withheld.is_none_or(|(min, _)| score < min) => {
+                    withheld = Some((score, index));
                 }
                 _ => {}
             }
         }
-        let is_no_worse = |score: f64| best.is_none_or(|(least, _)| score <= least);
-        Choice {
-            target: best.map(|(_, place)| place.target.clone()),
-            kept_back: kept_back
+        let is_no_worse = |score: f64| best.is_none_or(|(min, _)| score <= min);
+        SearchResult {
+            target: best.map(|(_, state)| state.target.clone()),
+            withheld: withheld
                 .filter(|(score, _)| is_no_worse(*score))
                 .map(|(_, index)| index),
         }
     }
 
-    /// The places' indices: the own ones from a random one on, then the others.
-    fn looked_through(&self, random: u64) -> impl Iterator<Item = usize> {
-        let (own, others) = self.order.split_at(self.own_count);
+    /// Indices of the targets: the owned ones, beginning at a random one, then the others.
+    fn search_order(&self, random: u64) -> impl Iterator<Item = usize> {
+        let (owned, others) = self.order.split_at(self.owned_count);
         #[allow(clippy::cast_possible_truncation)] // reduced below the count
-        let start = (random % own.len().max(1) as u64) as usize;
-        let (before, from) = own.split_at(start);
+        let start = (random % owned.len().max(1) as u64) as usize;
+        let (before, from) = owned.split_at(start);
         from.iter().chain(before).chain(others).copied()
     }
 }
--- a/crates/traffic/src/dispatch/wait_queue.rs
+++ b/crates/traffic/src/dispatch/wait_queue.rs
@@ -1,58 +1,58 @@
-//! Who waits for a place, and in which order.
+//! The queue of requests that wait for a slot.
 
 use berylhook_core::time::MonoMs;
 
 use super::Ticket;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     pub(super) ticket: Ticket,
     pub(super) urgency: u32,
-    pub(super) timely_until_ms: MonoMs,
+    pub(super) on_time_until_ms: MonoMs,
 }
 
-/// Waiting requests, more urgent ones first, in order of arrival.
+/// Queued requests by urgency, and by arrival within the same urgency.
 #[derive(Debug, Default)]
 pub(super) struct WaitQueue {
-    waiting: Vec<Waiting>,
+    requests: Vec<QueuedRequest>,
 }
 
 impl WaitQueue {
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
 
-    /// Waiting requests that go before a new one of that urgency.
-    pub(super) fn ahead_of(&self, urgency: u32) -> usize {
-        self.waiting
-            .partition_point(|waiting| waiting.urgency <= urgency)
+    /// The number of queued requests that precede a new one of that urgency.
+    pub(super) fn count_preceding(&self, urgency: u32) -> usize {
+        self.requests
+            .partition_point(|request| request.urgency <= urgency)
     }
 
-    /// Takes in a request behind all of its urgency.
-    pub(super) fn push(&mut self, waiting: Waiting) {
-        let ahead = self.ahead_of(waiting.urgency);
-        self.waiting.insert(ahead, waiting);
+    /// Queues a request behind all of the same urgency.
+    pub(super) fn push(&mut self, request: QueuedRequest) {
+        let preceding = self.count_preceding(request.urgency);
+        self.requests.insert(preceding, request);
     }
 
-    /// A request gives up, or is placed.
+    /// Removes a request that was placed or no longer waits.
     pub(super) fn remove(&mut self, ticket: Ticket) {
-        self.waiting.retain(|waiting| waiting.ticket != ticket);
+        self.requests.retain(|request| request.ticket != ticket);
     }
 
-    /// Of the most urgent requests, the first that can still be answered within
-    /// its goal, or else the first.
+    /// Of the most urgent requests, the first that can still meet its latency objective, or else
+    /// the first.
     ///
-    /// When a service is back after seconds, those who waited through them are
-    /// late already and lose little by a moment more; placed first, they would
-    /// make everybody behind them late too.
+    /// When a service returns after an outage of seconds, the requests that waited through it are
+    /// late already and lose little by a slightly longer wait. If they were placed first, all
+    /// requests behind them would be late too.
     pub(super) fn first(&self, now_ms: MonoMs) -> Option<Ticket> {
-        let first = self.waiting.first()?;
+        let first = self.requests.first()?;
         let as_urgent = self
-            .waiting
+            .requests
             .iter()
-            .take_while(|it| it.urgency == first.urgency);
-        let mut timely = as_urgent.filter(|it| now_ms <= it.timely_until_ms);
-        Some(timely.next().unwrap_or(first).ticket)
+            .take_while(|queued| queued.urgency == first.urgency);
+        let mut on_time = as_urgent.filter(|queued| now_ms <= queued.on_time_until_ms);
+        Some(on_time.next().unwrap_or(first).ticket)
     }
 }
