--- a/crates/traffic/src/concurrency.rs
+++ b/crates/traffic/src/concurrency.rs
@@ -1,130 +1,126 @@
-//! How many generations an entry may have running at a group of engines.
+//! Adaptive limit on the generations that an entry runs at a group of engines.
 //!
-//! All ranks of a group run each pass together, so one more generation
-//! anywhere makes the pass longer for everybody. There are two regimes: with
-//! short passes, streams end soon and few are open; with long passes, streams
-//! stay open longer, more of them run at once, and passes get longer still.
-//! One pause over the goal makes a whole answer late, so only a bound on what
-//! runs keeps a group in the short regime under load.
+//! All ranks of a group run each forward pass together, so one more generation anywhere makes the
+//! pass longer for all streams. There are two regimes: with short passes, streams end soon and few
+//! are open; with long passes, streams stay open longer, more of them run at once, and passes get
+//! even longer. One pause above the objective makes a whole response late, so only a concurrency
+//! limit keeps a group in the regime of short passes under load.
 //!
-//! The bound is found from what all entries can see: the time between two
-//! events of a stream is the time of one pass, and it is the same at every
-//! entry. Each entry lowers its bound while passes take too long and raises
-//! it while they do not and somebody waits. Lowering by a factor and raising
-//! by steps drives the entries towards equal shares without a word between
-//! them.
+//! The limit follows from what every entry can observe: the time between two events of a stream is
+//! the duration of one pass, which is the same at all entries. Each entry lowers its limit while
+//! passes are too long, and raises it while they are not and requests are queued. Multiplicative
+//! decrease and additive increase drive the entries towards equal shares without any communication.
 //!
-//! Where passes stay short with every slot taken, their time bounds nothing:
-//! whatever is sent beyond the slots waits at the targets, in order of arrival,
-//! and soon everybody is late. An entry sees that queue in what targets tell with
-//! the first event of each stream, or else in how many passes a first event took,
-//! and lowers its bound until the queue is gone. Callers then wait or are refused
-//! at the entry, where the order can be chosen and a refusal comes at once.
+//! Where passes stay short although every slot is taken, their duration sets no limit: requests
+//! beyond the slots queue at the targets in order of arrival, and soon all of them are late. An
+//! entry detects such queues from the load that targets report with the first event of each stream,
+//! or else from the number of passes until the first event, and lowers its limit until the queues
+//! are gone. Requests are then queued or refused at the entry, which can choose their order and
+//! refuses them at once.
 
 use berylhook_core::time::MonoMs;
 
 use crate::configuration::EngineModel;
 use crate::dispatch::Load;
 
-/// Share of the pause goal that a pass should take; the rest is for the time
-/// an event needs to the caller and for passes longer than usual.
-const TARGET_SHARE: f64 = 0.80;
+/// Pass duration to aim at, as a fraction of the pause objective. The rest is for the transfer of
+/// an event to the caller and for passes that are longer than usual.
+const PASS_FRACTION: f64 = 0.80;
 
-/// Time between two adjustments: a pass or two, so that the effect of the last
-/// one is seen before the next.
-const ADJUST_EVERY_MS: u64 = 150;
+/// Interval between two adjustments: one or two passes, so that the effect of one adjustment is
+/// observed before the next.
+const ADJUST_INTERVAL_MS: u64 = 150;
 
-/// Factor of a lowered bound.
-const LOWER_FACTOR: f64 = 0.92;
+/// Factor by which an adjustment lowers the limit after long passes.
+const DECREASE_FACTOR: f64 = 0.92;
 
-/// Added to the bound when it is raised, as a share of it.
-const RAISE_SHARE: f64 = 0.05;
+/// Proportional part of an increase of the limit.
+const INCREASE_FRACTION: f64 = 0.05;
 
-/// Added to the bound when it is raised, whatever its size.
-const RAISE_STEP: f64 = 0.25;
+/// Constant part of an increase of the limit.
+const INCREASE_STEP: f64 = 0.25;
 
-/// Most by which one adjustment raises the bound towards what passes leave room
-/// for. When a group has got a better map, passes are half as long at once; by
-/// small steps alone the bound followed for three seconds, in which callers were
-/// refused although there was room. Mean worth of thirty days of twelve ranks rose
+/// Largest factor by which one adjustment raises the limit if passes leave room for it. When a
+/// group gets a better expert map, its passes are half as long at once; with small steps alone, the
+/// limit took three seconds to follow, and callers were refused although there was capacity. With
+/// this factor, the mean worth of the responses in thirty simulated days with twelve ranks rose
 /// from 0.668 to 0.679.
-const MOST_RAISE_FACTOR: f64 = 1.3;
+const MAX_INCREASE_FACTOR: f64 = 1.3;
 
-/// Part of what runs at a target that waits there, over which a queue stands: one
-/// request beside twelve. Entries do not know of each other's choices, so a single
-/// one is chance.
+/// Queued requests at a target from which there is a standing queue, as a fraction of its running
+/// requests: one request per twelve. A single queued request may be chance, as entries do not know
+/// of each other's placements.
 ///
-/// Without heed of queues, half as much load again as twelve ranks can serve left a
-/// worth of 0.68, with it 0.81; twice the load 0.24 and 0.45; three times 0.03 and
-/// 0.19, each a play of 34 s.
-const STANDING_QUEUE: f64 = 0.08;
+/// In simulations of 34 s each, the mean worth of the responses at one and a half times the load
+/// that twelve ranks can serve was 0.68 without detection of queues and 0.81 with it; at twice the
+/// load 0.24 and 0.45; at three times the load 0.03 and 0.19.
+const STANDING_QUEUE_FRACTION: f64 = 0.08;
 
-/// Factor by which one adjustment lowers the bound for a queue, at the least. The
-/// queue is seen as late as it is long, so each step is small.
-const LEAST_QUEUE_FACTOR: f64 = 0.8;
+/// Smallest factor by which one adjustment lowers the limit because of a queue. The longer a queue
+/// is, the later it is observed, so each step is small.
+const MIN_QUEUE_DECREASE_FACTOR: f64 = 0.8;
 
-/// Passes that the first event of a stream takes where nobody waits: it is
-/// admitted with the next pass, read in one, and written in another.
-const USUAL_FIRST_PASSES: f64 = 3.0;
+/// Passes until the first event of a stream where no queue exists: the request is admitted with the
+/// next pass, its prompt is processed in one, and the event is generated in another.
+const TYPICAL_FIRST_EVENT_PASSES: f64 = 3.0;
 
-/// A bound below this would stop the entry from ever seeing a pass.
-const LEAST: f64 = 2.0;
+/// Smallest limit. With less, the entry might never observe a pass.
+const MIN_LIMIT: f64 = 2.0;
 
-/// Share of the pause goal that the first bound aims at, before any pass was
-/// seen. After a restart the map in use may be far from the demand, and passes
-/// over three times as long as this model has them.
-const FIRST_PASS_SHARE: f64 = 0.4;
+/// Pass duration that the initial limit aims at before any pass was observed, as a fraction of the
+/// pause objective. After a restart the expert map may not fit the demand at all, and passes may
+/// take over three times as long as this model predicts.
+const INITIAL_PASS_FRACTION: f64 = 0.4;
 
-/// Pause goal that the first bound is made for.
-const USUAL_PAUSE_GOAL_MS: f64 = 120.0;
+/// Pause objective for the initial limit.
+const TYPICAL_PAUSE_OBJECTIVE_MS: f64 = 120.0;
 
-/// Least work that a generation is taken to add to a step.
-const LEAST_WORK_MS: f64 = 0.001;
+/// Lower bound for the time that a generation adds to a step: this time is a divisor.
+const MIN_WORK_MS: f64 = 0.001;
 
-/// Gaps longer than this are a stalled group, not a long pass. Fewer
-/// generations would not have made it shorter.
-const STALL_MS: f64 = 600.0;
+/// Longer gaps are attributed to a stalled group rather than to long passes. Fewer generations
+/// would not have made them shorter.
+const STALL_TIMEOUT_MS: f64 = 600.0;
 
-/// For this long after a stall first events are late for it: as long as callers
-/// wait for one.
-const STALL_COUNTS_MS: u64 = 2_000;
+/// How long after a stall late first events are attributed to it: as long as callers wait for a
+/// first event.
+const STALL_EFFECT_MS: u64 = 2_000;
 
-/// A bound of which less is in use did not cause long passes; they come from a
-/// shift of demand or a slow engine, and pass.
-const BINDING_SHARE: f64 = 0.6;
+/// Fraction of the limit that must be in use for long passes to be attributed to load. Below it,
+/// they come from a shift of demand or a slow engine and are temporary.
+const BINDING_FRACTION: f64 = 0.6;
 
-/// Pass time to steer for where no pass can be timely, as a multiple of an
-/// empty one: by the engines' own description a pass of this length carries
-/// about as many generations as the other engines have slots.
-const LATE_FACTOR: f64 = 1.6;
+/// Pass duration to aim at if no pass can meet the objective, as a multiple of a pass in which no
+/// generation runs. According to the engines' performance model, a pass of this duration runs about
+/// as many generations as the other engines have slots.
+const LATE_PASS_FACTOR: f64 = 1.6;
 
-/// Part of the gaps that are no longer than the pass that counts as a long one.
-const LONG_PASS_QUANTILE: f64 = 0.75;
+/// Quantile of the gaps that counts as the pass duration.
+const PASS_QUANTILE: f64 = 0.75;
 
-/// Of first events, half are sooner.
 const MEDIAN: f64 = 0.5;
 
-/// How long passes take, by the operator's description of the engines.
+/// Pass durations according to the operator's description of the engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PassModel {
-    /// Time of a pass in which nothing runs.
+    /// Duration of a forward pass in which no generation runs.
     pub empty_pass_ms: f64,
-    /// Added by each generation at an engine.
+    /// Additional time per generation at an engine.
     pub per_generation_ms: f64,
     /// Generations that an engine runs at once.
     pub slots: f64,
-    /// Passes that a usual answer takes.
+    /// Passes that a typical response takes.
     pub passes_per_response: f64,
 }
 
 impl PassModel {
-    /// Reads the operator's description.
+    /// Derives the model from the operator's description.
     #[must_use]
     pub fn for_engine(engine: &EngineModel) -> Self {
         let steps = f64::from(engine.steps_per_pass.max(1));
         let tokens = engine.typical_prompt_tokens + engine.typical_response_tokens;
         let context_ms = engine.context_per_1000_ms * tokens / 1_000.0;
-        let per_sequence_ms = (engine.per_sequence_ms + context_ms).max(LEAST_WORK_MS);
+        let per_sequence_ms = (engine.per_sequence_ms + context_ms).max(MIN_WORK_MS);
         Self {
             empty_pass_ms: engine.step_ms * steps,
             per_generation_ms: per_sequence_ms * steps,
@@ -144,234 +140,233 @@
     }
 }
 
-/// What the first event of a stream showed.
+/// What was observed at the first event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstEvent {
-    /// What the target told of its load, if it does.
+    /// The load that the target reported, if any.
     pub load: Option<Load>,
-    /// Time since the request was sent there.
+    /// Time from sending the request to the event.
     pub latency_ms: f64,
 }
 
-/// The bound of one entry on one service.
+/// The concurrency limit of one entry for one service.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     model: PassModel,
-    first_per_engine: f64,
-    bound: f64,
-    most: f64,
-    /// 0 while none are known.
+    initial_per_engine: f64,
+    limit: f64,
+    max_limit: f64,
+    /// Engines in use; 0 if none were known yet.
     engines: f64,
-    /// This entry's part of them.
+    /// This entry's share of the engines, from 0 to 1.
     share: f64,
-    /// The least part that it has had.
-    least_share: f64,
+    /// The smallest share so far.
+    min_share: f64,
     gaps_ms: Vec<f64>,
     first_events: Vec<FirstEvent>,
-    /// Whether a stall was seen since the last adjustment.
+    /// Whether a stall was observed since the last adjustment.
     has_stalled: bool,
-    /// Until when first events may be late for a stall.
-    stall_counts_until_ms: MonoMs,
-    is_wanted: bool,
+    /// Until when late first events are attributed to a stall.
+    stall_effect_until_ms: MonoMs,
+    is_limit_reached: bool,
     adjusted_ms: Option<MonoMs>,
 }
 
-/// What passes should take.
+/// The objective for pauses, and the pass duration that can be reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PassObjective {
-    /// The longest pause between two events that callers find acceptable.
+    /// The longest acceptable pause between two events.
     pub pause_ms: f64,
-    /// The time of a pass without any generation at the slowest engine.
+    /// Duration of a pass at the slowest engine if no generation runs.
     pub min_pass_ms: f64,
 }
 
 impl PassObjective {
-    /// The pass time to steer for.
+    /// The pass duration to aim at.
     ///
-    /// With a slow engine in the group even an empty pass can miss the goal.
-    /// Refusing callers then makes no answer timely; more of them are served
-    /// late instead, as long as passes do not get much longer for it.
-    fn target_ms(&self) -> f64 {
-        let timely_ms = self.pause_ms * TARGET_SHARE;
+    /// With a slow engine in the group, even a pass in which no generation runs can exceed the
+    /// objective. Refusals would then make no response timely, so more requests are served late
+    /// instead, as long as this makes passes only a little longer.
+    fn aimed_pass_ms(&self) -> f64 {
+        let timely_ms = self.pause_ms * PASS_FRACTION;
         if self.min_pass_ms < timely_ms {
             timely_ms
         } else {
-            self.min_pass_ms * LATE_FACTOR
+            self.min_pass_ms * LATE_PASS_FACTOR
         }
     }
 }
 
-/// The engines of a service and who shares them.
+/// The engines of a service and this entry's share of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedCapacity {
     /// Engines in use.
     pub engines: usize,
-    /// Generations that all of them run at once.
+    /// Generations that all engines together run at once.
     pub slots: u32,
-    /// This entry's part of them, from 0 to 1.
+    /// This entry's share of the engines, from 0 to 1.
     pub share: f64,
 }
 
 impl ConcurrencyLimiter {
-    /// Starts with the number of generations at which a pass should take a
-    /// part of a usual pause goal.
+    /// Starts with the number of generations at which a pass should take a fraction of the usual
+    /// pause objective.
     #[must_use]
     pub fn new(model: PassModel) -> Self {
-        let first_pass_ms = USUAL_PAUSE_GOAL_MS * FIRST_PASS_SHARE;
+        let initial_pass_ms = TYPICAL_PAUSE_OBJECTIVE_MS * INITIAL_PASS_FRACTION;
         Self {
-            first_per_engine: model.generations(first_pass_ms).max(1.0),
+            initial_per_engine: model.generations(initial_pass_ms).max(1.0),
             model,
-            bound: LEAST,
-            most: LEAST,
+            limit: MIN_LIMIT,
+            max_limit: MIN_LIMIT,
             engines: 0.0,
             share: 1.0,
-            least_share: 1.0,
+            min_share: 1.0,
             gaps_ms: Vec::new(),
             first_events: Vec::new(),
             has_stalled: false,
-            stall_counts_until_ms: MonoMs(0),
-            is_wanted: false,
+            stall_effect_until_ms: MonoMs(0),
+            is_limit_reached: false,
             adjusted_ms: None,
         }
     }
 
-    /// Engines or entries came or went.
+    /// Adapts the limit to a changed number of engines or entries.
     ///
-    /// Until a pass has been seen the bound is this entry's part of the first guess;
-    /// afterwards it follows the number of engines, and shrinks when more entries are
-    /// met than ever before. An entry that has just started takes itself to be alone.
-    /// Without that, fifty that start together each keep a bound for all engines: every
-    /// slot is taken at once, and nothing lowers a bound that is never reached. Entries
-    /// that go and come back change nothing: the time of passes tells better what the
+    /// Until a pass was observed, the limit is this entry's share of the initial estimate.
+    /// Afterwards it follows the number of engines, and shrinks when the share falls below its
+    /// previous minimum. An entry that has just started assumes that it is alone. Without the
+    /// reduction, fifty entries that start together would each keep a limit for all engines: every
+    /// slot is taken at once, and nothing lowers a limit that is never reached. Entries that leave
+    /// and return do not change the limit, as pass durations show better how much capacity the
     /// others leave.
     #[allow(clippy::cast_precision_loss)] // small counts
-    pub fn set_capacity(&mut self, size: SharedCapacity) {
-        let engines = size.engines as f64;
-        let met_more = (size.share / self.least_share).min(1.0);
-        self.bound = match self.adjusted_ms {
-            None => self.first_per_engine * engines * size.share,
-            Some(_) if self.engines > 0.0 => self.bound * met_more * engines / self.engines,
-            Some(_) => self.bound * met_more,
+    pub fn set_capacity(&mut self, capacity: SharedCapacity) {
+        let engines = capacity.engines as f64;
+        let share_ratio = (capacity.share / self.min_share).min(1.0);
+        self.limit = match self.adjusted_ms {
+            None => self.initial_per_engine * engines * capacity.share,
+            Some(_) if self.engines > 0.0 => self.limit * share_ratio * engines / self.engines,
+            Some(_) => self.limit * share_ratio,
         };
         if engines > 0.0 {
             self.engines = engines;
         }
-        self.share = size.share;
-        self.least_share = self.least_share.min(size.share);
-        self.most = f64::from(size.slots).max(LEAST);
-        self.bound = self.bound.clamp(LEAST, self.most);
+        self.share = capacity.share;
+        self.min_share = self.min_share.min(capacity.share);
+        self.max_limit = f64::from(capacity.slots).max(MIN_LIMIT);
+        self.limit = self.limit.clamp(MIN_LIMIT, self.max_limit);
     }
 
-    /// A stream got its first event.
+    /// Records the first event of a stream.
     pub fn on_first_event(&mut self, first: FirstEvent) {
         self.first_events.push(first);
     }
 
-    /// The time between two events of one stream.
+    /// Records the time between two events of one stream.
     pub fn on_event_gap(&mut self, gap_ms: f64) {
-        if gap_ms < STALL_MS {
+        if gap_ms < STALL_TIMEOUT_MS {
             self.gaps_ms.push(gap_ms);
         } else {
             self.has_stalled = true;
         }
     }
 
-    /// Whether `running` leaves room for one more; remembers that more was
-    /// wanted if not.
+    /// Whether a request may start beside `running` others. If not, the next adjustment knows that
+    /// the limit was reached.
     pub fn has_room(&mut self, running: usize) -> bool {
         #[allow(clippy::cast_precision_loss)] // a few hundred at most
-        let has_room = (running as f64) < self.bound;
-        self.is_wanted |= !has_room;
+        let has_room = (running as f64) < self.limit;
+        self.is_limit_reached |= !has_room;
         has_room
     }
 
-    /// The bound in force.
+    /// The current limit.
     #[must_use]
     pub fn limit(&self) -> f64 {
-        self.bound
+        self.limit
     }
 
-    /// Adjusts the bound to passes seen since the last time, with that many
-    /// generations running.
-    pub fn adjust(&mut self, goal: PassObjective, running: usize, now_ms: MonoMs) {
+    /// Adjusts the limit to the passes observed since the last adjustment, if the next one is due.
+    pub fn adjust(&mut self, objective: PassObjective, running: usize, now_ms: MonoMs) {
         let is_due = self
             .adjusted_ms
-            .is_none_or(|adjusted_ms| now_ms.since(adjusted_ms) >= ADJUST_EVERY_MS);
+            .is_none_or(|adjusted_ms| now_ms.since(adjusted_ms) >= ADJUST_INTERVAL_MS);
         if !is_due {
             return;
         }
-        let Some(pass_ms) = quantile(&mut self.gaps_ms, LONG_PASS_QUANTILE) else {
+        let Some(pass_ms) = quantile(&mut self.gaps_ms, PASS_QUANTILE) else {
             return;
         };
         if std::mem::take(&mut self.has_stalled) {
-            self.stall_counts_until_ms = now_ms + STALL_COUNTS_MS;
+            self.stall_effect_until_ms = now_ms + STALL_EFFECT_MS;
         }
-        let target_ms = goal.target_ms();
+        let aimed_pass_ms = objective.aimed_pass_ms();
         let queue = self.queue(pass_ms, now_ms);
         #[allow(clippy::cast_precision_loss)] // a few hundred at most
         let running = running as f64;
-        let binds = running > self.bound * BINDING_SHARE;
-        let bound = match pass_ms > target_ms {
-            true if binds => self.bound * LOWER_FACTOR,
-            true => self.bound,
-            false if queue > STANDING_QUEUE && binds => {
-                self.bound * (1.0 / (1.0 + queue)).max(LEAST_QUEUE_FACTOR)
+        let is_binding = running > self.limit * BINDING_FRACTION;
+        let limit = match pass_ms > aimed_pass_ms {
+            true if is_binding => self.limit * DECREASE_FACTOR,
+            true => self.limit,
+            false if queue > STANDING_QUEUE_FRACTION && is_binding => {
+                self.limit * (1.0 / (1.0 + queue)).max(MIN_QUEUE_DECREASE_FACTOR)
             }
-            false if queue > STANDING_QUEUE => self.bound,
-            false if self.is_wanted => self.raised(running, pass_ms, target_ms),
-            false => self.bound,
+            false if queue > STANDING_QUEUE_FRACTION => self.limit,
+            false if self.is_limit_reached => self.increased(running, pass_ms, aimed_pass_ms),
+            false => self.limit,
         };
-        self.bound = bound.clamp(LEAST, self.most);
+        self.limit = limit.clamp(MIN_LIMIT, self.max_limit);
         self.gaps_ms.clear();
         self.first_events.clear();
-        self.is_wanted = false;
+        self.is_limit_reached = false;
         self.adjusted_ms = Some(now_ms);
     }
 
-    /// What waits at the targets as a part of what runs there, by the median of
-    /// the first events seen.
+    /// Queued requests at the targets as a fraction of their running requests: the median of the
+    /// observed first events.
     ///
-    /// Time alone would not do: after a shift of demand first events come late
-    /// because passes are long, and fewer admissions would help nobody. So it is
-    /// counted in passes, and not at all after a stall.
+    /// Without a reported load, the queue is estimated from the passes until the first event, and
+    /// not at all after a stall. The plain time would not do: after a shift of demand first events
+    /// are late because passes are long, and fewer admissions would not help.
     fn queue(&self, pass_ms: f64, now_ms: MonoMs) -> f64 {
-        let is_stalled = now_ms < self.stall_counts_until_ms;
-        let of_first = |first: &FirstEvent| match first.load {
+        let is_stalled = now_ms < self.stall_effect_until_ms;
+        let queue_at_first_event = |first: &FirstEvent| match first.load {
             Some(load) => f64::from(load.waiting) / f64::from(load.running.max(1)),
             None if is_stalled => 0.0,
             None => {
-                let passes = first.latency_ms / pass_ms.max(1.0) - USUAL_FIRST_PASSES;
+                let passes = first.latency_ms / pass_ms.max(1.0) - TYPICAL_FIRST_EVENT_PASSES;
                 passes.max(0.0) / self.model.passes_per_response
             }
         };
-        let mut queues: Vec<f64> = self.first_events.iter().map(of_first).collect();
+        let mut queues: Vec<f64> = self.first_events.iter().map(queue_at_first_event).collect();
         quantile(&mut queues, MEDIAN).unwrap_or(0.0)
     }
 
-    /// The bound raised by a step, or further towards what leaves passes at
-    /// `target_ms` as far as passes of `pass_ms` tell.
-    fn raised(&self, running: f64, pass_ms: f64, target_ms: f64) -> f64 {
+    /// The limit after an increase: by a step, or further towards the limit at which passes are
+    /// estimated to take `aimed_pass_ms`, given passes of `pass_ms` now.
+    fn increased(&self, running: f64, pass_ms: f64, aimed_pass_ms: f64) -> f64 {
         let share = self.engines.max(1.0) * self.share;
         let slots = self.model.slots;
-        // Others may run more or less than this entry. Engines that are taken to
-        // be fuller than they are make the estimate a careful one.
-        let at_engine = (running / share).clamp(slots / 2.0, slots);
-        let stretch = (pass_ms / self.model.pass_ms(at_engine)).max(1.0);
-        let room = self.model.generations(target_ms / stretch) * share;
-        let step = self.bound * (1.0 + RAISE_SHARE) + RAISE_STEP;
-        step.max(room.min(self.bound * MOST_RAISE_FACTOR))
+        // Other entries may run more or fewer requests per engine than this one, so an engine is
+        // assumed to be at least half full.
+        let per_engine = (running / share).clamp(slots / 2.0, slots);
+        let stretch = (pass_ms / self.model.pass_ms(per_engine)).max(1.0);
+        let room = self.model.generations(aimed_pass_ms / stretch) * share;
+        let step = self.limit * (1.0 + INCREASE_FRACTION) + INCREASE_STEP;
+        step.max(room.min(self.limit * MAX_INCREASE_FACTOR))
     }
 }
 
-/// The value below which that part of the values lies; `None` if there are none.
-fn quantile(values: &mut [f64], part: f64) -> Option<f64> {
+/// The value at that quantile; `None` if there are no values.
+fn quantile(values: &mut [f64], fraction: f64) -> Option<f64> {
     let last = values.len().checked_sub(1)?;
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss
     )] // an index below the length
-    let index = (last as f64 * part) as usize;
+    let index = (last as f64 * fraction) as usize;
     let (_, value, _) = values.select_nth_unstable_by(index, f64::total_cmp);
     Some(*value)
 }
