--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -1,38 +1,37 @@
-//! Which targets exist, which are leaving, and which of two views is newer.
+//! Known targets, their phases, and the order of two versions of the target list.
 //!
-//! The platform's store lists the targets under one revision counter. A view
-//! is identified by the [`Position`] it was read at, so an entry that the store
-//! shuts out can take a peer's view over as a whole if its position is later,
-//! and nothing ever goes back.
+//! The platform's store lists the targets under one revision counter. A version of the list is
+//! identified by the [`Position`] in the store's history at which it was read. An entry that cannot
+//! reach the store can therefore replace its whole list by a peer's if that has a later position,
+//! and never returns to an earlier one.
 //!
-//! A store that was restored from an older copy lists what was true seconds
-//! ago: targets that registered since are missing, one that was leaving reads as
-//! ready, and one that has left is back. The targets write again, each in its own
-//! time. So the first list of a new era is read with what was known before it:
+//! A store that was restored from an older copy lists what was true seconds ago: targets that have
+//! registered since are missing, a target that was leaving reads as ready, and one that has left is
+//! listed again. Each target writes its entry again at its own time. So the first list of a new era
+//! is merged with what was known before:
 //!
-//! - A *missing* target stays in use for the same time as after an outage.
-//! - One that was *leaving* stays so until it writes again.
-//! - One that has *left* stays out of use for [`RESTORED_ENTRY_EXCLUSION_MS`]; if it is still
-//!   listed then, somebody renews its entry, and it lives.
+//! - A *missing* target stays in use for the same time as after an outage of the store.
+//! - A *leaving* target stays so until it writes its entry again.
+//! - A target that has *left* stays out of use for [`RESTORED_ENTRY_EXCLUSION_MS`]. If it is still
+//!   listed then, its entry is being renewed, so the target is alive.
 //!
-//! A target that stops sending heartbeats is dropped from the list, and so is
-//! every target whose heartbeats could not reach the store during an outage.
-//! Dropping those at once would empty the list just as the store comes back.
-//! A target that is missing within [`STORE_RECOVERY_GRACE_MS`] of the store's return
-//! therefore stays in use until that time is over.
+//! A target that stops sending heartbeats is dropped from the list, and so is every target whose
+//! heartbeats could not reach the store during an outage. Dropping the latter at once would empty
+//! the list just as the store returns. So a target that is missing within
+//! [`STORE_RECOVERY_GRACE_MS`] of the store's return stays in use until the end of this grace
+//! period.
 //!
-//! Anyone who can write to the store can write under a target's key. An entry
-//! that the target cannot have written takes it out of use, at once and
-//! whatever was known before; all other targets stay as they are. The
-//! target comes back with its next sound entry. Three cases concern the start
-//! of an incarnation:
+//! Anyone who can write to the store can write under a target's key. An entry that the target
+//! cannot have written takes the target out of use at once, whatever was known before; all other
+//! targets stay as they are. The target returns with its next valid entry. Three cases concern the
+//! start time of an incarnation:
 //!
-//! - One *later* than known is a restart: the new incarnation replaces the
-//!   former one.
-//! - One *earlier* than known is a late write of a former incarnation and
-//!   changes nothing.
-//! - One that is *missing* is taken as unknown, unless the target has told a
-//!   start before: then it is not the target that wrote.
+//! - A start *later* than the known one is a restart: the new incarnation replaces the previous
+//!   one.
+//! - A start *earlier* than the known one is a late write of a previous incarnation and changes
+//!   nothing.
+//! - A *missing* start counts as unknown, unless the target has reported one before: then the entry
+//!   was written by somebody else.
 
 use std::sync::Arc;
 
@@ -43,36 +42,35 @@
 
 use crate::target::{Phase, Target};
 
-/// How long after the store's return a missing target still counts as alive.
+/// How long after the store's return a missing target stays in use.
 ///
-/// The platform promises that targets which live are listed again within about
-/// two seconds of its return.
+/// The platform promises that live targets are listed again within about two seconds of its return.
 pub const STORE_RECOVERY_GRACE_MS: u64 = 2_200;
 
-/// How long a target that has left is not used although a restored store lists it.
+/// How long a target that has left stays out of use although a restored store lists it.
 ///
-/// The platform drops an entry that nobody renews after three heartbeats, some four
+/// The platform drops an entry that is not renewed after three heartbeats, which is some four
 /// seconds.
 pub const RESTORED_ENTRY_EXCLUSION_MS: u64 = 5_000;
 
-/// How long it is known that a target has left: longer than a copy of the store is old.
-const LEFT_KNOWN_MS: u64 = 60_000;
+/// How long a target is remembered to have left: longer than a copy of the store is old.
+const LEFT_TTL_MS: u64 = 60_000;
 
-/// Why an entry without a start names no target.
-const START_NOT_TOLD: &str = "the start is missing, and this target has told one before; \
+/// Why an entry without a start time is invalid.
+const START_MISSING: &str = "the start time is missing, but this target has reported one before; \
      the target's next heartbeat replaces the entry";
 
-/// Why an entry with an earlier start names no target, where the later
-/// incarnation is not known any more.
-const START_IS_FORMER: &str = "the start is earlier than one told before; \
+/// Why an entry with an earlier start time is invalid, if the later incarnation is not known any
+/// more.
+const START_OUTDATED: &str = "the start time is earlier than one that this target has reported; \
      the target's next heartbeat replaces the entry";
 
-/// An entry that names no target.
+/// An entry of the list that does not describe a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvalidEntry {
-    /// The id under which it is listed.
+    /// The id under which the entry is listed.
     pub id: Arc<str>,
-    /// What is wrong with it, and the remedy.
+    /// What is wrong with the entry, and how to fix it.
     pub reason: Arc<str>,
 }
 
@@ -81,27 +79,27 @@
 pub enum ListingChange {
     /// A target was added, or its description changed.
     Set(Target),
-    /// A target is no longer listed.
+    /// The target of that id is no longer listed.
     Removed(Arc<str>),
-    /// What is listed under an id names no target.
+    /// The entry under an id has become invalid.
     Invalid(InvalidEntry),
 }
 
 /// The list at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Where in the store's history the list was read.
+    /// Position in the store's history at which the list was read.
     #[serde(flatten)]
     pub position: Position,
     /// All targets, by id.
     pub targets: IndexMap<Arc<str>, Target>,
-    /// Why the other entries name no target, by id.
+    /// Reasons why the other entries are invalid, by id.
     #[serde(default, rename = "unusable")]
     pub invalid: IndexMap<Arc<str>, Arc<str>>,
 }
 
 impl Listing {
-    /// A list that was read as a whole.
+    /// Builds a list from all entries of the store.
     #[must_use]
     pub fn from_entries(position: Position, entries: Vec<Result<Target, InvalidEntry>>) -> Self {
         let mut listing = Self {
@@ -113,67 +111,67 @@
                 Ok(target) => {
                     listing.targets.insert(Arc::clone(target.id()), target);
                 }
-                Err(unusable) => {
-                    listing.invalid.insert(unusable.id, unusable.reason);
+                Err(invalid) => {
+                    listing.invalid.insert(invalid.id, invalid.reason);
                 }
             }
         }
         listing
     }
 
-    fn set_unusable(&mut self, unusable: InvalidEntry) {
-        self.targets.shift_remove(&unusable.id);
-        self.invalid.insert(unusable.id, unusable.reason);
+    fn set_invalid(&mut self, invalid: InvalidEntry) {
+        self.targets.shift_remove(&invalid.id);
+        self.invalid.insert(invalid.id, invalid.reason);
     }
 }
 
-/// The targets as this process knows them.
+/// The targets that this process knows.
 #[derive(Debug, Default)]
 pub struct Directory {
     listing: Listing,
-    /// Targets no longer listed that are still used, and until when.
+    /// Targets that are no longer listed but still in use, and until when.
     missing: IndexMap<Arc<str>, (Target, MonoMs)>,
-    /// Until when a missing target counts as alive.
+    /// Until when missing targets stay in use.
     grace_until_ms: MonoMs,
-    /// The latest start that each listed target has told, in Unix milliseconds.
+    /// The latest start time that each listed target has reported, in Unix milliseconds.
     starts_unix_ms: IndexMap<Arc<str>, u64>,
-    /// Targets that have left of late.
-    left: IndexMap<Arc<str>, Left>,
-    /// Listed targets that have left before the store was restored, and until when they
-    /// are not used.
-    revived: IndexMap<Arc<str>, MonoMs>,
+    /// Targets that have left recently.
+    left: IndexMap<Arc<str>, LeftTarget>,
+    /// Listed targets that had left before the store was restored, and until when they stay out of
+    /// use.
+    excluded: IndexMap<Arc<str>, MonoMs>,
 }
 
 /// A target that has left.
 #[derive(Clone, Copy, Debug)]
-struct Left {
-    /// Revision of its entry's creation; one that registers again has another.
+struct LeftTarget {
+    /// Revision at which its entry was created; it differs if the target registers again.
     listed_revision: u64,
     noticed_ms: MonoMs,
 }
 
-/// Who wrote an entry, by the starts that its id has told before.
+/// The author of an entry, judged by the start times that were reported under its id before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Writer {
-    /// The target, in the incarnation known or a later one.
+    /// The target, in the known incarnation or a later one.
     Target,
-    /// A former incarnation of it; the write came late.
-    FormerIncarnation,
-    /// Somebody else.
+    /// A previous incarnation of the target, whose write arrived late.
+    PreviousIncarnation,
+    /// Anybody else.
     Other,
 }
 
 impl Directory {
-    /// The store answers again after it was away.
+    /// Notes that the store answers again after an outage.
     ///
-    /// The list read next may lack targets that live.
+    /// The next list that is read may lack live targets.
     pub fn on_store_recovered(&mut self, now_ms: MonoMs) {
         self.grace_until_ms = now_ms + STORE_RECOVERY_GRACE_MS;
     }
 
-    /// Takes a whole list over if it is not older than the one in force.
+    /// Replaces the whole list unless the new one is older.
     ///
-    /// Returns whether it was taken over.
+    /// Returns whether the list was replaced.
     pub fn replace(&mut self, mut listing: Listing, now_ms: MonoMs) -> bool {
         let known = self.listing.position;
         if listing.position < known {
@@ -186,13 +184,13 @@
         self.reconcile(&mut listing);
         if is_restored {
             self.keep_leaving(&mut listing);
-            self.note_revived(&listing, now_ms);
+            self.exclude_revived(&listing, now_ms);
         }
         let before = std::mem::replace(&mut self.listing, listing);
         for (id, target) in before.targets {
             let is_listed = self.listing.targets.contains_key(&id);
             if !is_listed && !self.listing.invalid.contains_key(&id) {
-                self.keep_for_a_while(target, now_ms);
+                self.on_removed(target, now_ms);
             }
         }
         let Self {
@@ -203,7 +201,7 @@
         true
     }
 
-    /// Replaces the entries of a new list that their targets cannot have written.
+    /// Replaces entries of a new list that cannot have been written by their targets.
     fn reconcile(&mut self, listing: &mut Listing) {
         self.starts_unix_ms
             .retain(|id, _| listing.targets.contains_key(id) || listing.invalid.contains_key(id));
@@ -211,21 +209,21 @@
             let id = Arc::clone(target.id());
             match self.writer_of(&target) {
                 Writer::Target => {
-                    self.note_start(&target);
+                    self.record_start(&target);
                     listing.targets.insert(id, target);
                 }
-                Writer::FormerIncarnation => match self.known(&id) {
+                Writer::PreviousIncarnation => match self.known(&id) {
                     Some(known) => {
                         listing.targets.insert(id, known.clone());
                     }
-                    None => listing.set_unusable(refused(id, START_IS_FORMER)),
+                    None => listing.set_invalid(invalid_entry(id, START_OUTDATED)),
                 },
-                Writer::Other => listing.set_unusable(refused(id, START_NOT_TOLD)),
+                Writer::Other => listing.set_invalid(invalid_entry(id, START_MISSING)),
             }
         }
     }
 
-    /// Has targets that were leaving leave still, whatever the older copy says of them.
+    /// Keeps targets leaving that were leaving before, whatever the restored list says.
     fn keep_leaving(&self, listing: &mut Listing) {
         for (id, target) in &mut listing.targets {
             let known = self.listing.targets.get(id);
@@ -238,23 +236,23 @@
         }
     }
 
-    /// Takes targets out of use that an older copy lists although they have left.
-    fn note_revived(&mut self, listing: &Listing, now_ms: MonoMs) {
+    /// Takes targets out of use that a restored list contains although they have left.
+    fn exclude_revived(&mut self, listing: &Listing, now_ms: MonoMs) {
         self.left
-            .retain(|_, left| now_ms.since(left.noticed_ms) < LEFT_KNOWN_MS);
+            .retain(|_, left| now_ms.since(left.noticed_ms) < LEFT_TTL_MS);
         for (id, target) in &listing.targets {
             let left = self.left.get(id);
             if left.is_some_and(|left| left.listed_revision == target.listed_revision) {
-                self.revived
+                self.excluded
                     .insert(Arc::clone(id), now_ms + RESTORED_ENTRY_EXCLUSION_MS);
             }
         }
     }
 
-    fn note_left(&mut self, target: &Target, now_ms: MonoMs) {
+    fn record_left(&mut self, target: &Target, now_ms: MonoMs) {
         self.left
-            .retain(|_, left| now_ms.since(left.noticed_ms) < LEFT_KNOWN_MS);
-        let left = Left {
+            .retain(|_, left| now_ms.since(left.noticed_ms) < LEFT_TTL_MS);
+        let left = LeftTarget {
             listed_revision: target.listed_revision,
             noticed_ms: now_ms,
         };
@@ -267,7 +265,7 @@
         self.listing.targets.get(id).or(missing)
     }
 
-    fn note_start(&mut self, target: &Target) {
+    fn record_start(&mut self, target: &Target) {
         if let Some(start_unix_ms) = target.incarnation.started_unix_ms {
             self.starts_unix_ms
                 .insert(Arc::clone(target.id()), start_unix_ms);
@@ -278,16 +276,16 @@
         let known_unix_ms = self.starts_unix_ms.get(target.id()).copied();
         match (known_unix_ms, target.incarnation.started_unix_ms) {
             (Some(_), None) => Writer::Other,
-            (Some(known), Some(told)) if told < known => Writer::FormerIncarnation,
+            (Some(known), Some(reported)) if reported < known => Writer::PreviousIncarnation,
             _ => Writer::Target,
         }
     }
 
-    /// Whether a younger target listens at this one's address.
+    /// Whether a target that registered later listens on this one's address.
     ///
-    /// A target that crashes and starts again under another id is listed twice
-    /// until its former heartbeats lapse, seconds later. Half of its service's
-    /// requests would go to a target that no longer exists, and be refused.
+    /// A target that crashes and starts again under another id is listed twice until the heartbeats
+    /// of its previous incarnation expire, seconds later. Half of its service's requests would go
+    /// to a target that no longer exists, and be refused.
     fn is_superseded(&self, target: &Target) -> bool {
         let mut listed = self.listing.targets.values();
         listed.any(|other| {
@@ -295,7 +293,7 @@
         })
     }
 
-    /// Applies the change made at `position`; an older one changes nothing.
+    /// Applies the change made at `position`; an older one has no effect.
     pub fn apply(&mut self, change: ListingChange, position: Position, now_ms: MonoMs) {
         if position <= self.listing.position {
             return;
@@ -306,12 +304,12 @@
             ListingChange::Removed(id) => {
                 self.starts_unix_ms.shift_remove(&id);
                 self.listing.invalid.shift_remove(&id);
-                self.revived.shift_remove(&id);
+                self.excluded.shift_remove(&id);
                 if let Some(target) = self.listing.targets.shift_remove(&id) {
-                    self.keep_for_a_while(target, now_ms);
+                    self.on_removed(target, now_ms);
                 }
             }
-            ListingChange::Invalid(unusable) => self.set_unusable(unusable),
+            ListingChange::Invalid(invalid) => self.set_invalid(invalid),
         }
     }
 
@@ -319,25 +317,25 @@
         let id = Arc::clone(target.id());
         match self.writer_of(&target) {
             Writer::Target => {
-                self.note_start(&target);
+                self.record_start(&target);
                 self.missing.shift_remove(&id);
                 self.left.shift_remove(&id);
-                self.revived.shift_remove(&id);
+                self.excluded.shift_remove(&id);
                 self.listing.invalid.shift_remove(&id);
                 self.listing.targets.insert(id, target);
             }
-            Writer::FormerIncarnation => {}
-            Writer::Other => self.set_unusable(refused(id, START_NOT_TOLD)),
+            Writer::PreviousIncarnation => {}
+            Writer::Other => self.set_invalid(invalid_entry(id, START_MISSING)),
         }
     }
 
-    fn set_unusable(&mut self, unusable: InvalidEntry) {
-        self.missing.shift_remove(&unusable.id);
-        self.listing.set_unusable(unusable);
+    fn set_invalid(&mut self, invalid: InvalidEntry) {
+        self.missing.shift_remove(&invalid.id);
+        self.listing.set_invalid(invalid);
     }
 
-    fn keep_for_a_while(&mut self, target: Target, now_ms: MonoMs) {
-        self.note_left(&target, now_ms);
+    fn on_removed(&mut self, target: Target, now_ms: MonoMs) {
+        self.record_left(&target, now_ms);
         let is_in_grace = now_ms < self.grace_until_ms;
         if is_in_grace && target.phase == Phase::Ready {
             let until_ms = self.grace_until_ms;
@@ -346,23 +344,23 @@
         }
     }
 
-    /// Forgets missing targets whose time is over, and uses again those that an older
-    /// copy of the store was not wrong about; returns whether there were any.
+    /// Forgets missing targets whose grace period is over, and uses those again that are still
+    /// listed after the exclusion that followed a restore. Returns whether there were any.
     pub fn expire(&mut self, now_ms: MonoMs) -> bool {
-        let before = self.missing.len() + self.revived.len();
+        let before = self.missing.len() + self.excluded.len();
         self.missing.retain(|_, (_, until_ms)| now_ms < *until_ms);
-        self.revived.retain(|_, until_ms| now_ms < *until_ms);
-        self.missing.len() + self.revived.len() != before
+        self.excluded.retain(|_, until_ms| now_ms < *until_ms);
+        self.missing.len() + self.excluded.len() != before
     }
 
-    /// When [`expire`](Self::expire) is due next.
+    /// The time at which [`expire`](Self::expire) is due next.
     #[must_use]
     pub fn next_expiry_ms(&self) -> Option<MonoMs> {
         let missing = self.missing.values().map(|(_, until_ms)| *until_ms);
-        missing.chain(self.revived.values().copied()).min()
+        missing.chain(self.excluded.values().copied()).min()
     }
 
-    /// The list in force, for peers.
+    /// The current list, for peers.
     #[must_use]
     pub fn listing(&self) -> &Listing {
         &self.listing
@@ -375,12 +373,12 @@
         listed
             .chain(missing)
             .filter(|target| target.phase == Phase::Ready)
-            .filter(|target| !self.revived.contains_key(target.id()))
+            .filter(|target| !self.excluded.contains_key(target.id()))
             .filter(|target| !self.is_superseded(target))
     }
 }
 
-fn refused(id: Arc<str>, reason: &str) -> InvalidEntry {
+fn invalid_entry(id: Arc<str>, reason: &str) -> InvalidEntry {
     InvalidEntry {
         id,
         reason: reason.into(),
