--- a/crates/traffic/src/configuration.rs
+++ b/crates/traffic/src/configuration.rs
@@ -1,24 +1,24 @@
-//! One version of the operator's configuration: routes, services, client
-//! accounts and bounds on what callers may send.
+//! One version of the operator's configuration: routes, services, client accounts and limits for
+//! callers.
 //!
-//! A version is taken up as a whole and never changed afterwards, so a
-//! request that holds one sees one consistent set of routes.
+//! A version is activated as a whole and never modified, so a request that holds one sees a
+//! consistent set of routes.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// May run any number of times.
+    /// A request may run any number of times.
     Safe,
-    /// May run once at most.
+    /// A request may run at most once.
     Unsafe,
-    /// A stream of events; another target may go on behind the last event
-    /// delivered if `resumable`, and it runs once at most otherwise.
+    /// The response is a stream of events. If `resumable`, another target may continue it after the
+    /// last delivered event; otherwise it may run at most once.
     Stream {
-        /// Whether another target may go on with it.
+        /// Whether another target may continue the stream.
         resumable: bool,
     },
 }
@@ -34,43 +34,43 @@
 /// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the route's shares.
+    /// Weight of the service among the route's shares.
     pub weight: u32,
 }
 
-/// Where the requests of one host and path prefix go.
+/// The destination of requests for one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host it serves.
+    /// Host of the requests.
     pub host: Arc<str>,
-    /// The beginning of its paths; begins and ends with a slash.
+    /// Prefix of the paths; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub retry_policy: RetryPolicy,
-    /// The longest time a request is kept without its final answer.
+    /// Longest time from the arrival of a request to the end of its response.
     pub timeout_ms: u64,
-    /// Time within which an answer (a stream's first event) has its full
+    /// Latency objective: a response (of a stream, its first event) within this time has its full
     /// worth to the caller.
     pub objective_ms: u64,
-    /// The longest pause between two events of a stream that is on time.
+    /// Objective for the pauses between two events of a stream; a stream with a longer one is late.
     pub pause_objective_ms: Option<u64>,
-    /// How urgent its requests are; 0 is first.
+    /// Urgency of the requests; 0 is the most urgent.
     pub urgency: u32,
     /// The services and their shares; never empty.
     pub shares: Vec<Share>,
-    /// Targets that one request may be sent to at most.
+    /// Largest number of targets to which one request may be sent.
     pub max_targets: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// The service for a request, by the shares' weights; `random` is spread
-    /// evenly over all values.
+    /// Chooses the service for a request by the shares' weights; `random` must be evenly
+    /// distributed over all values.
     #[must_use]
     pub fn service_for(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self
@@ -81,53 +81,53 @@
         if total == 0 {
             return self.shares.first().map(|share| &share.service);
         }
-        let mut left = random % total;
+        let mut remaining = random % total;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&share.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// How a model engine spends its time, as the operator's document gives it.
+/// Performance model of a model engine, as given in the operator's document.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineModel {
     /// Generations that one engine runs at once.
     pub slots: u32,
-    /// Fixed time of a token step.
+    /// Fixed duration of a token step.
     pub step_ms: f64,
-    /// Added to a token step by each running generation.
+    /// Additional duration of a token step per running generation.
     pub per_sequence_ms: f64,
-    /// Added to a token step by each thousand tokens of a generation's context.
+    /// Additional duration of a token step per thousand tokens of a generation's context.
     pub context_per_1000_ms: f64,
-    /// Token steps of one pass.
+    /// Token steps per forward pass.
     pub steps_per_pass: u32,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens that are processed per second.
     pub prefill_tokens_per_s: f64,
-    /// Tokens of a usual prompt.
+    /// Tokens of a typical prompt.
     pub typical_prompt_tokens: f64,
-    /// Tokens of a usual answer.
+    /// Tokens of a typical response.
     pub typical_response_tokens: f64,
-    /// Its experts, if it is a rank of an expert-parallel group.
+    /// Experts of the engine, if it is a rank of an expert-parallel group.
     pub experts: Option<ExpertModel>,
 }
 
 /// The experts of a group's ranks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExpertModel {
-    /// Sets of layers whose experts are placed apart.
+    /// Sets of layers; the experts of each set are placed separately.
     pub layer_sets: usize,
-    /// Experts of one set.
+    /// Experts per set.
     pub experts: usize,
-    /// Experts on one rank in one set, at most.
+    /// Largest number of experts per set on one rank.
     pub slots_per_rank: usize,
-    /// New experts on one rank in one set, at most, for one change of maps.
+    /// Largest number of experts per set that one rank may load for one change of expert maps.
     pub max_new_per_set: usize,
-    /// Megabytes of one expert.
+    /// Size of one expert in megabytes.
     pub expert_mb: f64,
     /// Megabits per second at which a rank copies experts.
     pub copy_mbps: f64,
@@ -143,75 +143,75 @@
     }
 }
 
-/// A service as the operator describes it.
+/// A service, as described by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections one target accepts from all callers together.
+    /// Largest number of connections to one target, over all entries.
     pub max_connections: u32,
-    /// The path at which its targets tell their health; `None` if the operator names none.
+    /// Path of the targets' health checks; `None` if the operator names none.
     pub health_path: Option<Arc<str>>,
-    /// How its targets spend their time, if they are model engines.
+    /// Performance model of the targets, if they are model engines.
     pub engine: Option<EngineModel>,
 }
 
-/// A customer, known by its keys.
+/// A customer, identified by its API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientAccount {
-    /// Its name, which targets are told in place of the key.
+    /// Name of the client account, which is sent to targets in place of the key.
     pub name: Arc<str>,
-    /// How urgent its requests are, in place of the route's urgency.
+    /// Urgency of the account's requests, which overrides the route's.
     pub urgency: Option<u32>,
 }
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Limits for requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Size of a request's head.
+    /// Largest size of a request's header section.
     pub max_header_bytes: usize,
-    /// Size of a request's body.
+    /// Largest size of a request's body.
     pub max_body_bytes: usize,
-    /// Time for the head of a request.
+    /// Longest time for receiving the header section of a request.
     pub header_timeout_ms: u64,
-    /// Time that a connection may stay open without a request.
+    /// Longest time that a connection may stay open without a request.
     pub idle_timeout_ms: u64,
 }
 
-/// What a configuration is built from.
+/// The parts from which a configuration is built.
 #[derive(Clone, Debug)]
 pub struct ConfigurationParts {
-    /// Its version; versions only rise.
+    /// Version of the configuration; versions only increase.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Client accounts by key; `None` if requests carry no keys.
+    /// Client accounts by API key; `None` if requests need no keys.
     pub accounts: Option<IndexMap<Arc<str>, Arc<ClientAccount>>>,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
 /// One version of the configuration.
 #[derive(Debug)]
 pub struct Configuration {
-    /// Its version; versions only rise.
+    /// Version of the configuration; versions only increase.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
-    /// Routes by host, those with the longest prefix first.
+    /// Routes by host, in descending order of prefix length.
     hosts: IndexMap<Arc<str>, Vec<Arc<Route>>>,
     services: IndexMap<Arc<str>, Arc<Service>>,
     accounts: Option<IndexMap<Arc<str>, Arc<ClientAccount>>>,
 }
 
-/// Why a key gives no access.
+/// Why a request has no access.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// The route needs a key and the request has none.
+    /// The route needs an API key and the request has none.
     Missing,
-    /// No client account holds the key.
+    /// No client account has that API key.
     Unknown,
 }
 
@@ -239,9 +239,9 @@
         }
     }
 
-    /// The route of a request: the longest prefix among its host's routes.
+    /// The route of a request: the one with the longest matching prefix among its host's routes.
     ///
-    /// A host is compared without its port and without regard to case.
+    /// The port and the case of the host are ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or_default();
@@ -263,20 +263,19 @@
         self.services.values()
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Whether callers identify themselves by keys at all.
+    /// Whether callers need API keys at all.
     #[must_use]
     pub fn needs_keys(&self) -> bool {
         self.accounts.is_some()
     }
 
-    /// The client account of a request on `route`; `None` where the route
-    /// needs no key.
+    /// The client account of a request on `route`; `None` if the request needs no key.
     ///
     /// # Errors
     ///
--- a/crates/traffic/src/engine_update.rs
+++ b/crates/traffic/src/engine_update.rs
@@ -1,5 +1,5 @@
-//! What the leader of a service's groups reads of its engines and tells all entries: how
-//! slow they are, which of them form a group, and whether it runs.
+//! What the leader of a service's groups publishes to all entries: how slow the engines are, which
+//! of them form a group, and whether the group is open.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,48 +9,48 @@
 
 use crate::target::Incarnation;
 
-/// What a leader tells of the engines.
+/// A leader's update on the engines of a service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineUpdate {
-    /// Paces of slow engines.
+    /// Slowdowns of slow engines.
     #[serde(rename = "paces")]
     pub slowdowns: Slowdowns,
-    /// The groups; a leader of an older version tells none.
+    /// The groups; empty if the leader's version does not report them.
     #[serde(default)]
     pub groups: Vec<GroupUpdate>,
 }
 
-/// Engines that run each pass together.
+/// A group: engines that run each forward pass together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupUpdate {
-    /// The group's name.
+    /// Name of the group.
     pub name: Arc<str>,
-    /// Its engines.
+    /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
-    /// Whether it runs; one that lost a rank does not until it has formed anew.
+    /// Whether the group accepts requests; one that lost a rank does not until it has formed again.
     pub is_open: bool,
 }
 
-/// Paces by the engine's address; engines of the usual pace are left out.
+/// Slowdowns by engine address; engines without slowdown are left out.
 pub type Slowdowns = IndexMap<SocketAddr, Slowdown>;
 
-/// How slow an engine is.
+/// The slowdown of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slowdown {
-    /// Time of its work as a multiple of the usual one.
+    /// Duration of the engine's work as a multiple of the usual one.
     pub factor: f64,
-    /// Unix time of the engine's start in milliseconds, if it tells it.
+    /// Unix time of the engine's start in milliseconds, if the engine reports it.
     pub started_unix_ms: Option<u64>,
 }
 
 impl Slowdown {
-    /// Whether it was read of that incarnation, as far as both tell their start.
+    /// Whether the slowdown was measured at that incarnation, if both have a known start time.
     ///
-    /// An engine that was slow and has started anew is taken to be as fast as
-    /// any until it is read again.
+    /// A slow engine that has restarted is assumed to run at usual speed until it is measured
+    /// again.
     #[must_use]
     pub fn applies_to(&self, incarnation: &Incarnation) -> bool {
         let starts = self.started_unix_ms.zip(incarnation.started_unix_ms);
-        starts.is_none_or(|(read, known)| read == known)
+        starts.is_none_or(|(measured, known)| measured == known)
     }
 }
--- a/crates/traffic/src/invalid_entries.rs
+++ b/crates/traffic/src/invalid_entries.rs
@@ -1,8 +1,7 @@
-//! Which entries of the list name no target to use, and which of them are news.
+//! Invalid entries of the target list, and which of them were not reported yet.
 //!
-//! Anyone who may write to the store can write such an entry, as often as they
-//! like. Each is news once for each reason, so that nobody's entries push the
-//! lines of requests out of the logs.
+//! Anyone who can write to the store can write an invalid entry, as often as they like. Each is
+//! reported only once per reason, so that such entries do not displace the log lines of requests.
 
 use std::sync::Arc;
 
@@ -11,31 +10,31 @@
 use crate::configuration::Configuration;
 use crate::directory::{InvalidEntry, Listing};
 
-/// Why an entry of a service that no configuration names is not used.
+/// Why an entry of a service that is not in the configuration is invalid.
 const UNKNOWN_SERVICE: &str = "the configuration has no service of that name; \
-     add the service, or have the target name another";
+     add the service, or correct the name that the target registers";
 
-/// The entries that have been told.
+/// Keeps track of the invalid entries that were reported.
 #[derive(Debug, Default)]
 pub struct InvalidEntryTracker {
-    told: IndexMap<Arc<str>, Arc<str>>,
+    reported: IndexMap<Arc<str>, Arc<str>>,
 }
 
 impl InvalidEntryTracker {
-    /// Of the entries that name no target now, those that were not told before.
+    /// Returns those of the current invalid entries that were not reported before.
     pub fn unreported(&mut self, current: Vec<InvalidEntry>) -> Vec<InvalidEntry> {
-        let told = std::mem::take(&mut self.told);
-        let pairs = current.iter().map(|it| (&it.id, &it.reason));
-        self.told = pairs
+        let reported = std::mem::take(&mut self.reported);
+        let pairs = current.iter().map(|entry| (&entry.id, &entry.reason));
+        self.reported = pairs
             .map(|(id, reason)| (Arc::clone(id), Arc::clone(reason)))
             .collect();
-        let is_news = |it: &InvalidEntry| told.get(&it.id) != Some(&it.reason);
-        current.into_iter().filter(is_news).collect()
+        let is_new = |entry: &InvalidEntry| reported.get(&entry.id) != Some(&entry.reason);
+        current.into_iter().filter(is_new).collect()
     }
 }
 
-/// All entries of a list that name no target to use, under a configuration if
-/// one is known.
+/// All invalid entries of a list. If a configuration is known, entries of services that it lacks
+/// are included.
 #[must_use]
 pub fn invalid_entries(
     listing: &Listing,
@@ -45,14 +44,16 @@
         id: Arc::clone(id),
         reason: Arc::clone(reason),
     });
-    let unknown = |service: &str| configuration.is_some_and(|it| it.service(service).is_none());
-    let of_unknown = listing
+    let is_unknown = |service: &str| {
+        configuration.is_some_and(|configuration| configuration.service(service).is_none())
+    };
+    let of_unknown_services = listing
         .targets
         .values()
-        .filter(|target| unknown(&target.service));
-    let of_unknown = of_unknown.map(|target| InvalidEntry {
+        .filter(|target| is_unknown(&target.service));
+    let of_unknown_services = of_unknown_services.map(|target| InvalidEntry {
         id: Arc::clone(target.id()),
         reason: UNKNOWN_SERVICE.into(),
     });
-    malformed.chain(of_unknown).collect()
+    malformed.chain(of_unknown_services).collect()
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,19 +1,20 @@
-//! The decisions of an entry that speaks to targets itself, as pure state
-//! machines: no socket, clock, thread or random source.
+//! Routing and load-balancing decisions of an entry, which is a front-end process that sends
+//! callers' requests to targets. They are pure state machines: no socket, clock, thread or random
+//! source.
 //!
 //! | Module | Decides |
 //! |---|---|
 //! | [`configuration`] | which route, service and client account a request belongs to |
-//! | [`directory`] | which targets exist, which are leaving, and which of two views is newer |
+//! | [`directory`] | which targets exist, which are leaving, and which of two lists is newer |
 //! | [`concurrency`] | how many generations may run at once |
-//! | [`dispatch`] | who waits, who is placed where, who is refused |
-//! | [`health`] | which targets are avoided because of what came of their requests |
-//! | [`ownership`] | which targets an entry uses first where many entries share them |
-//! | [`engine_update`] | how slow engines are |
-//! | [`retry_after`] | when refused callers should come back |
-//! | [`stream`] | which events of a stream have been delivered, and where to go on |
-//! | [`target`] | what a target and an incarnation of it are |
-//! | [`invalid_entries`] | which entries of the list name no target |
+//! | [`dispatch`] | which requests are queued, placed at a target or refused |
+//! | [`health`] | which targets are ejected because their requests failed |
+//! | [`ownership`] | which targets an entry prefers if many entries share them |
+//! | [`engine_update`] | which engines are slow, and which groups are open |
+//! | [`retry_after`] | when refused callers should retry |
+//! | [`stream`] | which events of a stream were delivered, and where to resume it |
+//! | [`target`] | what identifies a target and its incarnations |
+//! | [`invalid_entries`] | which entries of the target list are invalid |
 
 pub mod concurrency;
 pub mod configuration;
--- a/crates/traffic/src/retry_after.rs
+++ b/crates/traffic/src/retry_after.rs
@@ -1,43 +1,41 @@
-//! When refused callers should come back.
+//! When refused callers should retry.
 
-/// Clients wait for at most a third of their time; a later time to come back
-/// would be ignored.
-const RETRY_AFTER_PART: u64 = 4;
+/// Divisor for the latest retry: a quarter of the caller's remaining time. Clients wait for at most
+/// a third of their time; a longer time would be ignored.
+const RETRY_AFTER_DIVISOR: u64 = 4;
 
-/// Earliest time to come back: a place becomes free every few milliseconds,
-/// but not for all who were refused at once.
+/// Shortest time until a retry: a slot becomes free every few milliseconds, but not for all callers
+/// that were refused at once.
 ///
-/// A later one, from a ninth of the caller's time, gained nothing: mean worth of
-/// 45 days of twelve ranks was 0.674 with this and 0.670 with that.
+/// A longer one, a ninth of the caller's time, brought no gain: the mean worth of the responses in
+/// 45 simulated days with twelve ranks was 0.674 with this value and 0.670 with the longer one.
 const RETRY_AFTER_MIN_MS: u64 = 20;
 
-/// Latest time to come back, about the life of the generations that run now.
+/// Longest time until a retry: about the duration of the running generations.
 const RETRY_AFTER_MAX_MS: u64 = 1_500;
 
-/// Why a caller should come back later.
+/// Why a caller should retry later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryReason {
-    /// There is more work than places.
+    /// All slots are in use.
     Busy,
-    /// The service refuses everything; a group that forms anew takes a second
-    /// or more.
+    /// The service refuses all requests; a group takes a second or more to form again.
     Down,
-    /// All targets say that they take no more now.
+    /// All targets have announced that they accept no requests now.
     Withheld {
-        /// When one takes a request again.
+        /// Time until a target accepts a request again.
         until_accepting_ms: u64,
     },
 }
 
-/// Milliseconds after which a refused caller that waits for `left_ms` more should
-/// come back.
+/// Milliseconds after which a refused caller that waits for `left_ms` more should retry.
 ///
-/// The times are spread evenly: callers refused in the same moment would
-/// otherwise return in the same moment and be refused again.
+/// The times are distributed evenly: callers that are refused at the same moment would otherwise
+/// return at the same moment and be refused again.
 #[must_use]
-pub fn retry_after_ms(left_ms: u64, back: RetryReason, random: u64) -> u64 {
-    let latest_ms = left_ms / RETRY_AFTER_PART;
-    let (from_ms, to_ms) = match back {
+pub fn retry_after_ms(left_ms: u64, reason: RetryReason, random: u64) -> u64 {
+    let latest_ms = left_ms / RETRY_AFTER_DIVISOR;
+    let (from_ms, to_ms) = match reason {
         RetryReason::Busy => (RETRY_AFTER_MIN_MS, latest_ms.min(RETRY_AFTER_MAX_MS)),
         RetryReason::Down => (latest_ms / 2, latest_ms),
         RetryReason::Withheld { until_accepting_ms } => {
--- a/crates/traffic/src/stream.rs
+++ b/crates/traffic/src/stream.rs
@@ -1,44 +1,43 @@
-//! Which events of a stream have been delivered, and where to go on.
+//! Which events of a stream were delivered, and where to resume it.
 //!
-//! A stream that breaks off may be continued by another target behind the last
-//! event delivered. The caller sees one answer: no event twice, none missing,
-//! and no part of an event.
+//! A stream that is interrupted may be continued by another target after the last delivered event.
+//! The caller sees a single response: no event twice, none missing, and no partial event.
 
-/// Number of an event; events of a stream have increasing numbers.
+/// Number of an event; the numbers of a stream's events increase.
 pub type EventId = u64;
 
 /// What to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Pass it on.
+    /// Send it to the caller.
     Forward,
-    /// It was delivered before; drop it.
+    /// Drop it, as it was delivered before.
     Duplicate,
-    /// An event before it is missing; end the answer visibly.
+    /// End the response visibly, as an earlier event is missing.
     Gap,
 }
 
-/// The events of one answer delivered so far.
+/// The events of one response that were delivered so far.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamProgress {
     last: Option<EventId>,
-    delivered: bool,
+    has_delivered: bool,
 }
 
 impl StreamProgress {
-    /// An answer that begins behind the event the caller has already, if any.
+    /// Begins a response after the last event that the caller already has, if any.
     #[must_use]
-    pub fn new(caller_has: Option<EventId>) -> Self {
+    pub fn new(last_received: Option<EventId>) -> Self {
         Self {
-            last: caller_has,
-            delivered: false,
+            last: last_received,
+            has_delivered: false,
         }
     }
 
-    /// Judges the next event of the current run.
+    /// Decides what to do with the next event from the current target.
     ///
-    /// An event without a number cannot be placed; it is passed on in the
-    /// order it came.
+    /// The position of an event without a number is unknown, so it is delivered in order of
+    /// arrival.
     pub fn classify(&mut self, id: Option<EventId>) -> Delivery {
         match (id, self.last) {
             (Some(id), Some(last)) if id <= last => return Delivery::Duplicate,
@@ -46,24 +45,24 @@
             (Some(id), _) => self.last = Some(id),
             (None, _) => {}
         }
-        self.delivered = true;
+        self.has_delivered = true;
         Delivery::Forward
     }
 
-    /// The event behind which another run has to begin.
+    /// The last event that was delivered; another target has to continue after it.
     #[must_use]
     pub fn resume_after(&self) -> Option<EventId> {
         self.last
     }
 
-    /// Whether any event has reached the caller in this answer.
+    /// Whether this response has delivered any event.
     #[must_use]
     pub fn has_delivered(&self) -> bool {
-        self.delivered
+        self.has_delivered
     }
 }
 
-/// The number of an event, from its text.
+/// Parses the number of an event from its text.
 #[must_use]
 pub fn event_id(event: &[u8]) -> Option<EventId> {
     let lines = event.split(|byte| *byte == b'\n');
--- a/crates/traffic/src/target.rs
+++ b/crates/traffic/src/target.rs
@@ -5,56 +5,56 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a target says of itself.
+/// State that a target reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes requests.
+    /// The target accepts requests.
     Ready,
-    /// It is about to leave and takes no new requests.
+    /// The target is about to stop and accepts no new requests.
     Leaving,
 }
 
-/// One run of a target, from its start to its end.
+/// One run of a target, from its start to its exit.
 ///
-/// A target may start again under the id that it had. It then knows nothing of
-/// what ran before, so all that is kept of a target is kept by incarnation.
+/// A target may start again under the same id. It then knows nothing of its previous requests, so
+/// all state about a target is kept per incarnation.
 ///
-/// A request in flight at a former incarnation may have run: neither the restart
-/// nor anything that the new incarnation says proves that it did not. It is
-/// repeated only where its route allows a second run.
+/// A request that was in flight at a previous incarnation may have run: neither the restart nor a
+/// response of the new incarnation proves that it did not. It is sent again only if its route
+/// allows a second run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The target's id.
+    /// Id of the target.
     pub id: Arc<str>,
-    /// Unix time of its start in milliseconds, by its own clock; `None` where
-    /// the target does not tell it and each start has an id of its own.
+    /// Unix time of the target's start in milliseconds, by its own clock. `None` if the target does
+    /// not report it; each start then has an id of its own.
     pub started_unix_ms: Option<u64>,
 }
 
 /// One target of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Which run of which target.
+    /// The incarnation of the target.
     #[serde(flatten)]
     pub incarnation: Incarnation,
-    /// The service it belongs to.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Where it listens. Another target may listen there later.
+    /// Address on which the target listens. Another target may use the address later.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the target.
     pub data_centre: Arc<str>,
-    /// Requests it works on at once.
+    /// Requests that the target works on at once.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether the target accepts requests.
     pub phase: Phase,
-    /// The store's revision at which it was first listed; of two targets at one
-    /// address the younger has the higher one.
+    /// Revision of the store at which the target was first listed; of two targets with the same
+    /// address, the later one has the higher revision.
     pub listed_revision: u64,
 }
 
 impl Target {
-    /// Its id; a later incarnation may have the same.
+    /// Id of the target; a later incarnation may have the same.
     #[must_use]
     pub fn id(&self) -> &Arc<str> {
         &self.incarnation.id
