--- a/crates/traffic/examples/placing.rs
+++ b/crates/traffic/examples/placing.rs
@@ -1,5 +1,5 @@
-//! What it costs to place a request, and to divide the targets anew, by the size of the
-//! fleet.
+//! Measures the cost of placing a request, and of dividing the targets between entries again, by
+//! the size of the fleet.
 //!
 //! `cargo run --release -p berylhook-traffic --example placing`
 
@@ -10,16 +10,16 @@
 use berylhook_traffic::ownership::{Member, Membership};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
-/// Entries and targets.
+/// Numbers of entries and targets.
 const SIZES: [(u16, u16); 4] = [(2, 3), (6, 16), (53, 192), (1_000, 10_000)];
 
 const DATA_CENTRES: u16 = 15;
 
-/// Requests placed, and how many of them run at once at one entry.
-const PLACED: u64 = 20_000;
-const RUNNING: usize = 12;
+/// Requests to place, and how many of them run at once at one entry.
+const PLACEMENTS: u64 = 20_000;
+const MAX_RUNNING: usize = 12;
 
-const DIVIDED: u32 = 20;
+const DIVISIONS: u32 = 20;
 
 fn data_centre(index: u16) -> String {
     format!("dc-{}", index % DATA_CENTRES)
@@ -60,23 +60,23 @@
         let mut dispatcher = Dispatcher::new(membership.clone(), None);
         dispatcher.set_targets(targets_of_service.iter());
         let began = Instant::now();
-        for _ in 0..DIVIDED {
+        for _ in 0..DIVISIONS {
             dispatcher.set_membership(membership.clone());
         }
-        let dividing_us = micros(began.elapsed(), f64::from(DIVIDED));
-        let placing_us = place(&mut dispatcher);
-        println!("{entries:7}  {targets:7}  {placing_us:11.2}  {dividing_us:17.1}");
+        let division_us = micros(began.elapsed(), f64::from(DIVISIONS));
+        let placement_us = place_requests(&mut dispatcher);
+        println!("{entries:7}  {targets:7}  {placement_us:11.2}  {division_us:17.1}");
     }
 }
 
-/// Places requests, of which the oldest ends when there are enough.
+/// Places requests; the oldest ends when more than [`MAX_RUNNING`] run.
 #[allow(clippy::cast_precision_loss)] // some thousands
-fn place(dispatcher: &mut Dispatcher) -> f64 {
+fn place_requests(dispatcher: &mut Dispatcher) -> f64 {
     let mut running = std::collections::VecDeque::new();
     let began = Instant::now();
-    for number in 0..PLACED {
+    for number in 0..PLACEMENTS {
         let now_ms = MonoMs(number);
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             urgency: 1,
             wait_limit_ms: 200,
             late_wait_limit_ms: 200,
@@ -84,14 +84,14 @@
         };
         let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         if let SubmitOutcome::Placed(target) =
-            dispatcher.submit(Ticket(number), wish, random, now_ms)
+            dispatcher.submit(Ticket(number), request, random, now_ms)
         {
             running.push_back(target.incarnation);
         }
-        if running.len() > RUNNING {
+        if running.len() > MAX_RUNNING {
             let ended = running.pop_front().expect("some run");
             dispatcher.release(&ended, None, now_ms);
         }
     }
-    micros(began.elapsed(), PLACED as f64)
+    micros(began.elapsed(), PLACEMENTS as f64)
 }
--- a/crates/traffic/tests/backpressure.rs
+++ b/crates/traffic/tests/backpressure.rs
@@ -1,4 +1,4 @@
-//! Where requests go when targets say that they take no more.
+//! Placement of requests while targets announce rate limits, backoffs or that they are leaving.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     }
 }
 
-fn plain(targets: &[Target]) -> Dispatcher {
+fn dispatcher(targets: &[Target]) -> Dispatcher {
     let own = Member {
         address: ([10, 0, 0, 2], 1).into(),
         data_centre: "here".into(),
@@ -37,36 +37,36 @@
     dispatcher
 }
 
-fn limit(per_s: f64) -> BackpressureSignal {
+fn rate_limit(per_s: f64) -> BackpressureSignal {
     BackpressureSignal {
         limit: LimitSignal::Named(RequestRate::clamped(per_s)),
         ..BackpressureSignal::default()
     }
 }
 
-fn arrive(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> SubmitOutcome {
-    let wish = PlacementRequest {
+fn submit(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> SubmitOutcome {
+    let request = PlacementRequest {
         urgency: 1,
         wait_limit_ms: 20,
         late_wait_limit_ms: 20,
         on_time_until_ms: MonoMs(at_ms + 20),
     };
-    dispatcher.submit(Ticket(ticket), wish, ticket, MonoMs(at_ms))
+    dispatcher.submit(Ticket(ticket), request, ticket, MonoMs(at_ms))
 }
 
 fn place(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> Option<Arc<str>> {
-    match arrive(dispatcher, ticket, at_ms) {
+    match submit(dispatcher, ticket, at_ms) {
         SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
         SubmitOutcome::Queued | SubmitOutcome::Refused => None,
     }
 }
 
-// Guards against an idle target that draws all requests because it takes none.
+// Guards against an idle target that attracts all requests because it withholds them.
 #[test]
-fn requests_for_a_target_at_its_limit_go_to_others_and_are_counted() {
+fn requests_beyond_a_rate_limit_go_to_other_targets_and_are_counted() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
-    dispatcher.on_signal(&targets[0].incarnation, limit(1.0), 0, MonoMs(1));
+    let mut dispatcher = dispatcher(&targets);
+    dispatcher.on_signal(&targets[0].incarnation, rate_limit(1.0), 0, MonoMs(1));
 
     let placed: Vec<_> = (0..4)
         .map(|ticket| place(&mut dispatcher, ticket, 2))
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn a_permit_lets_one_request_through() {
+fn a_permit_admits_one_request() {
     let targets = [target("a", None)];
-    let mut dispatcher = plain(&targets);
-    dispatcher.on_signal(&targets[0].incarnation, limit(1.0), 0, MonoMs(1));
+    let mut dispatcher = dispatcher(&targets);
+    dispatcher.on_signal(&targets[0].incarnation, rate_limit(1.0), 0, MonoMs(1));
     dispatcher.on_permits(&targets[0].incarnation, 1, MonoMs(1_000));
 
     let first = place(&mut dispatcher, 1, 2);
@@ -92,72 +92,72 @@
     assert_eq!((first, admitted, second), (Some("a".into()), Ok(()), None));
 }
 
-// Guards against a request that waits until its caller gives up for a target that takes no
-// more, and against a time to come back that has nothing to do with the limit.
+// Guards against requests that are queued until their callers give up although no target accepts
+// requests, and against a retry time that is unrelated to the rate limits.
 #[test]
-fn callers_are_told_when_the_targets_take_a_request_again() {
+fn the_retry_time_follows_the_rate_limits() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
-    for of in &targets {
-        dispatcher.on_signal(&of.incarnation, limit(1.0), 0, MonoMs(1));
+    let mut dispatcher = dispatcher(&targets);
+    for listed in &targets {
+        dispatcher.on_signal(&listed.incarnation, rate_limit(1.0), 0, MonoMs(1));
     }
 
     let until_accepting_ms = dispatcher
         .until_accepting_ms(MonoMs(2))
-        .expect("none takes one now");
+        .expect("no target accepts requests now");
 
     assert_eq!(until_accepting_ms, 500);
     for random in 0..2_000 {
-        let back_ms = retry_after_ms(8_000, RetryReason::Withheld { until_accepting_ms }, random);
-        assert!((500..1_000).contains(&back_ms));
+        let retry_ms = retry_after_ms(8_000, RetryReason::Withheld { until_accepting_ms }, random);
+        assert!((500..1_000).contains(&retry_ms));
     }
 }
 
-// Guards against a limit that outlives the target that named it.
+// Guards against a rate limit that outlives the incarnation that announced it.
 #[test]
-fn a_new_incarnation_starts_without_the_limit_of_the_former_one() {
-    let former = target("a", Some(1));
-    let mut dispatcher = plain(std::slice::from_ref(&former));
-    dispatcher.on_signal(&former.incarnation, limit(1.0), 0, MonoMs(1));
-    let next = target("a", Some(2));
+fn a_new_incarnation_does_not_inherit_the_rate_limit() {
+    let previous = target("a", Some(1));
+    let mut dispatcher = dispatcher(std::slice::from_ref(&previous));
+    dispatcher.on_signal(&previous.incarnation, rate_limit(1.0), 0, MonoMs(1));
+    let restarted = target("a", Some(2));
 
-    dispatcher.set_targets([&next].into_iter());
+    dispatcher.set_targets([&restarted].into_iter());
 
-    assert_eq!(dispatcher.rate_limit(&next.incarnation), None);
+    assert_eq!(dispatcher.rate_limit(&restarted.incarnation), None);
     assert_eq!(place(&mut dispatcher, 1, 2), Some("a".into()));
 }
 
 // Guards against a request that waited for its turn and is sent to a target that is gone.
 #[test]
-fn a_placed_request_is_not_sent_to_a_target_that_is_not_listed_any_more() {
+fn a_placed_request_is_withheld_if_its_target_is_no_longer_listed() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
-    let placed = place(&mut dispatcher, 1, 1).expect("there is room");
-    let rest = targets.iter().filter(|it| *it.id() != placed);
-    dispatcher.set_targets(rest);
-    let of = targets
+    let mut dispatcher = dispatcher(&targets);
+    let placed = place(&mut dispatcher, 1, 1).expect("a slot is free");
+    let others = targets.iter().filter(|it| *it.id() != placed);
+    dispatcher.set_targets(others);
+    let listed = targets
         .iter()
         .find(|it| *it.id() == placed)
         .expect("one of the two");
 
-    let admitted = dispatcher.admit(&of.incarnation, MonoMs(2));
+    let admitted = dispatcher.admit(&listed.incarnation, MonoMs(2));
 
     assert_eq!(admitted, Err(WithheldReason::NotListed));
 }
 
-fn rest(rest_ms: u64) -> BackpressureSignal {
+fn backoff(backoff_ms: u64) -> BackpressureSignal {
     BackpressureSignal {
-        backoff_ms: Some(rest_ms),
+        backoff_ms: Some(backoff_ms),
         ..BackpressureSignal::default()
     }
 }
 
-// Guards against a target that refuses, looks idle and draws all requests.
+// Guards against a target that refuses requests, looks idle and attracts all of them.
 #[test]
-fn requests_for_a_target_that_rests_go_to_others() {
+fn requests_go_to_other_targets_during_a_backoff() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
-    dispatcher.on_signal(&targets[0].incarnation, rest(3_000), 0, MonoMs(1));
+    let mut dispatcher = dispatcher(&targets);
+    dispatcher.on_signal(&targets[0].incarnation, backoff(3_000), 0, MonoMs(1));
 
     let placed: Vec<_> = (0..4)
         .map(|ticket| place(&mut dispatcher, ticket, 2))
@@ -166,46 +166,46 @@
     assert_eq!(placed, vec![Some("b".into()); 4]);
 }
 
-// Guards against callers that wait for targets of which none takes a request in time.
+// Guards against callers that wait although no target will accept requests in time.
 #[test]
-fn who_would_wait_for_nothing_is_refused_at_once_and_told_when_the_first_rest_ends() {
+fn a_request_is_refused_at_once_if_all_backoffs_outlast_its_wait_limits() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
+    let mut dispatcher = dispatcher(&targets);
     dispatcher.on_process_start(MonoMs(0));
-    dispatcher.on_signal(&targets[0].incarnation, rest(3_000), 0, MonoMs(1));
-    dispatcher.on_signal(&targets[1].incarnation, rest(5_000), 0, MonoMs(1));
+    dispatcher.on_signal(&targets[0].incarnation, backoff(3_000), 0, MonoMs(1));
+    dispatcher.on_signal(&targets[1].incarnation, backoff(5_000), 0, MonoMs(1));
 
-    let arrival = arrive(&mut dispatcher, 1, 1);
+    let outcome = submit(&mut dispatcher, 1, 1);
 
-    assert_eq!(arrival, SubmitOutcome::Refused);
+    assert_eq!(outcome, SubmitOutcome::Refused);
     assert_eq!(dispatcher.until_accepting_ms(MonoMs(1)), Some(3_000));
 }
 
-// Guards against a time to come back of zero, or of years, where no limit is named.
+// Guards against a retry time of zero, or of years, if no target has a rate limit.
 #[test]
-fn the_time_to_come_back_counts_the_answer_to_a_request_that_tries_the_target() {
+fn the_time_until_accepting_includes_the_response_to_a_trial_request() {
     let targets = [target("a", None)];
-    let mut dispatcher = plain(&targets);
-    dispatcher.on_signal(&targets[0].incarnation, rest(100), 0, MonoMs(1));
-    place(&mut dispatcher, 1, 200).expect("its rest is over");
+    let mut dispatcher = dispatcher(&targets);
+    dispatcher.on_signal(&targets[0].incarnation, backoff(100), 0, MonoMs(1));
+    place(&mut dispatcher, 1, 200).expect("the backoff is over");
 
-    let before_it_is_sent = dispatcher.until_accepting_ms(MonoMs(200));
+    let before_sending = dispatcher.until_accepting_ms(MonoMs(200));
     dispatcher
         .admit(&targets[0].incarnation, MonoMs(200))
         .expect("it may be sent");
-    let after = dispatcher.until_accepting_ms(MonoMs(400));
+    let after_sending = dispatcher.until_accepting_ms(MonoMs(400));
 
-    assert_eq!((before_it_is_sent, after), (Some(1_000), Some(800)));
+    assert_eq!((before_sending, after_sending), (Some(1_000), Some(800)));
 }
 
 #[test]
-fn a_new_incarnation_starts_without_the_rest_of_the_former_one() {
-    let former = target("a", Some(1));
-    let mut dispatcher = plain(std::slice::from_ref(&former));
-    dispatcher.on_signal(&former.incarnation, rest(60_000), 0, MonoMs(1));
-    let next = target("a", Some(2));
+fn a_new_incarnation_does_not_inherit_the_backoff() {
+    let previous = target("a", Some(1));
+    let mut dispatcher = dispatcher(std::slice::from_ref(&previous));
+    dispatcher.on_signal(&previous.incarnation, backoff(60_000), 0, MonoMs(1));
+    let restarted = target("a", Some(2));
 
-    dispatcher.set_targets([&next].into_iter());
+    dispatcher.set_targets([&restarted].into_iter());
 
     assert_eq!(place(&mut dispatcher, 1, 2), Some("a".into()));
 }
@@ -217,19 +217,19 @@
     }
 }
 
-// Guards against a request that goes to a target which said itself that it leaves.
+// Guards against requests to a target that has announced that it is leaving.
 #[test]
-fn a_target_that_leaves_gets_nothing_more_also_what_was_placed_before() {
+fn a_leaving_target_gets_no_requests_not_even_placed_ones() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
-    let first = place(&mut dispatcher, 1, 1).expect("there is room");
-    let of = targets
+    let mut dispatcher = dispatcher(&targets);
+    let first = place(&mut dispatcher, 1, 1).expect("a slot is free");
+    let listed = targets
         .iter()
         .find(|it| *it.id() == first)
         .expect("one of the two");
-    dispatcher.on_signal(&of.incarnation, leaving(), 0, MonoMs(2));
+    dispatcher.on_signal(&listed.incarnation, leaving(), 0, MonoMs(2));
 
-    let admitted = dispatcher.admit(&of.incarnation, MonoMs(3));
+    let admitted = dispatcher.admit(&listed.incarnation, MonoMs(3));
     let placed: Vec<_> = (2..6)
         .map(|ticket| place(&mut dispatcher, ticket, 3))
         .collect();
@@ -242,21 +242,21 @@
     );
 }
 
-// Guards against a time to come back that is taken from targets which leave.
+// Guards against a retry time that depends on leaving targets.
 #[test]
-fn targets_that_leave_do_not_say_when_to_come_back() {
+fn leaving_targets_do_not_affect_the_time_until_accepting() {
     let targets = [target("a", None), target("b", None)];
-    let mut dispatcher = plain(&targets);
+    let mut dispatcher = dispatcher(&targets);
     dispatcher.on_signal(&targets[0].incarnation, leaving(), 0, MonoMs(1));
     let while_one_stays = dispatcher.until_accepting_ms(MonoMs(2));
-    dispatcher.on_signal(&targets[1].incarnation, rest(3_000), 0, MonoMs(1));
-    let while_it_rests = dispatcher.until_accepting_ms(MonoMs(2));
+    dispatcher.on_signal(&targets[1].incarnation, backoff(3_000), 0, MonoMs(1));
+    let during_backoff = dispatcher.until_accepting_ms(MonoMs(2));
     dispatcher.on_signal(&targets[1].incarnation, leaving(), 0, MonoMs(3));
 
     let while_none_stays = dispatcher.until_accepting_ms(MonoMs(4));
 
     assert_eq!(
-        (while_one_stays, while_it_rests, while_none_stays),
+        (while_one_stays, during_backoff, while_none_stays),
         (None, Some(2_999), None)
     );
 }
--- a/crates/traffic/tests/configuration.rs
+++ b/crates/traffic/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which route, service and account a request belongs to.
+//! Which route, service and client account a request belongs to.
 
 use std::sync::Arc;
 
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn weights_split_requests_and_a_weight_of_nothing_gets_none() {
+fn requests_are_split_by_weight_and_a_weight_of_zero_gets_none() {
     let mut split = route("split", "/");
     split.shares = vec![share("a", 90), share("b", 10), share("c", 0)];
 
--- a/crates/traffic/tests/directory.rs
+++ b/crates/traffic/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which targets are used while the list changes, is lost and comes back.
+//! Which targets are usable while the list changes, and after outages and restores of the store.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     }
 }
 
-fn younger(id: &str, port: u16) -> Target {
+fn registered_later(id: &str, port: u16) -> Target {
     Target {
         listed_revision: 4,
         ..target(id, port)
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing_new_at_once() {
+fn a_leaving_target_is_not_usable() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1), target("b", 2)]), MonoMs(0));
     let leaving = Target {
@@ -72,28 +72,25 @@
     assert_eq!(usable(&directory), ["b"]);
 }
 
-// Symptom: a target that has left gets requests again. Sequence: a peer or a
-// stale read offers an older list. Cause: the list was taken without looking at
-// its revision.
+// Guards against a target that has left and gets requests again: a peer or a stale read provides an
+// older list, which is applied without a check of its revision.
 #[test]
-fn an_older_list_or_change_brings_nothing_back() {
+fn older_lists_and_changes_are_ignored() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
     directory.apply(ListingChange::Removed("a".into()), at(8), MonoMs(10));
 
-    let is_taken = directory.replace(listing(7, &[target("a", 1)]), MonoMs(20));
+    let is_replaced = directory.replace(listing(7, &[target("a", 1)]), MonoMs(20));
     directory.apply(ListingChange::Set(target("a", 1)), at(6), MonoMs(30));
 
-    assert!(!is_taken);
+    assert!(!is_replaced);
     assert!(usable(&directory).is_empty());
 }
 
-// Symptom: no target is left just as the store comes back. Sequence: the store
-// is away for seconds, the entries of all targets lapse meanwhile, the first
-// list read after its return is empty. Cause: missing entries were taken for
-// targets that are gone.
+// Guards against an empty list just after the store's return. The entries of all targets expire
+// during an outage of seconds, so the first list after it is empty although the targets are alive.
 #[test]
-fn targets_missing_right_after_the_stores_return_stay_in_use_for_a_while() {
+fn targets_missing_after_a_store_outage_stay_in_use_for_the_grace_period() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1), target("b", 2)]), MonoMs(0));
     directory.on_store_recovered(MonoMs(1_000));
@@ -108,7 +105,7 @@
 }
 
 #[test]
-fn a_target_still_missing_after_the_grace_is_gone() {
+fn a_target_still_missing_after_the_grace_period_is_dropped() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
     directory.on_store_recovered(MonoMs(1_000));
@@ -122,7 +119,7 @@
 }
 
 #[test]
-fn without_an_outage_a_removed_target_is_gone_at_once() {
+fn without_an_outage_a_removed_target_is_dropped_at_once() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1)]), MonoMs(0));
 
@@ -131,23 +128,26 @@
     assert!(usable(&directory).is_empty());
 }
 
-// Symptom: half of the requests to a group that has just restarted are refused
-// by "another incarnation". Sequence: engines lose power and start again; their
-// former entries stay listed until their heartbeats lapse. Cause: two
-// incarnations at one address were both used.
+// Guards against two incarnations at one address that are both used. After a power failure, engines
+// start again while their previous entries stay listed until their heartbeats expire; half of the
+// requests were refused by "another incarnation".
 #[test]
-fn a_new_incarnation_at_an_address_supersedes_the_former() {
+fn a_new_incarnation_at_an_address_supersedes_the_previous_one() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("old", 1), target("b", 2)]), MonoMs(0));
 
-    directory.apply(ListingChange::Set(younger("new", 1)), at(6), MonoMs(10));
+    directory.apply(
+        ListingChange::Set(registered_later("new", 1)),
+        at(6),
+        MonoMs(10),
+    );
     assert_eq!(usable(&directory), ["b", "new"]);
 
     let both = [
         target("old", 1),
-        younger("new", 1),
+        registered_later("new", 1),
         target("b", 2),
-        younger("newer", 2),
+        registered_later("newer", 2),
     ];
     directory.replace(listing(9, &both), MonoMs(20));
     assert_eq!(usable(&directory), ["new", "newer"]);
@@ -163,7 +163,7 @@
     }
 }
 
-fn unusable(id: &str) -> InvalidEntry {
+fn invalid_entry(id: &str) -> InvalidEntry {
     InvalidEntry {
         id: id.into(),
         reason: "somebody else wrote it".into(),
@@ -176,9 +176,8 @@
     targets[0].incarnation.started_unix_ms
 }
 
-// Symptom: what was learnt of a target is held against its new start. Sequence:
-// it starts again under its id; a late heartbeat of the former start follows.
-// Cause: identity was the id alone.
+// Guards against what was learnt of a target being applied to its next incarnation: the target
+// starts again under the same id, and a late heartbeat of the previous start follows.
 #[test]
 fn a_later_start_is_a_new_incarnation_and_an_earlier_one_a_late_write() {
     let mut directory = Directory::default();
@@ -197,11 +196,10 @@
     assert_eq!((by_watch, by_list), (Some(2_000), Some(2_000)));
 }
 
-// Symptom: requests go to an address that no target of the service has. Sequence:
-// somebody else writes under the key of a target that tells its start, and leaves
-// the start out. Cause: a missing start was taken as unknown, whatever was told.
+// Guards against requests to an address that no target of the service has: somebody else writes an
+// entry without a start under the key of a target that has reported one.
 #[test]
-fn an_entry_without_the_start_that_was_told_before_names_no_target() {
+fn an_entry_that_lacks_a_previously_reported_start_is_invalid() {
     let mut directory = Directory::default();
     directory.apply(ListingChange::Set(started("a", 1_000)), at(1), MonoMs(0));
 
@@ -217,17 +215,20 @@
     assert_eq!(usable(&directory), ["a"]);
 }
 
-// Symptom: a target stays in use after its entry was overwritten with something
-// else, also for two seconds after an outage. Sequence: as said. Cause: what could
-// not be read was skipped, as if nothing had been written.
+// Guards against a target that stays in use after its entry was overwritten, also during the two
+// seconds of grace after an outage, because unreadable entries are skipped.
 #[test]
-fn an_unusable_entry_takes_its_target_out_of_use_and_no_other() {
+fn an_invalid_entry_takes_only_its_own_target_out_of_use() {
     let mut directory = Directory::default();
     let targets = [target("a", 1), target("b", 2), target("c", 3)];
     directory.replace(listing(1, &targets), MonoMs(0));
     directory.on_store_recovered(MonoMs(100));
 
-    directory.apply(ListingChange::Invalid(unusable("a")), at(2), MonoMs(110));
+    directory.apply(
+        ListingChange::Invalid(invalid_entry("a")),
+        at(2),
+        MonoMs(110),
+    );
     let by_watch = usable(&directory);
     let mut read = listing(3, &[target("c", 3)]);
     read.invalid = [("b".into(), "it has no address".into())].into();
@@ -236,8 +237,8 @@
     directory.apply(ListingChange::Set(target("a", 1)), at(4), MonoMs(130));
 
     assert_eq!(by_watch, ["b", "c"]);
-    // `a` is missing from the list as a whole and could be back within the grace
-    // period, but it was taken out before the list was read.
+    // `a` is missing from the whole list and could return within the grace period, but its entry
+    // was invalid already before the list was read.
     assert_eq!(by_list, ["c"]);
     assert_eq!(usable(&directory), ["c", "a"]);
 }
@@ -249,9 +250,9 @@
     }
 }
 
-/// Guards against a list that ignores all news after a restore, since revisions went back.
+/// Guards against a directory that ignores all changes after a restore, as revisions went back.
 #[test]
-fn a_restored_store_is_followed_although_its_revisions_went_back() {
+fn a_restored_list_is_applied_although_its_revision_is_lower() {
     let mut directory = Directory::default();
     directory.replace(listing(50, &[target("a", 1)]), MonoMs(0));
     let leaving = Target {
@@ -259,20 +260,20 @@
         ..target("a", 1)
     };
 
-    let is_taken = directory.replace(restored(40, &[target("a", 1)]), MonoMs(10));
+    let is_replaced = directory.replace(restored(40, &[target("a", 1)]), MonoMs(10));
     let position = Position {
         era: 1,
         revision: 41,
     };
     directory.apply(ListingChange::Set(leaving), position, MonoMs(20));
 
-    assert!(is_taken);
+    assert!(is_replaced);
     assert!(usable(&directory).is_empty());
 }
 
-/// Guards against requests to a target that is leaving: the older copy says it is ready.
+/// Guards against requests to a leaving target that the restored store lists as ready.
 #[test]
-fn a_target_that_was_leaving_before_a_restore_leaves_still() {
+fn a_target_that_was_leaving_before_a_restore_stays_leaving() {
     let mut directory = Directory::default();
     let leaving = Target {
         phase: Phase::Leaving,
@@ -285,10 +286,10 @@
     assert_eq!(usable(&directory), ["b"]);
 }
 
-/// Guards against requests to a target that has left and is listed again by an older copy,
-/// and against one that lives being left out for good.
+/// Guards against requests to a target that has left and is listed by the restored store, and
+/// against a live target that stays out of use for good.
 #[test]
-fn a_target_that_had_left_before_a_restore_is_used_once_somebody_renews_its_entry() {
+fn a_target_that_had_left_before_a_restore_is_used_if_its_entry_is_renewed() {
     let mut directory = Directory::default();
     directory.replace(listing(5, &[target("a", 1), target("b", 2)]), MonoMs(0));
     directory.apply(ListingChange::Removed("a".into()), at(50), MonoMs(100));
@@ -304,10 +305,10 @@
     assert_eq!(usable(&directory), ["a", "b"]);
 }
 
-/// Guards against an empty list just after a restore: targets that registered since the copy
-/// are missing there until they write again.
+/// Guards against an empty list just after a restore: targets that registered since the copy was
+/// made are missing until they write again.
 #[test]
-fn targets_that_a_restore_has_lost_stay_in_use_for_a_while() {
+fn targets_missing_after_a_restore_stay_in_use_for_the_grace_period() {
     let mut directory = Directory::default();
     directory.replace(listing(50, &[target("a", 1), target("b", 2)]), MonoMs(0));
 
--- a/crates/traffic/tests/dispatch.rs
+++ b/crates/traffic/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is placed where, and who is refused.
+//! Queueing, placement and refusal of requests.
 
 use std::sync::Arc;
 
@@ -17,9 +17,9 @@
     }
 }
 
-fn news(paces: &Slowdowns) -> EngineUpdate {
+fn update(slowdowns: &Slowdowns) -> EngineUpdate {
     EngineUpdate {
-        slowdowns: paces.clone(),
+        slowdowns: slowdowns.clone(),
         groups: Vec::new(),
     }
 }
@@ -51,7 +51,7 @@
 }
 
 /// An entry that knows no other.
-fn alone() -> Membership {
+fn lone_membership() -> Membership {
     let own = Member {
         address: ([10, 0, 0, 2], 1).into(),
         data_centre: "here".into(),
@@ -60,13 +60,13 @@
     Membership::new(own, [])
 }
 
-fn plain(targets: &[Target]) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(alone(), None);
+fn dispatcher_without_engine(targets: &[Target]) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(lone_membership(), None);
     dispatcher.set_targets(targets.iter());
     dispatcher
 }
 
-/// A group of two engines of which this entry has a share of a sixteenth.
+/// A group of two engines of which this entry has a share of one sixteenth.
 fn small_group() -> Dispatcher {
     let member = |port| Member {
         address: ([10, 0, 0, 2], port).into(),
@@ -80,7 +80,7 @@
     dispatcher
 }
 
-fn wish(urgency: u32, at_ms: u64) -> PlacementRequest {
+fn request(urgency: u32, at_ms: u64) -> PlacementRequest {
     PlacementRequest {
         urgency,
         wait_limit_ms: 200,
@@ -90,16 +90,16 @@
 }
 
 fn place(dispatcher: &mut Dispatcher, ticket: u64, at_ms: u64) -> Option<Arc<str>> {
-    match dispatcher.submit(Ticket(ticket), wish(1, at_ms), ticket, MonoMs(at_ms)) {
+    match dispatcher.submit(Ticket(ticket), request(1, at_ms), ticket, MonoMs(at_ms)) {
         SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
         SubmitOutcome::Queued | SubmitOutcome::Refused => None,
     }
 }
 
 #[test]
-fn requests_go_to_the_least_loaded_target_near_first() {
+fn requests_go_to_the_least_loaded_target_and_prefer_the_own_data_centre() {
     let targets = [target("far", 1, "there"), target("near", 2, "here")];
-    let mut dispatcher = plain(&targets);
+    let mut dispatcher = dispatcher_without_engine(&targets);
 
     assert_eq!(place(&mut dispatcher, 0, 0), Some("near".into()));
     assert_eq!(place(&mut dispatcher, 1, 0), Some("far".into()));
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn what_other_entries_run_at_a_target_counts_while_it_is_news() {
+fn the_reported_load_of_other_entries_counts_while_it_is_current() {
     let targets = [target("a", 1, "here"), target("b", 2, "here")];
-    let mut dispatcher = plain(&targets);
+    let mut dispatcher = dispatcher_without_engine(&targets);
     let busy = Load {
         running: 5,
         waiting: 1,
@@ -121,20 +121,19 @@
     assert_eq!(place(&mut dispatcher, 0, 5_000), Some("a".into()));
 }
 
-// Symptom: every pass of a group takes as long as its slow engine. Sequence: an
-// engine turns slow, requests go on being spread evenly. Cause: placement
-// counted requests and not the time they take.
+// Guards against placement that counts requests and ignores their duration: a slow engine that gets
+// as many requests as the others delays every forward pass of its group.
 #[test]
 fn a_slow_engine_gets_requests_last() {
-    let mut dispatcher = Dispatcher::new(alone(), Some(&engine()));
+    let mut dispatcher = Dispatcher::new(lone_membership(), Some(&engine()));
     let targets = [target("slow", 1, "here"), target("b", 2, "here")];
     dispatcher.set_targets(targets.iter());
     let slow = Slowdown {
         factor: 2.7,
         started_unix_ms: None,
     };
-    let paces: Slowdowns = [(targets[0].address, slow)].into();
-    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
+    let slowdowns: Slowdowns = [(targets[0].address, slow)].into();
+    dispatcher.set_engine_update(&update(&slowdowns), MonoMs(0));
 
     let placed: Vec<_> = (0..8)
         .map(|ticket| place(&mut dispatcher, ticket, 0))
@@ -145,12 +144,12 @@
 }
 
 #[test]
-fn a_target_that_failed_twice_is_avoided_and_then_tried_with_one_request() {
+fn a_target_that_failed_twice_is_ejected_and_then_tried_with_one_request() {
     let targets = [target("bad", 1, "here"), target("good", 2, "here")];
-    let mut dispatcher = plain(&targets);
+    let mut dispatcher = dispatcher_without_engine(&targets);
     for _ in 0..2 {
-        let again = dispatcher.place_additional(&[incarnation("good")], 0, MonoMs(0));
-        assert!(again.is_some());
+        let additional = dispatcher.place_additional(&[incarnation("good")], 0, MonoMs(0));
+        assert!(additional.is_some());
         dispatcher.release(&incarnation("bad"), Some(HealthSample::Failure), MonoMs(0));
     }
 
@@ -163,8 +162,8 @@
 }
 
 #[test]
-fn where_every_target_is_avoided_all_are_used() {
-    let mut dispatcher = plain(&[target("a", 1, "here")]);
+fn all_targets_are_used_if_every_one_is_ejected() {
+    let mut dispatcher = dispatcher_without_engine(&[target("a", 1, "here")]);
     for _ in 0..3 {
         dispatcher.place_additional(&[], 0, MonoMs(0));
         dispatcher.release(&incarnation("a"), Some(HealthSample::Failure), MonoMs(0));
@@ -178,27 +177,24 @@
     let mut dispatcher = small_group();
     while place(&mut dispatcher, 0, 0).is_some() {}
     dispatcher.cancel(Ticket(0));
-    dispatcher.submit(Ticket(1), wish(2, 0), 0, MonoMs(0));
-    dispatcher.submit(Ticket(2), wish(0, 0), 0, MonoMs(0));
+    dispatcher.submit(Ticket(1), request(2, 0), 0, MonoMs(0));
+    dispatcher.submit(Ticket(2), request(0, 0), 0, MonoMs(0));
 
     dispatcher.release(&incarnation("a"), Some(HealthSample::Success), MonoMs(5));
 
-    let (ticket, _) = dispatcher
-        .place_next(0, MonoMs(5))
-        .expect("a place is free");
+    let (ticket, _) = dispatcher.place_next(0, MonoMs(5)).expect("a slot is free");
     assert_eq!(ticket, Ticket(2));
 }
 
-// Symptom: callers wait and are refused all the same. Sequence: a burst fills
-// the queue far beyond what is freed in the time a caller waits. Cause: the
-// queue took everybody in.
+// Guards against callers that wait and are refused anyway: a burst fills the queue far beyond the
+// number of slots that become free within a caller's wait limit.
 #[test]
 fn a_request_that_would_not_be_placed_in_time_is_refused_at_once() {
     let mut dispatcher = small_group();
     let mut at_ms = 0;
     while place(&mut dispatcher, 0, 0).is_some() {}
     dispatcher.cancel(Ticket(0));
-    // A place is freed every 100 ms, and taken again.
+    // A slot is freed every 100 ms, and taken again.
     for _ in 0..20 {
         at_ms += 100;
         dispatcher.release(
@@ -209,56 +205,54 @@
         place(&mut dispatcher, 0, at_ms);
     }
 
-    let arrivals: Vec<_> = (1..=5)
-        .map(|ticket| dispatcher.submit(Ticket(ticket), wish(1, at_ms), 0, MonoMs(at_ms)))
+    let outcomes: Vec<_> = (1..=5)
+        .map(|ticket| dispatcher.submit(Ticket(ticket), request(1, at_ms), 0, MonoMs(at_ms)))
         .collect();
 
-    assert_eq!(arrivals[0], SubmitOutcome::Queued);
-    assert_eq!(arrivals[4], SubmitOutcome::Refused);
+    assert_eq!(outcomes[0], SubmitOutcome::Queued);
+    assert_eq!(outcomes[4], SubmitOutcome::Refused);
 }
 
-// Symptom: hundreds of requests are refused in the second in which a group
-// forms anew, and the budget for second sends is spent. Sequence: a rank
-// crashes, its group refuses everything, each request is sent at once, and
-// again. Cause: refusals of a whole service were treated as one target's.
+// Guards against treating refusals of a whole service like those of a single target. After a rank
+// has crashed, its group refuses all requests until it has formed again; if each were sent at once
+// and then a second time, hundreds would be refused and the retry budget spent.
 #[test]
-fn a_service_that_refuses_everything_is_tried_now_and_then() {
+fn a_service_that_refuses_all_requests_is_probed_at_intervals() {
     let mut dispatcher = small_group();
-    let first = place(&mut dispatcher, 0, 0).expect("a place is free");
+    let first = place(&mut dispatcher, 0, 0).expect("a slot is free");
     dispatcher.release(&incarnation(&first), None, MonoMs(1));
     dispatcher.on_refused(&incarnation("a"), MonoMs(1));
 
-    let tried = (0..300).filter(|ms| {
-        let arrival = dispatcher.submit(Ticket(*ms), wish(1, 2 + *ms), 0, MonoMs(2 + *ms));
-        if let SubmitOutcome::Placed(target) = &arrival {
+    let probes = (0..300).filter(|ms| {
+        let outcome = dispatcher.submit(Ticket(*ms), request(1, 2 + *ms), 0, MonoMs(2 + *ms));
+        if let SubmitOutcome::Placed(target) = &outcome {
             dispatcher.release(&target.incarnation, None, MonoMs(2 + *ms));
             dispatcher.on_refused(&target.incarnation, MonoMs(2 + *ms));
             return true;
         }
         dispatcher.cancel(Ticket(*ms));
-        assert_eq!(arrival, SubmitOutcome::Queued);
+        assert_eq!(outcome, SubmitOutcome::Queued);
         false
     });
 
-    assert_eq!(tried.count(), 2);
+    assert_eq!(probes.count(), 2);
     dispatcher.on_accepted(&incarnation("a"), MonoMs(302));
     assert!(place(&mut dispatcher, 0, 400).is_some());
 }
 
-// Symptom: after a group's return everybody is late for seconds. Sequence: a
-// hundred requests wait while the group forms anew, it opens, they are placed in
-// the order they came, and each new one waits behind them until it is late too.
-// Cause: a queue in order of arrival alone.
+// Guards against a queue in order of arrival alone. A hundred requests wait while a group forms
+// again; if they are placed first, each new one waits behind them until it is late too, for
+// seconds.
 #[test]
-fn when_a_group_is_back_those_who_can_still_be_timely_go_first() {
+fn requests_that_can_still_be_on_time_go_first_after_an_outage() {
     let mut dispatcher = small_group();
-    let first = place(&mut dispatcher, 0, 0).expect("a place is free");
+    let first = place(&mut dispatcher, 0, 0).expect("a slot is free");
     dispatcher.release(&incarnation(&first), None, MonoMs(1));
     dispatcher.on_refused(&incarnation("a"), MonoMs(1));
     for ticket in 1..=20 {
-        dispatcher.submit(Ticket(ticket), wish(1, 10), 0, MonoMs(10));
+        dispatcher.submit(Ticket(ticket), request(1, 10), 0, MonoMs(10));
     }
-    dispatcher.submit(Ticket(99), wish(1, 1_000), 0, MonoMs(1_000));
+    dispatcher.submit(Ticket(99), request(1, 1_000), 0, MonoMs(1_000));
 
     dispatcher.on_accepted(&incarnation("a"), MonoMs(1_010));
     let order: Vec<Ticket> = std::iter::from_fn(|| dispatcher.place_next(0, MonoMs(1_010)))
@@ -269,8 +263,9 @@
 }
 
 #[test]
-fn a_target_that_is_no_longer_listed_gets_nothing_and_loses_nothing() {
-    let mut dispatcher = plain(&[target("a", 1, "here"), target("b", 2, "here")]);
+fn a_removed_target_gets_no_requests_and_its_running_ones_still_count() {
+    let mut dispatcher =
+        dispatcher_without_engine(&[target("a", 1, "here"), target("b", 2, "here")]);
     place(&mut dispatcher, 0, 0);
     place(&mut dispatcher, 1, 0);
 
@@ -281,22 +276,25 @@
     assert_eq!(place(&mut dispatcher, 0, 1), Some("b".into()));
 }
 
-// Symptom: callers of one engine wait two seconds for a first event and leave,
-// while others get theirs. Sequence: the engine's VM is frozen after it has
-// accepted their requests. Cause: silence was looked for only after the first
-// event, and by the stream alone.
+// Guards against callers that wait two seconds for a first event and disconnect. The VM of one
+// engine freezes after it has accepted their requests; silence must be detected before the first
+// event, and by comparison with other targets.
 #[test]
-fn a_target_that_alone_brings_nothing_is_silent() {
-    let mut dispatcher = plain(&[target("a", 1, "here"), target("b", 2, "here")]);
+fn a_target_is_silent_if_only_its_streams_get_no_events() {
+    let mut dispatcher =
+        dispatcher_without_engine(&[target("a", 1, "here"), target("b", 2, "here")]);
     dispatcher.on_stream_event(&incarnation("a"), MonoMs(1_000));
     dispatcher.on_stream_event(&incarnation("b"), MonoMs(1_000));
 
     let at_first = dispatcher.is_silent(&incarnation("a"), MonoMs(1_100));
     dispatcher.on_stream_event(&incarnation("b"), MonoMs(1_900));
-    let alone = dispatcher.is_silent(&incarnation("a"), MonoMs(2_000));
-    let with_all_others = dispatcher.is_silent(&incarnation("a"), MonoMs(3_000));
+    let while_b_progresses = dispatcher.is_silent(&incarnation("a"), MonoMs(2_000));
+    let while_none_progresses = dispatcher.is_silent(&incarnation("a"), MonoMs(3_000));
 
-    assert_eq!((at_first, alone, with_all_others), (false, true, false));
+    assert_eq!(
+        (at_first, while_b_progresses, while_none_progresses),
+        (false, true, false)
+    );
 }
 
 fn started(id: &str, started_unix_ms: u64) -> Target {
@@ -309,64 +307,64 @@
     }
 }
 
-// Symptom: a target that has just started again gets nothing for seconds, or is
-// taken to be full. Sequence: its former incarnation fails requests and is
-// avoided; it starts anew under the same id; requests of the former one end.
-// Cause: health and running requests were kept by id alone.
+// Guards against health and running requests that are kept by id alone. A target fails requests, is
+// ejected and restarts under the same id; then it would get nothing for seconds, or count as full.
 #[test]
-fn a_target_that_starts_anew_is_not_judged_by_its_former_incarnation() {
-    let (former, reborn) = (started("a", 1_000), started("a", 2_000));
-    let mut dispatcher = plain(std::slice::from_ref(&former));
+fn a_restarted_target_does_not_inherit_health_or_load() {
+    let (previous, restarted) = (started("a", 1_000), started("a", 2_000));
+    let mut dispatcher = dispatcher_without_engine(std::slice::from_ref(&previous));
     for ticket in 0..12 {
         place(&mut dispatcher, ticket, 0);
     }
     for _ in 0..2 {
-        dispatcher.release(&former.incarnation, Some(HealthSample::Failure), MonoMs(10));
+        dispatcher.release(
+            &previous.incarnation,
+            Some(HealthSample::Failure),
+            MonoMs(10),
+        );
     }
 
-    dispatcher.set_targets(std::iter::once(&reborn));
+    dispatcher.set_targets(std::iter::once(&restarted));
     let placed = (0..12).filter_map(|ticket| place(&mut dispatcher, ticket, 20));
 
     assert_eq!(placed.count(), 12);
-    // What still ends at the former incarnation frees nothing at the new one.
-    dispatcher.release(&former.incarnation, None, MonoMs(30));
+    // Requests that end at the previous incarnation free no slot at the new one.
+    dispatcher.release(&previous.incarnation, None, MonoMs(30));
     assert_eq!(place(&mut dispatcher, 99, 30), None);
 }
 
-// Symptom: an engine that was slow and was started anew gets too little work.
-// Sequence: its pace is read; it starts anew; nobody reads it again while its
-// leader is away. Cause: paces were kept by address alone.
+// Guards against slowdowns that are kept by address alone: a slow engine restarts while no leader
+// measures it, and would get too few requests.
 #[test]
-fn a_pace_is_that_of_one_incarnation() {
+fn a_slowdown_applies_to_one_incarnation() {
     let (slow, other) = (started("slow", 1_000), target("other", 2, "here"));
-    let pace = Slowdown {
+    let slowdown = Slowdown {
         factor: 9.0,
         started_unix_ms: Some(1_000),
     };
-    let paces = Slowdowns::from([(slow.address, pace)]);
-    let reborn = started("slow", 2_000);
-    let mut dispatcher = Dispatcher::new(alone(), Some(&engine()));
+    let slowdowns = Slowdowns::from([(slow.address, slowdown)]);
+    let restarted = started("slow", 2_000);
+    let mut dispatcher = Dispatcher::new(lone_membership(), Some(&engine()));
 
     dispatcher.set_targets([&slow, &other].into_iter());
-    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
+    dispatcher.set_engine_update(&update(&slowdowns), MonoMs(0));
     let before = place(&mut dispatcher, 0, 0);
-    dispatcher.set_targets([&reborn, &other].into_iter());
-    dispatcher.set_engine_update(&news(&paces), MonoMs(0));
+    dispatcher.set_targets([&restarted, &other].into_iter());
+    dispatcher.set_engine_update(&update(&slowdowns), MonoMs(0));
     let after = place(&mut dispatcher, 0, 0);
 
     assert_eq!(before, Some("other".into()));
     assert_eq!(after, Some("slow".into()));
 }
 
-// Symptom: an entry ends by itself when somebody registers two targets. Sequence:
-// each claims four billion slots. Cause: their sum overflows.
+// Guards against an overflow that ends the process: two targets claim four billion slots each.
 #[test]
-fn slots_beyond_reason_do_not_end_the_process() {
+fn absurd_slot_counts_do_not_overflow() {
     let huge = |id: &str, port| Target {
         slots: u32::MAX,
         ..target(id, port, "here")
     };
-    let mut dispatcher = Dispatcher::new(alone(), Some(&engine()));
+    let mut dispatcher = Dispatcher::new(lone_membership(), Some(&engine()));
 
     dispatcher.set_targets([&huge("a", 1), &huge("b", 2)].into_iter());
 
--- a/crates/traffic/tests/late.rs
+++ b/crates/traffic/tests/late.rs
@@ -1,5 +1,5 @@
-//! Who waits for a late answer, and who is refused at once: the load after a loss of power,
-//! and a burst that goes on.
+//! Which requests wait for a late response, and which are refused at once: load after a power
+//! failure, and during a lasting burst.
 
 use std::collections::VecDeque;
 
@@ -8,13 +8,13 @@
 use berylhook_traffic::ownership::{Member, Membership};
 use berylhook_traffic::target::{Incarnation, Phase, Target};
 
-const PATIENCE_MS: u64 = 160;
-const LATE_PATIENCE_MS: u64 = 1_500;
+const WAIT_LIMIT_MS: u64 = 160;
+const LATE_WAIT_LIMIT_MS: u64 = 1_500;
 const TARGETS: u16 = 8;
 const SLOTS: u32 = 4;
 
-/// Requests that this many slots carry, each for [`RUN_MS`].
-const RUN_MS: u64 = 400;
+/// With this duration of each request, the slots serve [`CAPACITY_PER_S`] requests per second.
+const REQUEST_DURATION_MS: u64 = 400;
 const CAPACITY_PER_S: u64 = 80;
 
 fn dispatcher() -> Dispatcher {
@@ -44,67 +44,71 @@
     }
 }
 
-/// What became of the requests of one play.
+/// Counts of the outcomes of one simulation.
 #[derive(Debug, Default)]
 struct Tally {
     placed: u64,
-    /// Of these, after they had waited for longer than a timely answer allows.
+    /// Of the placed requests, those that waited longer than their limit for a response in time.
     late: u64,
     refused: u64,
-    /// Refused after a wait beyond the patience for a timely answer.
-    waited_in_vain: u64,
+    /// Refused after a wait beyond the limit for a response in time.
+    refused_late: u64,
 }
 
-struct Play {
+struct Simulation {
     dispatcher: Dispatcher,
     now_ms: u64,
     running: VecDeque<(u64, Incarnation)>,
     waiting: Vec<(u64, Ticket)>,
-    tickets: u64,
-    /// In thousandths of a request.
-    owed: u64,
+    last_ticket: u64,
+    /// Fractions of arrivals that are still due, in thousandths of a request.
+    due_thousandths: u64,
     tally: Tally,
 }
 
-impl Play {
+impl Simulation {
     fn new() -> Self {
         Self {
             dispatcher: dispatcher(),
             now_ms: 10_000,
             running: VecDeque::new(),
             waiting: Vec::new(),
-            tickets: 0,
-            owed: 0,
+            last_ticket: 0,
+            due_thousandths: 0,
             tally: Tally::default(),
         }
     }
 
-    /// Plays that long with so many arrivals a second; while the service is up runs end.
+    /// Simulates `length_ms` with `per_s` arrivals per second. Running requests end only while
+    /// `is_up`.
     fn run(&mut self, length_ms: u64, per_s: u64, is_up: bool) {
         for _ in 0..length_ms {
             self.now_ms += 1;
-            self.owed += per_s;
-            while self.owed >= 1_000 {
-                self.owed -= 1_000;
-                self.arrive();
+            self.due_thousandths += per_s;
+            while self.due_thousandths >= 1_000 {
+                self.due_thousandths -= 1_000;
+                self.submit_request();
             }
-            self.end_runs(is_up);
-            self.leave();
+            self.end_requests(is_up);
+            self.cancel_expired();
             self.place_waiting();
         }
     }
 
-    fn arrive(&mut self) {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        let wish = PlacementRequest {
+    fn submit_request(&mut self) {
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        let request = PlacementRequest {
             urgency: 1,
-            wait_limit_ms: PATIENCE_MS,
-            late_wait_limit_ms: LATE_PATIENCE_MS,
-            on_time_until_ms: MonoMs(self.now_ms + PATIENCE_MS),
+            wait_limit_ms: WAIT_LIMIT_MS,
+            late_wait_limit_ms: LATE_WAIT_LIMIT_MS,
+            on_time_until_ms: MonoMs(self.now_ms + WAIT_LIMIT_MS),
         };
         let now_ms = MonoMs(self.now_ms);
-        match self.dispatcher.submit(ticket, wish, self.tickets, now_ms) {
+        match self
+            .dispatcher
+            .submit(ticket, request, self.last_ticket, now_ms)
+        {
             SubmitOutcome::Placed(target) => self.start(target, 0),
             SubmitOutcome::Queued => self.waiting.push((self.now_ms, ticket)),
             SubmitOutcome::Refused => self.tally.refused += 1,
@@ -113,37 +117,40 @@
 
     fn start(&mut self, target: Target, waited_ms: u64) {
         self.tally.placed += 1;
-        self.tally.late += u64::from(waited_ms > PATIENCE_MS);
-        let ends_ms = self.now_ms + RUN_MS;
-        self.running.push_back((ends_ms, target.incarnation));
+        self.tally.late += u64::from(waited_ms > WAIT_LIMIT_MS);
+        let end_ms = self.now_ms + REQUEST_DURATION_MS;
+        self.running.push_back((end_ms, target.incarnation));
     }
 
-    fn end_runs(&mut self, is_up: bool) {
-        while let Some((ends_ms, _)) = self.running.front()
+    fn end_requests(&mut self, is_up: bool) {
+        while let Some((end_ms, _)) = self.running.front()
             && is_up
-            && *ends_ms <= self.now_ms
+            && *end_ms <= self.now_ms
         {
-            let (_, incarnation) = self.running.pop_front().expect("one runs");
+            let (_, incarnation) = self
+                .running
+                .pop_front()
+                .expect("the front request was checked");
             let now_ms = MonoMs(self.now_ms);
             self.dispatcher.release(&incarnation, None, now_ms);
         }
     }
 
-    fn leave(&mut self) {
+    fn cancel_expired(&mut self) {
         let now_ms = MonoMs(self.now_ms);
-        let serves_late = self.dispatcher.can_serve_late(LATE_PATIENCE_MS, now_ms);
-        let patience_ms = if serves_late {
-            LATE_PATIENCE_MS
+        let can_serve_late = self.dispatcher.can_serve_late(LATE_WAIT_LIMIT_MS, now_ms);
+        let wait_limit_ms = if can_serve_late {
+            LATE_WAIT_LIMIT_MS
         } else {
-            PATIENCE_MS
+            WAIT_LIMIT_MS
         };
         let now_ms = self.now_ms;
-        let is_over = |since_ms: u64| now_ms - since_ms > patience_ms;
+        let is_over = |since_ms: u64| now_ms - since_ms > wait_limit_ms;
         for (since_ms, ticket) in self.waiting.iter().filter(|it| is_over(it.0)) {
             self.dispatcher.cancel(*ticket);
             self.tally.refused += 1;
-            let in_vain = now_ms - since_ms > PATIENCE_MS + 50;
-            self.tally.waited_in_vain += u64::from(in_vain);
+            let is_refused_late = now_ms - since_ms > WAIT_LIMIT_MS + 50;
+            self.tally.refused_late += u64::from(is_refused_late);
         }
         self.waiting.retain(|(since_ms, _)| !is_over(*since_ms));
     }
@@ -152,55 +159,65 @@
         let now_ms = MonoMs(self.now_ms);
         while let Some((ticket, target)) = self.dispatcher.place_next(0, now_ms) {
             let at = self.waiting.iter().position(|(_, it)| *it == ticket);
-            let (since_ms, _) = self.waiting.remove(at.expect("it waits"));
+            let (since_ms, _) = self.waiting.remove(at.expect("the ticket is queued"));
             self.start(target, self.now_ms - since_ms);
         }
     }
 }
 
-/// Guards against callers that are lost in the seconds after a loss of power: each comes back
-/// once, into the same second, and capacity is there a moment later.
+/// Guards against requests that are lost in the seconds after a power failure: each caller retries
+/// once, within the same second, and capacity is available a moment later.
 #[test]
-fn after_a_loss_of_power_the_backlog_is_kept_and_served() {
-    let mut play = Play::new();
-    play.run(5_000, CAPACITY_PER_S / 2, true);
-    let before = std::mem::take(&mut play.tally);
+fn the_backlog_is_served_after_a_power_failure() {
+    let mut simulation = Simulation::new();
+    simulation.run(5_000, CAPACITY_PER_S / 2, true);
+    let before = std::mem::take(&mut simulation.tally);
 
-    play.dispatcher.on_process_start(MonoMs(play.now_ms));
-    play.run(1_200, CAPACITY_PER_S / 2, false);
-    play.run(4_000, CAPACITY_PER_S / 2, true);
+    simulation
+        .dispatcher
+        .on_process_start(MonoMs(simulation.now_ms));
+    simulation.run(1_200, CAPACITY_PER_S / 2, false);
+    simulation.run(4_000, CAPACITY_PER_S / 2, true);
 
     assert_eq!(before.refused, 0);
-    assert!(play.tally.late > 20, "{:?}", play.tally);
-    assert!(play.tally.refused < play.tally.late / 2, "{:?}", play.tally);
+    assert!(simulation.tally.late > 20, "{:?}", simulation.tally);
+    assert!(
+        simulation.tally.refused < simulation.tally.late / 2,
+        "{:?}",
+        simulation.tally
+    );
 }
 
-/// Guards against callers that wait for nothing: under a burst that goes on newcomers always
-/// go first, and who is late would be told after a second and a half.
+/// Guards against requests that wait for nothing: in a lasting burst new requests always go first,
+/// and late ones would be refused only after a second and a half.
 #[test]
-fn under_a_burst_that_goes_on_nobody_waits_in_vain() {
-    let mut play = Play::new();
-    play.run(5_000, CAPACITY_PER_S / 2, true);
-    play.run(2_000, CAPACITY_PER_S * 2, true);
-    play.tally = Tally::default();
-
-    play.run(10_000, CAPACITY_PER_S * 2, true);
-
-    assert!(play.tally.placed >= CAPACITY_PER_S * 9, "{:?}", play.tally);
-    assert_eq!(play.tally.waited_in_vain, 0, "{:?}", play.tally);
+fn in_a_lasting_burst_no_request_waits_for_nothing() {
+    let mut simulation = Simulation::new();
+    simulation.run(5_000, CAPACITY_PER_S / 2, true);
+    simulation.run(2_000, CAPACITY_PER_S * 2, true);
+    simulation.tally = Tally::default();
+
+    simulation.run(10_000, CAPACITY_PER_S * 2, true);
+
+    assert!(
+        simulation.tally.placed >= CAPACITY_PER_S * 9,
+        "{:?}",
+        simulation.tally
+    );
+    assert_eq!(simulation.tally.refused_late, 0, "{:?}", simulation.tally);
 }
 
-/// Guards against refusals although there is room within a second: a short burst leaves a
-/// backlog, and the load is below capacity again.
+/// Guards against refusals although there will be capacity within a second: a short burst leaves a
+/// backlog, and then the load is below capacity again.
 #[test]
 fn a_backlog_that_drains_is_served() {
-    let mut play = Play::new();
-    play.run(5_000, CAPACITY_PER_S / 2, true);
-    play.run(300, CAPACITY_PER_S * 3, true);
-    play.tally = Tally::default();
+    let mut simulation = Simulation::new();
+    simulation.run(5_000, CAPACITY_PER_S / 2, true);
+    simulation.run(300, CAPACITY_PER_S * 3, true);
+    simulation.tally = Tally::default();
 
-    play.run(3_000, CAPACITY_PER_S / 3, true);
+    simulation.run(3_000, CAPACITY_PER_S / 3, true);
 
-    assert_eq!(play.tally.waited_in_vain, 0, "{:?}", play.tally);
-    assert!(play.tally.refused <= 5, "{:?}", play.tally);
+    assert_eq!(simulation.tally.refused_late, 0, "{:?}", simulation.tally);
+    assert!(simulation.tally.refused <= 5, "{:?}", simulation.tally);
 }
--- a/crates/traffic/tests/lost_group.rs
+++ b/crates/traffic/tests/lost_group.rs
@@ -1,4 +1,4 @@
-//! One group of a service is lost, the others go on: the load after a rank has crashed.
+//! Load after a rank has crashed: one group of a service is lost, and the others keep running.
 
 use std::sync::Arc;
 
@@ -32,8 +32,8 @@
     groups.map(|(group, rank)| target(group, rank)).collect()
 }
 
-/// A leader's word: all groups run but for that one.
-fn news(closed: Option<u16>) -> EngineUpdate {
+/// A leader's update: all groups are open, except for `closed`.
+fn update(closed: Option<u16>) -> EngineUpdate {
     let groups = (0..GROUPS).map(|group| GroupUpdate {
         name: format!("g{group}").into(),
         engines: (0..RANKS).map(|rank| target(group, rank).address).collect(),
@@ -64,7 +64,7 @@
     };
     let mut dispatcher = Dispatcher::new(Membership::new(own, []), Some(&engine));
     dispatcher.set_targets(targets().iter());
-    dispatcher.set_engine_update(&news(None), MonoMs(0));
+    dispatcher.set_engine_update(&update(None), MonoMs(0));
     dispatcher
 }
 
@@ -72,22 +72,22 @@
     target.id().starts_with("g0")
 }
 
-/// Sends one request each ten milliseconds, which ends at once; the lost group refuses. Gives
-/// how many were served, and how many tried the lost group.
-fn play(dispatcher: &mut Dispatcher, from_ms: u64, length_ms: u64) -> (usize, usize) {
-    let (mut served, mut tried) = (0, 0);
+/// Sends one request every ten milliseconds, which ends at once; the lost group refuses its
+/// requests. Returns how many were served, and how many were sent to the lost group.
+fn send_requests(dispatcher: &mut Dispatcher, from_ms: u64, length_ms: u64) -> (usize, usize) {
+    let (mut served, mut sent_to_lost) = (0, 0);
     for at_ms in (from_ms..from_ms + length_ms).step_by(10) {
         let now_ms = MonoMs(at_ms);
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             urgency: 1,
             wait_limit_ms: 160,
             late_wait_limit_ms: 1_500,
             on_time_until_ms: now_ms + 160,
         };
         let ticket = Ticket(at_ms);
-        match dispatcher.submit(ticket, wish, at_ms, now_ms) {
+        match dispatcher.submit(ticket, request, at_ms, now_ms) {
             SubmitOutcome::Placed(target) if is_lost(&target) => {
-                tried += 1;
+                sent_to_lost += 1;
                 dispatcher.release(&target.incarnation, None, now_ms);
                 dispatcher.on_refused(&target.incarnation, now_ms);
             }
@@ -100,40 +100,43 @@
             SubmitOutcome::Refused => {}
         }
     }
-    (served, tried)
+    (served, sent_to_lost)
 }
 
-/// Guards against a whole service that is tried now and then, since one of its groups refuses
-/// everything.
+/// Guards against a whole service that gets only probes because one of its groups refuses all
+/// requests.
 #[test]
-fn a_lost_group_leaves_the_others_whole() {
+fn a_lost_group_does_not_affect_the_others() {
     let mut dispatcher = dispatcher();
 
-    let (served, tried) = play(&mut dispatcher, 0, 3_000);
+    let (served, sent_to_lost) = send_requests(&mut dispatcher, 0, 3_000);
 
-    assert!(tried <= 21, "tried {tried} times");
-    assert_eq!(served + tried, 300);
+    assert!(
+        sent_to_lost <= 21,
+        "{sent_to_lost} requests were sent to the lost group"
+    );
+    assert_eq!(served + sent_to_lost, 300);
     assert!(!dispatcher.is_down());
 }
 
-/// Guards against callers that stall at a group of which its leader knows that it is closed,
-/// and against a group that stays unused after it has opened.
+/// Guards against callers that stall at a group that its leader knows to be closed, and against a
+/// group that stays unused after it has opened.
 #[test]
-fn a_leaders_word_closes_and_opens_a_group() {
+fn a_leaders_update_closes_and_opens_a_group() {
     let mut dispatcher = dispatcher();
-    dispatcher.set_engine_update(&news(Some(0)), MonoMs(0));
+    dispatcher.set_engine_update(&update(Some(0)), MonoMs(0));
 
-    let while_closed = play(&mut dispatcher, 0, 2_000);
-    dispatcher.set_engine_update(&news(None), MonoMs(2_000));
+    let while_closed = send_requests(&mut dispatcher, 0, 2_000);
+    dispatcher.set_engine_update(&update(None), MonoMs(2_000));
     let first: Vec<Arc<str>> = (0..6)
         .filter_map(|number| {
-            let wish = PlacementRequest {
+            let request = PlacementRequest {
                 urgency: 1,
                 wait_limit_ms: 160,
                 late_wait_limit_ms: 1_500,
                 on_time_until_ms: MonoMs(2_160),
             };
-            match dispatcher.submit(Ticket(9_000 + number), wish, number, MonoMs(2_000)) {
+            match dispatcher.submit(Ticket(9_000 + number), request, number, MonoMs(2_000)) {
                 SubmitOutcome::Placed(target) => Some(Arc::clone(target.id())),
                 SubmitOutcome::Queued | SubmitOutcome::Refused => None,
             }
@@ -144,28 +147,37 @@
     assert!(first.iter().any(|id| id.starts_with("g0")), "{first:?}");
 }
 
-/// Guards against passes that get too long at the groups that are left: the bound would let
-/// them run what the lost one carried.
+/// Guards against forward passes that get too long at the remaining groups, because the concurrency
+/// limit still includes the slots of the lost group.
 #[test]
-fn the_bound_shrinks_with_a_lost_group() {
+fn the_concurrency_limit_shrinks_with_a_lost_group() {
     let mut dispatcher = dispatcher();
-    let whole = dispatcher.concurrency_limit().expect("there is one");
-
-    dispatcher.set_engine_update(&news(Some(0)), MonoMs(10));
-    let left = dispatcher.concurrency_limit().expect("there is one");
-    dispatcher.set_engine_update(&news(None), MonoMs(20));
+    let initial = dispatcher
+        .concurrency_limit()
+        .expect("the service has a limit");
+
+    dispatcher.set_engine_update(&update(Some(0)), MonoMs(10));
+    let reduced = dispatcher
+        .concurrency_limit()
+        .expect("the service has a limit");
+    dispatcher.set_engine_update(&update(None), MonoMs(20));
     dispatcher.on_accepted(&target(0, 0).incarnation, MonoMs(30));
-    let back = dispatcher.concurrency_limit().expect("there is one");
-
-    assert!((left - whole * 2.0 / 3.0).abs() < 0.5, "{whole} {left}");
-    assert!((back - whole).abs() < 0.5, "{whole} {back}");
+    let restored = dispatcher
+        .concurrency_limit()
+        .expect("the service has a limit");
+
+    assert!(
+        (reduced - initial * 2.0 / 3.0).abs() < 0.5,
+        "{initial} {reduced}"
+    );
+    assert!((restored - initial).abs() < 0.5, "{initial} {restored}");
 }
 
-/// Guards against a service that counts as running although no group of it does.
+/// Guards against a service that counts as up although none of its groups is.
 #[test]
 fn a_service_is_down_when_all_of_its_groups_are() {
     let mut dispatcher = dispatcher();
-    let mut all = news(None);
+    let mut all = update(None);
     for group in &mut all.groups {
         group.is_open = false;
     }
@@ -175,12 +187,12 @@
     assert!(dispatcher.is_down());
 }
 
-/// Guards against a backlog that goes to one group as a whole, since it opens some milliseconds
-/// before the others: callers stall behind each other there, and are told that they may have run.
+/// Guards against a whole backlog that goes to the group that opens some milliseconds before the
+/// others: callers stall behind each other there, and their requests may have run.
 #[test]
 fn the_first_group_to_open_does_not_get_the_whole_backlog() {
     let mut dispatcher = dispatcher();
-    let mut all = news(None);
+    let mut all = update(None);
     for group in &mut all.groups {
         group.is_open = false;
     }
@@ -188,28 +200,28 @@
     all.groups[0].is_open = true;
     dispatcher.set_engine_update(&all, MonoMs(1_000));
 
-    let (_, tried_first) = play_without_answers(&mut dispatcher, 1_000, 20);
-    dispatcher.set_engine_update(&news(None), MonoMs(1_020));
+    let (_, sent_to_first) = send_without_responses(&mut dispatcher, 1_000, 20);
+    dispatcher.set_engine_update(&update(None), MonoMs(1_020));
     dispatcher.on_accepted(&target(0, 0).incarnation, MonoMs(1_030));
     let is_down = dispatcher.is_down();
 
-    assert_eq!(tried_first, 1);
+    assert_eq!(sent_to_first, 1);
     assert!(!is_down);
 }
 
-/// Sends a request each millisecond, which gets no answer yet; gives how many were placed
-/// elsewhere and at the first group.
-fn play_without_answers(dispatcher: &mut Dispatcher, from_ms: u64, count: u64) -> (usize, usize) {
+/// Sends a request every millisecond, and simulates no responses. Returns how many were placed at
+/// other groups and at the first one.
+fn send_without_responses(dispatcher: &mut Dispatcher, from_ms: u64, count: u64) -> (usize, usize) {
     let (mut elsewhere, mut first) = (0, 0);
     for at_ms in from_ms..from_ms + count {
         let now_ms = MonoMs(at_ms);
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             urgency: 1,
             wait_limit_ms: 160,
             late_wait_limit_ms: 1_500,
             on_time_until_ms: now_ms + 160,
         };
-        match dispatcher.submit(Ticket(at_ms), wish, at_ms, now_ms) {
+        match dispatcher.submit(Ticket(at_ms), request, at_ms, now_ms) {
             SubmitOutcome::Placed(target) if is_lost(&target) => first += 1,
             SubmitOutcome::Placed(_) => elsewhere += 1,
             SubmitOutcome::Queued | SubmitOutcome::Refused => {}
--- a/crates/traffic/tests/overload.rs
+++ b/crates/traffic/tests/overload.rs
@@ -1,11 +1,11 @@
-//! Load above what a group can do, played on the model of a group.
+//! Load beyond the capacity of a group, simulated with the group model.
 
 use berylhook_test_support::group_model::{Scenario, play_all};
 use berylhook_traffic::configuration::EngineModel;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// Requests a second that twelve ranks answer in goal without refusing any.
+/// Requests per second that twelve ranks serve within the objectives without refusing any.
 const CAPACITY_PER_S: f64 = 66.0;
 
 fn scenario(seed: u64) -> Scenario {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn under_capacity_hardly_anybody_is_refused() {
+fn below_capacity_hardly_any_request_is_refused() {
     let tally = play_all(&SEEDS, scenario);
 
     assert!(
@@ -47,12 +47,11 @@
     assert!(tally.in_goal_part() > 0.97, "{tally:?}");
 }
 
-// Symptom: with twice the load that a group can answer, a tenth of the answers are
-// on time and first events take two seconds. Sequence: every slot is taken; what is
-// sent beyond them waits at the targets in order of arrival. Cause: the bound on
-// what runs looked at the time of passes alone, which stays short.
+// Guards against a concurrency limit that considers pass durations alone, which stay short. At
+// twice the capacity every slot is taken, further requests queue at the targets in order of
+// arrival, first events take two seconds, and a tenth of the responses are on time.
 #[test]
-fn twice_the_capacity_leaves_goodput_where_it_was() {
+fn goodput_holds_at_twice_the_capacity() {
     let twice = |seed| Scenario {
         arrivals_per_s: |_| CAPACITY_PER_S * 2.0,
         ..scenario(seed)
@@ -66,15 +65,15 @@
 }
 
 #[test]
-fn targets_that_do_not_tell_their_load_are_not_overrun_either() {
-    let silent = |seed| Scenario {
+fn targets_that_do_not_report_their_load_are_not_overrun() {
+    let without_reports = |seed| Scenario {
         arrivals_per_s: |_| CAPACITY_PER_S * 2.0,
         tells_load: false,
         ..scenario(seed)
     };
 
     let full = play_all(&SEEDS, scenario);
-    let tally = play_all(&SEEDS, silent);
+    let tally = play_all(&SEEDS, without_reports);
 
     assert!(tally.in_goal * 2 >= full.in_goal, "{tally:?} {full:?}");
 }
--- a/crates/traffic/tests/ownership.rs
+++ b/crates/traffic/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Which targets an entry uses first.
+//! Which targets an entry prefers.
 
 use std::net::SocketAddr;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Each entry's preferences, if all know all.
+/// Each entry's preferences, if all entries know each other.
 fn preferences(members: &[Member], targets: &[Target], running: f64) -> Vec<Preferences> {
     let targets: Vec<&Target> = targets.iter().collect();
     let of = |own: &Member| {
@@ -56,7 +56,7 @@
     members.iter().map(of).collect()
 }
 
-/// How many entries own each target.
+/// The number of entries that own each target.
 fn owners(preferences: &[Preferences], targets: usize) -> Vec<usize> {
     let owned_by = |index: usize| {
         let owners = preferences.iter().filter(|it| it.targets[index].is_owned);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn parts_overlap_more_the_more_requests_an_entry_has() {
+fn arcs_overlap_more_with_more_requests() {
     let (members, targets) = fleet(50, 190);
     let owners_with = |running| {
         let owners = owners(&preferences(&members, &targets, running), 190);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_part_is_as_wide_as_its_entrys_demand() {
+fn the_width_of_an_arc_follows_the_demand() {
     let (mut members, targets) = fleet(50, 190);
     members[0].demand_per_s = Some(24.0);
 
@@ -114,10 +114,10 @@
     assert!(own(0) >= 2 * own(5), "{} {}", own(0), own(5));
 }
 
-// Symptom: when one of fifty entries ends, the others take up targets all over the
-// data centre. Cause: a hash over the number of entries.
+// Guards against a hash over the number of entries: when one of fifty entries exits, the others
+// would get other targets all over the data centre.
 #[test]
-fn few_targets_change_hands_when_an_entry_goes() {
+fn few_targets_change_owner_when_an_entry_leaves() {
     let (members, targets) = fleet(50, 190);
 
     let before = preferences(&members, &targets, 0.0);
@@ -133,10 +133,10 @@
     assert!(moved.sum::<usize>() <= 190 / DATA_CENTRES / 2);
 }
 
-// Symptom: the entries of a data centre with twice the callers queue there, while half
-// of the targets elsewhere are idle. Cause: parts that end at the data centre.
+// Guards against arcs that end at the data centre: the entries of one with twice the callers would
+// queue requests while half of the targets elsewhere are idle.
 #[test]
-fn a_data_centre_short_of_targets_gets_parts_elsewhere() {
+fn a_data_centre_short_of_targets_gets_arcs_elsewhere() {
     let (mut members, targets) = fleet(50, 190);
     members.retain(|member| &*member.data_centre != "dc-1");
     for member in &mut members {
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn an_entry_that_knows_nobody_owns_everything_at_home() {
+fn a_lone_entry_owns_all_targets_of_its_data_centre() {
     let (members, targets) = fleet(1, 15);
 
     let preferences = preferences(&members, &targets, 3.0);
-    let at_home = targets.iter().zip(&preferences[0].targets);
-    let mut at_home = at_home.filter(|(target, _)| &*target.data_centre == "dc-0");
+    let own_targets = targets.iter().zip(&preferences[0].targets);
+    let mut own_targets = own_targets.filter(|(target, _)| &*target.data_centre == "dc-0");
 
-    assert!(at_home.all(|(_, it)| it.is_owned && it.penalty <= 0.0));
+    assert!(own_targets.all(|(_, it)| it.is_owned && it.penalty <= 0.0));
     assert!((preferences[0].share - 1.0).abs() < 1e-9);
 }
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn unknown_demands_are_taken_to_be_usual() {
+fn unknown_demands_are_assumed_to_be_average() {
     let (mut members, targets) = fleet(50, 190);
     members[3].demand_per_s = None;
 
--- a/crates/traffic/tests/retry_after.rs
+++ b/crates/traffic/tests/retry_after.rs
@@ -1,19 +1,19 @@
-//! When refused callers are told to come back.
+//! When refused callers should retry.
 
 use berylhook_traffic::retry_after::{RetryReason, retry_after_ms};
 
-/// Times that many callers with `left_ms` are told, shortest first.
-fn times(left_ms: u64, back: RetryReason) -> Vec<u64> {
-    let told = (0..10_000_u64).map(|random| retry_after_ms(left_ms, back, random * 7_919));
-    let mut times: Vec<u64> = told.collect();
+/// Retry times for many callers with `left_ms`, in ascending order.
+fn times(left_ms: u64, reason: RetryReason) -> Vec<u64> {
+    let retry_times = (0..10_000_u64).map(|random| retry_after_ms(left_ms, reason, random * 7_919));
+    let mut times: Vec<u64> = retry_times.collect();
     times.sort_unstable();
     times
 }
 
-// Symptom: callers that were refused in one moment come back in one moment and are
-// refused for good. Sequence: a burst. Cause: all were told the same time.
+// Guards against callers that are refused for good after a burst: those that are refused at the
+// same moment and get the same retry time come back at the same moment.
 #[test]
-fn refused_callers_come_back_spread_over_the_life_of_a_generation() {
+fn retries_are_spread_over_the_duration_of_a_generation() {
     let times = times(8_000, RetryReason::Busy);
 
     let (first, middle, last) = (times[0], times[5_000], times[9_999]);
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn callers_of_a_service_that_is_down_come_back_later() {
+fn retries_to_a_service_that_is_down_come_later() {
     let times = times(8_000, RetryReason::Down);
 
     assert!(times[0] >= 1_000 && times[9_999] <= 2_000);
 }
 
 #[test]
-fn a_caller_without_time_is_told_a_time_all_the_same() {
+fn a_caller_without_time_left_gets_the_minimum() {
     assert_eq!(times(0, RetryReason::Busy)[9_999], 20);
 }
--- a/crates/traffic/tests/sharing.rs
+++ b/crates/traffic/tests/sharing.rs
@@ -1,17 +1,17 @@
-//! Many entries that share many targets, played on the model of a group.
+//! Many entries that share many targets, simulated with the group model.
 
 use berylhook_test_support::group_model::{Scenario, play_all};
 use berylhook_traffic::configuration::EngineModel;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// Entries' parts of the traffic: connections are spread by a hash of the caller, so
-/// one entry has three times what another has.
-fn uneven(entry: usize, _second: u64) -> f64 {
+/// Each entry's share of the traffic. Connections are distributed by a hash of the caller, so one
+/// entry gets three times as much traffic as another.
+fn uneven_weight(entry: usize, _second: u64) -> f64 {
     [0.3, 0.5, 0.65, 0.85, 1.0][entry * 7 % 5]
 }
 
-/// Half of the slots of 192 ranks in use, by way of fifty entries.
+/// Fifty entries use half of the slots of 192 ranks.
 fn scenario(seed: u64) -> Scenario {
     Scenario {
         engine: EngineModel {
@@ -28,7 +28,7 @@
         ranks: 192,
         entries: 50,
         data_centres: 5,
-        weight: uneven,
+        weight: uneven_weight,
         know_each_other: true,
         arrivals_per_s: |_| 550.0,
         skew: |_| 1.2,
@@ -40,68 +40,70 @@
     }
 }
 
-// Symptom: with half of all slots free, a sixth of the streams wait at a target and
-// some are rejected there. Sequence: each of fifty entries has a few streams and puts
-// each at another target. Cause: what fifty entries choose independently falls on some
-// targets four times as often as on the mean.
+// Guards against targets that are chosen independently: each of fifty entries spreads its few
+// streams evenly, some targets get four times the mean by chance, and although half of all slots
+// are free, a sixth of the streams are queued at a target and some are rejected there.
 #[test]
-fn nobody_queues_at_one_target_while_another_is_idle() {
-    let alone = |seed| Scenario {
+fn requests_do_not_queue_at_one_target_while_another_is_idle() {
+    let without_membership = |seed| Scenario {
         know_each_other: false,
         ..scenario(seed)
     };
 
-    let before = play_all(&SEEDS, alone);
+    let baseline = play_all(&SEEDS, without_membership);
     let tally = play_all(&SEEDS, scenario);
 
-    assert!(tally.queued * 5 < before.queued, "{tally:?} {before:?}");
+    assert!(tally.queued * 5 < baseline.queued, "{tally:?} {baseline:?}");
     assert!(tally.in_goal_part() > 0.97, "{tally:?}");
 }
 
-// Symptom: a rolling restart of all entries leaves callers waiting or refused although
-// places are free. Sequence: an entry is gone for two seconds, its callers come to the
-// others, which know of it a second late. Cause: targets whose owner is gone are used
-// by nobody where arcs are fixed.
+// Guards against fixed arcs, which leave the targets of an absent owner unused. In a rolling
+// restart an entry is absent for two seconds; its callers go to other entries, which learn of it a
+// second late, and would be queued or refused although slots are free.
 #[test]
-fn a_rolling_restart_leaves_no_part_of_the_targets_unused() {
+fn a_rolling_restart_leaves_no_targets_unused() {
     let rolling = |seed| Scenario {
         weight: |entry, second| {
             let is_away = (second * 7 + 50 - entry as u64 % 50) % 50 < 12;
-            if is_away { 0.0 } else { uneven(entry, second) }
+            if is_away {
+                0.0
+            } else {
+                uneven_weight(entry, second)
+            }
         },
         ..scenario(seed)
     };
-    let alone = |seed| Scenario {
+    let without_membership = |seed| Scenario {
         know_each_other: false,
         ..rolling(seed)
     };
 
-    let before = play_all(&SEEDS, alone);
+    let baseline = play_all(&SEEDS, without_membership);
     let tally = play_all(&SEEDS, rolling);
 
-    assert!(tally.queued * 2 < before.queued, "{tally:?} {before:?}");
+    assert!(tally.queued * 2 < baseline.queued, "{tally:?} {baseline:?}");
     assert!(tally.in_goal_part() > 0.95, "{tally:?}");
 }
 
-// Symptom: the entries of a data centre with more callers than targets queue while
-// other data centres have room. Cause: parts that end at the data centre.
+// Guards against arcs that end at the data centre: the entries of one with more callers than
+// targets would queue requests while other data centres have free slots.
 #[test]
 fn a_data_centre_short_of_targets_uses_those_of_others() {
-    let lopsided = |seed| Scenario {
+    let one_data_centre_overloaded = |seed| Scenario {
         weight: |entry, second| {
             let factor = if entry % 5 == 0 { 1.0 } else { 0.25 };
-            factor * uneven(entry, second)
+            factor * uneven_weight(entry, second)
         },
         ..scenario(seed)
     };
-    let alone = |seed| Scenario {
+    let without_membership = |seed| Scenario {
         know_each_other: false,
-        ..lopsided(seed)
+        ..one_data_centre_overloaded(seed)
     };
 
-    let before = play_all(&SEEDS, alone);
-    let tally = play_all(&SEEDS, lopsided);
+    let baseline = play_all(&SEEDS, without_membership);
+    let tally = play_all(&SEEDS, one_data_centre_overloaded);
 
-    assert!(tally.queued * 2 < before.queued, "{tally:?} {before:?}");
+    assert!(tally.queued * 2 < baseline.queued, "{tally:?} {baseline:?}");
     assert!(tally.in_goal_part() > 0.95, "{tally:?}");
 }
--- a/crates/traffic/tests/standstill.rs
+++ b/crates/traffic/tests/standstill.rs
@@ -1,5 +1,4 @@
-//! Groups that get no further with what they have: one of their ranks' VMs is frozen in
-//! mid-switch.
+//! Stalled groups: the VM of one rank freezes in the middle of a change of expert maps.
 
 use berylhook_core::time::MonoMs;
 use berylhook_traffic::configuration::EngineModel;
@@ -11,17 +10,17 @@
 const GROUPS: u16 = 2;
 const RANKS: u16 = 4;
 
-/// Callers give a stream up that brings no event for so long.
-const CALLERS_WAIT_MS: u64 = 2_000;
+/// Callers disconnect if a stream gets no event for this long.
+const CALLER_TIMEOUT_MS: u64 = 2_000;
 
-/// Time between two passes.
-const PASS_MS: u64 = 60;
+/// Interval between two forward passes.
+const PASS_INTERVAL_MS: u64 = 60;
 
-/// Time between two requests.
-const ARRIVALS_EVERY_MS: u64 = 20;
+/// Interval between two requests.
+const ARRIVAL_INTERVAL_MS: u64 = 20;
 
-/// Events of a stream.
-const EVENTS: u64 = 10;
+/// Events per stream.
+const EVENTS_PER_STREAM: u64 = 10;
 
 fn target(group: u16, rank: u16) -> Target {
     Target {
@@ -60,83 +59,85 @@
         typical_response_tokens: 96.0,
         experts: None,
     };
-    let news = (0..groups).map(|group| GroupUpdate {
+    let updates = (0..groups).map(|group| GroupUpdate {
         name: format!("g{group}").into(),
         engines: (0..RANKS).map(|rank| target(group, rank).address).collect(),
         is_open: true,
     });
     let mut dispatcher = Dispatcher::new(Membership::new(own, []), Some(&engine));
     dispatcher.set_targets(targets(groups).iter());
-    let news = EngineUpdate {
-        groups: news.collect(),
+    let updates = EngineUpdate {
+        groups: updates.collect(),
         ..EngineUpdate::default()
     };
-    dispatcher.set_engine_update(&news, MonoMs(0));
+    dispatcher.set_engine_update(&updates, MonoMs(0));
     dispatcher
 }
 
-struct Run {
+struct RunningRequest {
     target: Target,
     began_ms: u64,
     events: u64,
 }
 
-/// A service of groups of which the first stands still for a while.
-struct Play {
+/// Simulates a service whose first group stalls for a while.
+struct Simulation {
     dispatcher: Dispatcher,
-    runs: Vec<Run>,
-    still_ms: std::ops::Range<u64>,
-    /// When requests were sent to the first group.
+    runs: Vec<RunningRequest>,
+    stall_ms: std::ops::Range<u64>,
+    /// Times at which requests were sent to the first group.
     sent_ms: Vec<u64>,
     served: usize,
-    left: usize,
+    disconnected: usize,
 }
 
-impl Play {
-    fn new(groups: u16, still_ms: std::ops::Range<u64>) -> Self {
+impl Simulation {
+    fn new(groups: u16, stall_ms: std::ops::Range<u64>) -> Self {
         Self {
             dispatcher: dispatcher(groups),
             runs: Vec::new(),
-            still_ms,
+            stall_ms,
             sent_ms: Vec::new(),
             served: 0,
-            left: 0,
+            disconnected: 0,
         }
     }
 
     fn run(&mut self, length_ms: u64) {
         for now_ms in (0..length_ms).step_by(20) {
-            if now_ms % PASS_MS == 0 {
+            if now_ms % PASS_INTERVAL_MS == 0 {
                 self.pass(now_ms);
             }
-            self.give_up(now_ms);
-            if now_ms % ARRIVALS_EVERY_MS == 0 {
-                self.arrive(now_ms);
+            self.disconnect_waiting(now_ms);
+            if now_ms % ARRIVAL_INTERVAL_MS == 0 {
+                self.submit_request(now_ms);
             }
         }
     }
 
-    fn arrive(&mut self, now_ms: u64) {
-        let wish = PlacementRequest {
+    fn submit_request(&mut self, now_ms: u64) {
+        let request = PlacementRequest {
             urgency: 1,
             wait_limit_ms: 200,
             late_wait_limit_ms: 1_500,
             on_time_until_ms: MonoMs(now_ms + 200),
         };
         let ticket = Ticket(now_ms);
-        let arrival = self.dispatcher.submit(ticket, wish, now_ms, MonoMs(now_ms));
-        match arrival {
-            SubmitOutcome::Placed(target) => self.begin(target, now_ms),
+        let outcome = self
+            .dispatcher
+            .submit(ticket, request, now_ms, MonoMs(now_ms));
+        match outcome {
+            SubmitOutcome::Placed(target) => self.start(target, now_ms),
             SubmitOutcome::Queued => self.dispatcher.cancel(ticket),
             SubmitOutcome::Refused => {}
         }
     }
 
-    fn begin(&mut self, target: Target, now_ms: u64) {
-        if is_in_first(&target) {
+    fn start(&mut self, target: Target, now_ms: u64) {
+        if is_in_first_group(&target) {
             self.sent_ms.push(now_ms);
         }
-        self.runs.push(Run {
+        self.runs.push(RunningRequest {
             target,
             began_ms: now_ms,
             events: 0,
@@ -144,28 +145,28 @@
     }
 
     fn pass(&mut self, now_ms: u64) {
-        let is_still = self.still_ms.contains(&now_ms);
+        let is_stalled = self.stall_ms.contains(&now_ms);
         for run in &mut self.runs {
-            if !(is_still && is_in_first(&run.target)) {
+            if !(is_stalled && is_in_first_group(&run.target)) {
                 run.events += 1;
-                let of = &run.target.incarnation;
-                self.dispatcher.on_stream_event(of, MonoMs(now_ms));
+                let incarnation = &run.target.incarnation;
+                self.dispatcher.on_stream_event(incarnation, MonoMs(now_ms));
             }
         }
-        self.served += self.end(now_ms, |run| run.events >= EVENTS);
+        self.served += self.remove_ended(now_ms, |run| run.events >= EVENTS_PER_STREAM);
     }
 
-    fn give_up(&mut self, now_ms: u64) {
-        self.left += self.end(now_ms, |run| {
-            run.events == 0 && now_ms - run.began_ms >= CALLERS_WAIT_MS
+    fn disconnect_waiting(&mut self, now_ms: u64) {
+        self.disconnected += self.remove_ended(now_ms, |run| {
+            run.events == 0 && now_ms - run.began_ms >= CALLER_TIMEOUT_MS
         });
     }
 
-    fn end(&mut self, now_ms: u64, has_ended: impl Fn(&Run) -> bool) -> usize {
-        let ended: Vec<Run> = self.runs.extract_if(.., |run| has_ended(run)).collect();
+    fn remove_ended(&mut self, now_ms: u64, has_ended: impl Fn(&RunningRequest) -> bool) -> usize {
+        let ended: Vec<RunningRequest> = self.runs.extract_if(.., |run| has_ended(run)).collect();
         for run in &ended {
-            let of = &run.target.incarnation;
-            self.dispatcher.release(of, None, MonoMs(now_ms));
+            let incarnation = &run.target.incarnation;
+            self.dispatcher.release(incarnation, None, MonoMs(now_ms));
         }
         ended.len()
     }
@@ -176,77 +177,81 @@
     }
 }
 
-fn is_in_first(target: &Target) -> bool {
+fn is_in_first_group(target: &Target) -> bool {
     target.id().starts_with("g0")
 }
 
-// Guards against requests that are sent to a group which stands still, and wait there until
-// their callers give up.
+// Guards against requests that are sent to a stalled group and wait there until their callers give
+// up.
 #[test]
-fn nothing_is_sent_to_a_group_that_stands_still() {
-    let mut play = Play::new(1, 2_000..6_000);
-
-    play.run(6_000);
-
-    assert_eq!(play.sent_within(2_500..3_900), 0);
-    // Where nothing is left there that could tell, one request at a time finds out.
-    assert!(play.sent_within(3_900..6_000) <= 3, "{:?}", play.sent_ms);
+fn a_stalled_group_gets_no_requests() {
+    let mut simulation = Simulation::new(1, 2_000..6_000);
+
+    simulation.run(6_000);
+
+    assert_eq!(simulation.sent_within(2_500..3_900), 0);
+    // Once no request is left there that would show progress, one at a time probes the group.
+    assert!(
+        simulation.sent_within(3_900..6_000) <= 3,
+        "{:?}",
+        simulation.sent_ms
+    );
 }
 
-// Guards against a group that stays unused after it has gone on.
+// Guards against a group that stays unused after it has resumed.
 #[test]
-fn a_group_that_goes_on_is_used_again_at_once() {
-    let mut play = Play::new(1, 2_000..3_500);
+fn a_resumed_group_is_used_again_at_once() {
+    let mut simulation = Simulation::new(1, 2_000..3_500);
 
-    play.run(6_000);
+    simulation.run(6_000);
 
-    let sent = play.sent_within(3_600..6_000);
+    let sent = simulation.sent_within(3_600..6_000);
     assert!(sent >= 100, "{sent} of 120");
 }
 
-// Guards against a service that is given up since one of its groups stands still.
+// Guards against a service that is considered down because one of its groups is stalled.
 #[test]
-fn other_groups_take_the_requests_of_one_that_stands_still() {
-    let mut play = Play::new(GROUPS, 2_000..4_000);
+fn other_groups_take_the_requests_of_a_stalled_one() {
+    let mut simulation = Simulation::new(GROUPS, 2_000..4_000);
 
-    play.run(4_000);
+    simulation.run(4_000);
 
-    assert_eq!(play.sent_within(2_500..4_000), 0);
-    assert!(play.served >= 150, "{}", play.served);
-    assert!(!play.dispatcher.is_down());
+    assert_eq!(simulation.sent_within(2_500..4_000), 0);
+    assert!(simulation.served >= 150, "{}", simulation.served);
+    assert!(!simulation.dispatcher.is_down());
 }
 
-// Guards against a group that is taken to stand still since it had nothing to do.
+// Guards against a group that is considered stalled because it had nothing to do.
 #[test]
-fn a_group_that_was_idle_does_not_stand_still() {
+fn an_idle_group_is_not_stalled() {
     let mut dispatcher = dispatcher(1);
-    let mut play = Play::new(1, 0..0);
-    play.run(1_000);
-    std::mem::swap(&mut dispatcher, &mut play.dispatcher);
-    for run in &play.runs {
+    let mut simulation = Simulation::new(1, 0..0);
+    simulation.run(1_000);
+    std::mem::swap(&mut dispatcher, &mut simulation.dispatcher);
+    for run in &simulation.runs {
         dispatcher.release(&run.target.incarnation, None, MonoMs(1_000));
     }
-    play.runs.clear();
-    play.dispatcher = dispatcher;
+    simulation.runs.clear();
+    simulation.dispatcher = dispatcher;
 
     for now_ms in [5_000, 5_020, 5_040] {
-        play.arrive(now_ms);
+        simulation.submit_request(now_ms);
     }
 
-    assert_eq!(play.sent_within(5_000..5_100), 3);
+    assert_eq!(simulation.sent_within(5_000..5_100), 3);
 }
 
-// Guards against callers that are told that the service is busy while all of it stands still.
+// Guards against callers being told that the service is busy while all of it is stalled.
 #[test]
-fn a_service_whose_only_group_stands_still_is_down_until_it_goes_on() {
-    let mut play = Play::new(1, 2_000..3_000);
-    play.run(2_600);
-    let was_down = play.dispatcher.is_down();
+fn a_service_is_down_while_its_only_group_is_stalled() {
+    let mut simulation = Simulation::new(1, 2_000..3_000);
+    simulation.run(2_600);
+    let was_down = simulation.dispatcher.is_down();
 
-    let goes_on = play
+    let has_resumed = simulation
         .dispatcher
-        .on_stream_event(&play.runs[0].target.incarnation, MonoMs(2_600));
+        .on_stream_event(&simulation.runs[0].target.incarnation, MonoMs(2_600));
 
-    assert_eq!((was_down, goes_on), (true, true));
-    assert!(!play.dispatcher.is_down());
+    assert_eq!((was_down, has_resumed), (true, true));
+    assert!(!simulation.dispatcher.is_down());
 }
--- a/crates/traffic/tests/stream.rs
+++ b/crates/traffic/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Events of a stream: none twice, none missing.
+//! Events of a stream are delivered exactly once.
 
 use berylhook_traffic::stream::Delivery::{self, Duplicate, Forward, Gap};
 use berylhook_traffic::stream::{StreamProgress, event_id};
@@ -11,27 +11,27 @@
     assert_eq!(event_id(b"id: none\n\n"), None);
 }
 
-// Symptom: a caller gets an event twice, or misses one, after a resumption.
-// Sequence: a target breaks off, the next begins too early or too late. Cause:
-// trusting the second target to begin where it was told to.
+// Guards against a caller that gets an event twice, or misses one, after a resumption: a target
+// breaks off, and the next one begins too early or too late, whatever event it was asked to begin
+// with.
 #[test]
-fn events_pass_once_and_a_gap_is_found() {
+fn events_are_delivered_once_and_gaps_are_detected() {
     let mut progress = StreamProgress::new(None);
 
-    let judged: Vec<_> = [1, 2, 2, 1, 3, 5]
+    let decisions: Vec<_> = [1, 2, 2, 1, 3, 5]
         .into_iter()
         .map(|id| progress.classify(Some(id)))
         .collect();
 
     assert_eq!(
-        judged,
+        decisions,
         [Forward, Forward, Duplicate, Duplicate, Forward, Gap]
     );
     assert_eq!(progress.resume_after(), Some(3));
 }
 
 #[test]
-fn a_caller_that_resumes_gets_only_what_it_lacks() {
+fn a_resuming_caller_gets_only_missing_events() {
     let mut progress = StreamProgress::new(Some(4));
 
     assert_eq!(progress.classify(Some(4)), Delivery::Duplicate);
