--- a/crates/traffic/src/concurrency.rs
+++ b/crates/traffic/src/concurrency.rs
@@ -1,4 +1,5 @@
-//! Adaptive limit on the generations that an entry runs at a group of engines.
+//! Adaptive limit on the generations that an entry, a front-end process, runs at a group of
+//! engines.
 //!
 //! All ranks of a group run each forward pass together, so one more generation anywhere makes the
 //! pass longer for all streams. There are two regimes: with short passes, streams end soon and few
@@ -47,8 +48,8 @@
 /// from 0.668 to 0.679.
 const MAX_INCREASE_FACTOR: f64 = 1.3;
 
-/// Queued requests at a target from which there is a standing queue, as a fraction of its running
-/// requests: one request per twelve. A single queued request may be chance, as entries do not know
+/// A queue counts as standing if more requests are queued at a target than this fraction of its
+/// running requests: one per twelve. A single queued request may be chance, as entries do not know
 /// of each other's placements.
 ///
 /// In simulations of 34 s each, the mean worth of the responses at one and a half times the load
@@ -133,7 +134,7 @@
         self.empty_pass_ms + self.per_generation_ms * generations
     }
 
-    /// Generations at an engine with which a pass takes that long.
+    /// Number of generations per engine at which a pass takes `pass_ms`.
     fn generations(&self, pass_ms: f64) -> f64 {
         let generations = (pass_ms - self.empty_pass_ms) / self.per_generation_ms;
         generations.clamp(0.0, self.slots)
--- a/crates/traffic/src/configuration.rs
+++ b/crates/traffic/src/configuration.rs
@@ -51,7 +51,7 @@
     pub prefix: Arc<str>,
     /// Whether requests may run more than once.
     pub retry_policy: RetryPolicy,
-    /// Longest time from the arrival of a request to the end of its response.
+    /// Longest time that a request is kept without its final response.
     pub timeout_ms: u64,
     /// Latency objective: a response (of a stream, its first event) within this time has its full
     /// worth to the caller.
@@ -148,7 +148,7 @@
 pub struct Service {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Largest number of connections to one target, over all entries.
+    /// Largest number of connections that one target accepts from all callers together.
     pub max_connections: u32,
     /// Path of the targets' health checks; `None` if the operator names none.
     pub health_path: Option<Arc<str>>,
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -1,9 +1,9 @@
 //! Known targets, their phases, and the order of two versions of the target list.
 //!
 //! The platform's store lists the targets under one revision counter. A version of the list is
-//! identified by the [`Position`] in the store's history at which it was read. An entry that cannot
-//! reach the store can therefore replace its whole list by a peer's if that has a later position,
-//! and never returns to an earlier one.
+//! identified by the [`Position`] in the store's history at which it was read. A process that
+//! cannot reach the store can therefore replace its whole list by a peer's if that has a later
+//! position, and never returns to an earlier one.
 //!
 //! A store that was restored from an older copy lists what was true seconds ago: targets that have
 //! registered since are missing, a target that was leaving reads as ready, and one that has left is
@@ -21,7 +21,7 @@
 //! [`STORE_RECOVERY_GRACE_MS`] of the store's return stays in use until the end of this grace
 //! period.
 //!
-//! Anyone who can write to the store can write under a target's key. An entry that the target
+//! Anyone who can write to the store can write under a target's key. A list entry that the target
 //! cannot have written takes the target out of use at once, whatever was known before; all other
 //! targets stay as they are. The target returns with its next valid entry. Three cases concern the
 //! start time of an incarnation:
@@ -65,7 +65,7 @@
 const START_OUTDATED: &str = "the start time is earlier than one that this target has reported; \
      the target's next heartbeat replaces the entry";
 
-/// An entry of the list that does not describe a target.
+/// A list entry that does not describe a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvalidEntry {
     /// The id under which the entry is listed.
@@ -150,7 +150,7 @@
     noticed_ms: MonoMs,
 }
 
-/// The author of an entry, judged by the start times that were reported under its id before.
+/// The author of a list entry, judged by the start times that were reported under its id before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Writer {
     /// The target, in the known incarnation or a later one.
--- a/crates/traffic/src/dispatch.rs
+++ b/crates/traffic/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Queueing, placement and refusal of the requests of one service.
+//! Queueing, placement and refusal of the requests of one service at an entry, which is a front-end
+//! process.
 //!
 //! A request is placed at once if a target has a free slot. Otherwise it is queued, more urgent
 //! requests first, for as long as queueing helps its caller: a caller that is refused early has
@@ -336,7 +337,7 @@
         SubmitOutcome::Queued
     }
 
-    /// Removes a request that no longer waits from the queue.
+    /// Removes a queued request whose caller no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
@@ -462,13 +463,14 @@
         self.targets.take_withheld_counts()
     }
 
-    /// State of the rate limits of targets that have one, or had one recently, for peers.
+    /// The rate-limit states that peers need: those of targets that have a rate limit, or had one
+    /// recently.
     #[must_use]
     pub fn limit_states(&self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
         self.targets.limit_states(now_ms)
     }
 
-    /// Like [`limit_states`](Self::limit_states), but restarts the count of the demand for permits.
+    /// Like [`limit_states`](Self::limit_states), but also resets the counts of requested permits.
     pub fn take_limit_states(&mut self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
         self.targets.take_limit_states(now_ms)
     }
@@ -486,7 +488,7 @@
         self.targets.admit(incarnation, now_ms)
     }
 
-    /// Drops a placed request before it was sent; [`release`](Self::release) must follow.
+    /// Cancels a placed request that was not sent; [`release`](Self::release) must follow.
     pub fn cancel_unsent(&mut self, incarnation: &Incarnation) {
         self.targets.cancel_unsent(incarnation);
     }
--- a/crates/traffic/src/dispatch/forecast.rs
+++ b/crates/traffic/src/dispatch/forecast.rs
@@ -31,7 +31,7 @@
 /// Counts for one part of the window.
 #[derive(Clone, Copy, Debug)]
 struct Slice {
-    began_ms: MonoMs,
+    started_ms: MonoMs,
     arrived: u32,
     placed: u32,
 }
@@ -62,16 +62,16 @@
     }
 
     fn slice(&mut self, now_ms: MonoMs) -> &mut Slice {
-        let is_current = |slice: &Slice| now_ms.since(slice.began_ms) < SLICE_MS;
+        let is_current = |slice: &Slice| now_ms.since(slice.started_ms) < SLICE_MS;
         if !self.slices.back().is_some_and(is_current) {
             self.slices.push_back(Slice {
-                began_ms: now_ms,
+                started_ms: now_ms,
                 arrived: 0,
                 placed: 0,
             });
         }
         while self.slices.front().is_some_and(|slice| {
-            let age_ms = now_ms.since(slice.began_ms);
+            let age_ms = now_ms.since(slice.started_ms);
             age_ms > WINDOW_MS
         }) {
             self.slices.pop_front();
--- a/crates/traffic/src/dispatch/outage.rs
+++ b/crates/traffic/src/dispatch/outage.rs
@@ -16,8 +16,8 @@
 
 use crate::engine_update::GroupUpdate;
 
-/// Interval between two probe requests to a group that refuses all requests. All entries send
-/// probes, and a group takes over half a second to form again.
+/// Interval between two probe requests to a group that refuses all requests. All front-end
+/// processes send probes, and a group takes over half a second to form again.
 const PROBE_INTERVAL_MS: u64 = 150;
 
 /// How long a leader's report that a group is closed holds without being repeated: leaders repeat
@@ -30,7 +30,7 @@
 /// A group's name; `None` for the targets of no known group.
 pub(super) type GroupName = Option<Arc<str>>;
 
-/// State of one group.
+/// Whether one group is down, and when it may be probed.
 #[derive(Debug, Default)]
 struct Outage {
     /// Time from which the next probe may be sent to a group that is down; `None` while it is up.
--- a/crates/traffic/src/dispatch/target_table.rs
+++ b/crates/traffic/src/dispatch/target_table.rs
@@ -34,7 +34,7 @@
     health: Health,
     /// Duration of its work as a multiple of the usual one; 1 or more.
     slowdown: f64,
-    /// Requests of other entries at the target, and when this was learnt.
+    /// Requests of other entries at the target, and the time of that report.
     others: Option<(u32, MonoMs)>,
     preference: Preference,
     /// Time of the last event on any stream from the target.
@@ -91,8 +91,7 @@
 /// The result of a search for a target.
 struct SearchResult {
     target: Option<Target>,
-    /// Index of the preferred target, if the request cannot go there as the target's admission gate
-    /// withholds it.
+    /// Index of the preferred target, if its admission gate withholds the request.
     withheld: Option<usize>,
 }
 
@@ -119,7 +118,8 @@
     running: u32,
     /// The groups of the targets.
     groups: IndexSet<GroupName>,
-    /// The fixed part of a target's work, expressed in requests.
+    /// The fixed duration of a target's work, in which no generation runs, expressed as a number of
+    /// requests.
     base_load: f64,
     /// Requests that could not go to their preferred target, by reason.
     withheld_counts: IndexMap<WithheldReason, u32>,
@@ -269,8 +269,8 @@
             .and_then(|state| state.group.clone())
     }
 
-    /// The number of targets in these groups, and the sum of their slots. The store's entries may
-    /// contain absurd slot counts, so the sum saturates.
+    /// The number of targets in the groups for which `includes` holds, and the sum of their slots.
+    /// A target may register an absurd slot count, so the sum saturates.
     pub(super) fn capacity_of(&self, includes: impl Fn(&GroupName) -> bool) -> (usize, u32) {
         let in_groups = self.states.values().filter(|state| includes(&state.group));
         let slots = in_groups.map(|state| state.target.slots);
@@ -285,8 +285,8 @@
         slowdowns.fold(1.0, f64::max)
     }
 
-    /// The sum of all targets' slots. The store's entries may contain absurd slot counts, so the
-    /// sum saturates.
+    /// The sum of all targets' slots. A target may register an absurd slot count, so the sum
+    /// saturates.
     pub(super) fn total_slots(&self) -> u32 {
         let slots = self.states.values().map(|state| state.target.slots);
         slots.fold(0, u32::saturating_add)
@@ -383,7 +383,8 @@
         std::mem::take(&mut self.withheld_counts)
     }
 
-    /// State of the rate limits of targets that have one, or had one recently, for peers.
+    /// The rate-limit states that peers need: those of targets that have a rate limit, or had one
+    /// recently.
     pub(super) fn limit_states(&self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
         let states = self.states.iter().filter_map(|(incarnation, state)| {
             let limit_state = state.gate.state(now_ms)?;
@@ -392,7 +393,7 @@
         states.collect()
     }
 
-    /// Like [`Self::limit_states`], but restarts the count of the demand for permits.
+    /// Like [`Self::limit_states`], but also resets the counts of requested permits.
     pub(super) fn take_limit_states(&mut self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
         let states = self.states.iter_mut().filter_map(|(incarnation, state)| {
             let limit_state = state.gate.take_state(now_ms)?;
@@ -415,7 +416,7 @@
         }
     }
 
-    /// Drops a placed request before it was sent.
+    /// Cancels a placed request that was not sent.
     pub(super) fn cancel_unsent(&mut self, incarnation: &Incarnation) {
         if let Some(state) = self.states.get_mut(incarnation) {
             state.gate.cancel_placement();
--- a/crates/traffic/src/dispatch/wait_queue.rs
+++ b/crates/traffic/src/dispatch/wait_queue.rs
@@ -35,7 +35,7 @@
         self.requests.insert(preceding, request);
     }
 
-    /// Removes a request that was placed or no longer waits.
+    /// Removes a request that was placed or cancelled.
     pub(super) fn remove(&mut self, ticket: Ticket) {
         self.requests.retain(|request| request.ticket != ticket);
     }
--- a/crates/traffic/src/health.rs
+++ b/crates/traffic/src/health.rs
@@ -3,7 +3,7 @@
 //! A target can fail its requests while its health checks succeed, so only the outcomes of the
 //! requests sent to it count. A target whose recent requests failed is ejected for a while, then
 //! tried again with one request at a time. Ejection is advice: if every target of a service is
-//! ejected, all are used, as an unhealthy target may still respond, while no target at all cannot.
+//! ejected, all are used, as an unhealthy target may still respond and is better than none.
 
 use berylhook_core::time::MonoMs;
 
--- a/crates/traffic/src/ownership.rs
+++ b/crates/traffic/src/ownership.rs
@@ -1,12 +1,12 @@
 //! Which targets an entry prefers, where many entries share many targets.
 //!
-//! An entry knows its own requests exactly, and little about those of other entries. If fifty
-//! entries each spread a few streams evenly over two hundred targets, some target gets by chance
-//! four times the mean: streams are queued or rejected there while most slots are free. So the
-//! targets are divided: each entry owns a subset whose size depends on its demand, spreads its
-//! requests evenly over that subset, and uses others only when its owned targets are clearly fuller
-//! than targets are on average. An entry with many requests per target needs no such subset and
-//! uses all targets evenly.
+//! An entry, a front-end process that sends requests to targets, knows its own requests exactly,
+//! and little about those of other entries. If fifty entries each spread a few streams evenly over
+//! two hundred targets, some target gets by chance four times the mean: streams are queued or
+//! rejected there while most slots are free. So the targets are divided: each entry owns a subset
+//! whose size depends on its demand, spreads its requests evenly over that subset, and uses others
+//! only when its owned targets are clearly fuller than targets are on average. An entry with many
+//! requests per target needs no such subset and uses all targets evenly.
 //!
 //! The targets of a data centre lie on a ring in the order of their ids, each as wide as the number
 //! of its slots. The entries divide the ring into arcs in the order of their hashed addresses, each
@@ -45,7 +45,8 @@
 /// centres is charged by the byte, and the nearest slots are mostly as good.
 const UNOWNED_REMOTE_PENALTY: f64 = 1.2;
 
-/// An entry spreads its requests over this many times the square root of their number.
+/// The number of targets over which an entry spreads its requests is this many times the square
+/// root of the number of requests.
 ///
 /// The load of a target varies for three reasons. If an entry uses its targets alone, its requests
 /// come and go together, which matters less the more targets it uses. Its demand is known only to
@@ -54,17 +55,17 @@
 /// the square root, few entries with many requests share nearly all targets, and many entries with
 /// few requests hardly overlap.
 ///
-/// In the model of a group, 53 entries with 192 engines of six slots meet the objective for 98.7%
-/// of the requests with a factor of 2 and for 99.1% with 4; 20 entries for 98.2% and 99.6%; 24
-/// entries with 72 engines of ten slots for 84.5% and 87.9%.
+/// In simulations with the group model, 53 entries with 192 engines of six slots meet the objective
+/// for 98.7% of the requests with a factor of 2 and for 99.1% with 4; 20 entries for 98.2% and
+/// 99.6%; 24 entries with 72 engines of ten slots for 84.5% and 87.9%.
 const SPREAD_FACTOR: f64 = 4.0;
 
 /// An entry with at least this many requests per target uses all targets evenly. The number of its
 /// requests at each target then varies less than the widths of arcs do.
 ///
-/// In the same model near capacity, 12 entries with 72 engines, which is about 0.4 requests per
-/// target, meet the objective for 94% of the requests with all targets and for 89% with arcs; 24
-/// entries, with 0.2 requests per target, for 80% and 89%.
+/// In the same simulations near capacity, 12 entries with 72 engines, which is about 0.4 requests
+/// per target, meet the objective for 94% of the requests with all targets and for 89% with arcs;
+/// 24 entries, with 0.2 requests per target, for 80% and 89%.
 const EVEN_SPREAD_THRESHOLD: f64 = 0.4;
 
 /// Smallest demand of an entry as a fraction of the mean, so that an entry without measured demand
@@ -163,9 +164,9 @@
 
     /// Distance of a point from the arc, in the shorter direction.
     fn distance(&self, point: f64) -> f64 {
-        let apart = (point - self.centre).abs();
-        let shorter = apart.min(1.0 - apart);
-        (shorter - self.width / 2.0).max(0.0)
+        let direct = (point - self.centre).abs();
+        let shortest = direct.min(1.0 - direct);
+        (shortest - self.width / 2.0).max(0.0)
     }
 }
 
--- a/crates/traffic/tests/stream.rs
+++ b/crates/traffic/tests/stream.rs
@@ -12,8 +12,7 @@
 }
 
 // Guards against a caller that gets an event twice, or misses one, after a resumption: a target
-// breaks off, and the next one begins too early or too late, whatever event it was asked to begin
-// with.
+// breaks off, and the next one begins too early or too late, although it was told where to begin.
 #[test]
 fn events_are_delivered_once_and_gaps_are_detected() {
     let mut progress = StreamProgress::new(None);
