--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -17,7 +17,7 @@
 //! | `items` | takes over the items that the store keeps |
 //! | `kept_holds` | what the store has of holds, and what a restore took from it |
 //! | `follow` | follows it, for a process that follows nothing else there |
-//! | `informed` | whether a process that has just started knows enough to serve |
+//! | `initial_sync` | whether a process that has just started knows enough to serve |
 //! | `messages` | what processes tell each other |
 //! | [`stored`] | what stands in the store |
 //!
@@ -27,7 +27,7 @@
 mod abandoned_runs;
 mod clearance;
 mod follow;
-mod informed;
+mod initial_sync;
 mod items;
 mod lost_requests;
 mod messages;
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -17,7 +17,7 @@
 
 use crate::QuarantineMetrics;
 use crate::abandoned_runs::Left;
-use crate::informed::Informed;
+use crate::initial_sync::Informed;
 use crate::lost_requests::{Losses, LostRequest, TargetIncarnation};
 use crate::probe::{AnyListener, Probe};
 use crate::replicator::Task;
