--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,54 +1,55 @@
-//! Which requests are held back because targets end under them.
+//! Decides which requests are quarantined because targets exit while running them.
 //!
-//! A request that crashes what runs it is a poison request, or query of death. It comes
-//! again under another id at another entry, and without a memory it is sent to the next
-//! sound target each time. A target runs several requests at once, so when it ends all of
-//! them are suspects and at most one is to blame.
+//! A request that crashes the process that runs it is a poison request, or query of death. Clients
+//! retry it under another id and through another entry, and without shared state each retry is sent
+//! to the next healthy target. A target runs several requests at once, so when it exits all of them
+//! are suspects and at most one is the cause.
 //!
-//! What is kept are facts that entries tell each other: which target ended, and with which
-//! requests ([`TargetExit`]), and which suspects a target has [survived](SurvivedRun). Facts are
-//! merged by union, so their order and number do not matter. What follows is derived from
-//! them, the same at each entry:
+//! The quarantine stores facts that entries exchange: which target exited, and which requests were
+//! running there ([`TargetExit`]), and which runs of suspects a target has [survived](SurvivedRun).
+//! Facts are merged by set union, so their order and duplicates do not matter. The status of a
+//! request is derived from the facts and is therefore the same at each entry:
 //!
-//! | Ends, less runs outlived since | [`QuarantineStatus`] | What it means |
+//! | Exits, less runs survived since | [`QuarantineStatus`] | Consequence |
 //! |---|---|---|
-//! | 0 | `Clear` | it goes like any other |
-//! | 1 | `Suspect` | one run at a time over all entries |
-//! | 2 | `OnTrial` | one such request at a time over the whole service |
-//! | 3 | `Held` | it is refused until its next trial is due |
+//! | 0 | `Clear` | no restriction |
+//! | 1 | `Suspect` | one run of this request at a time over all entries |
+//! | 2 | `OnTrial` | one run of any request on trial at a time over the whole service |
+//! | 3 | `Held` | rejected until its next trial is due |
 //!
-//! Serialized runs are what tells the guilty one from those that ended with it: a suspect
-//! that a target outlives is cleared within its own run time, so all but the guilty one
-//! fall away between two ends. Ends at which it did not run alone and that come together
-//! count as one: a request that many callers send is at every target all the time, and
-//! three that end in a row, within the time of one run, would hold all of these callers
-//! back for minutes.
+//! Serialized runs separate the poison request from the innocent requests that were at the same
+//! target: a suspect whose run the target survives is cleared within the duration of that run, so
+//! only the poison request remains a suspect between two exits. Several exits within a short time
+//! at which a request did not run alone count as one exit. Otherwise a request that many callers
+//! send, and that is therefore at every target all the time, would be held for minutes after any
+//! three exits within the duration of one run, and all of these callers would be rejected.
 //!
-//! Targets are also killed by what no request did, many at once. An end with others around
-//! it (see [`CORRELATION_WINDOW_MS`]) is doubtful; where most are, a request is held back only after
-//! [`CORRELATED_HOLD_THRESHOLD`] of them.
+//! Targets also exit for reasons that no request causes, often many at once. An exit that coincides
+//! with exits of other targets (see [`CORRELATION_WINDOW_MS`]) is weak evidence. If most exits of a
+//! request are of this kind, the request is held only after [`CORRELATED_HOLD_THRESHOLD`] of them.
 //!
-//! Where targets run in lock-step groups, one end stops a whole group for seconds. There two
-//! ends hold a request for [`GROUP_HOLD_MS`], if it is the only one that explains both (see
+//! Where targets run in lock-step groups, one exit stops a whole group for seconds. There two exits
+//! hold a request for [`GROUP_HOLD_MS`] if it is the only request that explains both (see
 //! [`Quarantine::status_in_group`]).
 //!
-//! A request is held only if it alone explains its ends. While another one that no target has
-//! outlived since was at all of them, both are on trial, and their runs tell them apart.
+//! A request is held only if no other request explains the same exits. While another request was at
+//! all of these exits and no target has survived a run of it since, both are on trial, and their
+//! own runs tell them apart.
 //!
-//! A request is never held for good. A trial is due after a while, at growing intervals,
-//! so that an engine that was mended lets it through again.
+//! A request is never held forever. A trial becomes due after a delay, which grows with each failed
+//! trial, so that a request is accepted again once the engine is fixed.
 //!
-//! | Part | Job |
+//! | Module | Contents |
 //! |---|---|
-//! | `facts` | what processes tell each other |
-//! | `derive` | what follows from them |
-//! | `explain` | whether one request alone explains its ends |
-//! | `hold` | what is kept of a request that is held back, and when its trials are due |
-//! | `bounds` | what is forgotten |
+//! | `facts` | the facts that processes exchange |
+//! | `derive` | the status that follows from the facts |
+//! | `explain` | whether a request is the only one that explains its exits |
+//! | `hold` | the stored hold of a request, and when its trials are due |
+//! | `bounds` | expiry and eviction |
 //!
-//! Not covered: a request under which targets end only now and then is cleared in between;
-//! a request that takes its whole VM down looks like a loss of power, which is laid to
-//! nobody.
+//! Limitations: a request that makes targets exit only occasionally is cleared between exits. A
+//! request that takes down its whole VM looks like a loss of power, which is attributed to no
+//! request.
 
 mod bounds;
 mod derive;
@@ -66,48 +67,51 @@
 use crate::digest::RequestDigest;
 use crate::time::{MonoMs, WallMs};
 
-/// Ends after which a request is held, if enough of them stand alone. Two may be chance: of
-/// sixteen targets the second to end runs a former neighbour of the guilty request often
-/// enough.
+/// Number of exits after which a request is held, if enough of them are uncorrelated. Two exits may
+/// be coincidence: with sixteen targets, the second target to exit often runs a request that was
+/// also at the first one.
 pub const HOLD_THRESHOLD: usize = 3;
 
-/// How long two ends hold a request that stops a group with each: a trial stops a group for
-/// four seconds, and two ends may be chance, so it is longer than that and shorter than the
-/// wait after three.
+/// Duration of the hold after two exits that each stopped a group. A failed trial stops a group for
+/// four seconds, and two exits may be coincidence, so this is longer than such an outage and
+/// shorter than the delay after three exits.
 pub const GROUP_HOLD_MS: u64 = 60_000;
 
-/// Ends after which a request is held even if others ended beside each of them.
+/// Number of exits after which a request is held even if each of them coincides with exits of other
+/// targets.
 pub const CORRELATED_HOLD_THRESHOLD: usize = 5;
 
-/// Ends within this time of each other are taken to have one cause: a loss of power or a
-/// kill hits its targets within a second, and each entry notices in its own time.
+/// Exits within this time of each other are assumed to have a common cause. A loss of power or a
+/// kill stops its targets within a second, and each entry detects the exits at its own time.
 pub const CORRELATION_WINDOW_MS: u64 = 1_000;
 
-/// A fact counts for this long. Callers that repeat a request do so within minutes, and
-/// the platform's longest lease, by which facts are kept, is as long.
+/// Lifetime of a fact. Callers retry a request within minutes, and the store's longest lease, which
+/// limits how long it keeps facts, has the same duration.
 pub const FACT_TTL_MS: u64 = 600_000;
 
-/// Suspects of one end: more than a large target runs and queues for all entries together.
-const MOST_SUSPECTS: usize = 64;
+/// Maximum number of suspects of one exit: more than a large target runs and queues for all entries
+/// together.
+const MAX_SUSPECTS_PER_EXIT: usize = 64;
 
-/// What may be done with a request.
+/// The restriction that applies to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It goes like any other.
+    /// No restriction.
     Clear,
-    /// One target ended with it: one run at a time.
+    /// One target exited while running the request: one run of it at a time.
     Suspect,
-    /// Two did, or its next trial is due: one such run at a time in its service.
+    /// Two targets exited, or the next trial is due: one run of any request on trial at a time in
+    /// the service.
     OnTrial,
-    /// It is refused.
+    /// The request is rejected.
     Held {
-        /// Time until its next trial; `None` if an operator has to lift it.
+        /// Time until the next trial; `None` if the hold ends only when an operator lifts it.
         retry_after_ms: Option<u64>,
     },
 }
 
 impl QuarantineStatus {
-    /// The name in logs.
+    /// Name of the status in log lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -119,130 +123,133 @@
     }
 }
 
-/// What is known of one request under which targets ended.
+/// The evidence about one request.
 #[derive(Clone, Debug, Default)]
-struct Record {
-    /// The targets that ended with it, and whether it ran alone there.
-    ends: IndexMap<Arc<str>, bool>,
-    /// Runs of it that their targets outlived.
-    outlived: IndexMap<Arc<str>, MonoMs>,
-    hold: Option<LearntHold>,
+struct RequestRecord {
+    /// Targets that exited while running the request, and whether it ran alone there.
+    exits: IndexMap<Arc<str>, bool>,
+    /// Runs of the request that the target survived, with the time at which each run ended.
+    survived_runs: IndexMap<Arc<str>, MonoMs>,
+    hold: Option<ReceivedHold>,
 }
 
-impl Record {
-    /// Whether nothing counts against it.
-    fn is_idle(&self) -> bool {
-        self.ends.is_empty() && self.hold.is_none()
+impl RequestRecord {
+    /// Whether there is neither an exit nor a hold for this request.
+    fn has_no_evidence(&self) -> bool {
+        self.exits.is_empty() && self.hold.is_none()
     }
 
-    /// Whether only runs are known that targets outlived: news of an end may be on its way.
-    fn is_early(&self) -> bool {
-        self.is_idle() && !self.outlived.is_empty()
+    /// Whether only survived runs are known. The report of an exit may still be on its way.
+    fn has_only_survived_runs(&self) -> bool {
+        self.has_no_evidence() && !self.survived_runs.is_empty()
     }
 }
 
 #[derive(Clone, Debug)]
-struct LearntHold {
+struct ReceivedHold {
     hold: Hold,
-    learnt_ms: MonoMs,
+    received_ms: MonoMs,
 }
 
 #[derive(Clone, Debug)]
-struct EndRecord {
+struct ExitRecord {
     at_ms: MonoMs,
-    /// The requests, and whether each ran alone.
+    /// The requests at the target, and whether each ran alone.
     suspects: IndexMap<RequestDigest, bool>,
 }
 
-/// The requests under which targets ended.
+/// The facts and holds that one process knows, and the status that follows for each request.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    ends: IndexMap<Arc<str>, EndRecord>,
-    requests: IndexMap<RequestDigest, Record>,
+    exits: IndexMap<Arc<str>, ExitRecord>,
+    requests: IndexMap<RequestDigest, RequestRecord>,
 }
 
 impl Quarantine {
-    /// Whether nothing is suspected, so that no request needs a digest.
+    /// Whether no request is suspected or held, so that no digest has to be computed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.requests.values().all(Record::is_early)
+        self.requests
+            .values()
+            .all(RequestRecord::has_only_survived_runs)
     }
 
-    /// Takes up that a target ended; returns the suspects that are new to this end.
-    pub fn on_exit(&mut self, end: &TargetExit) -> Vec<RequestDigest> {
-        let known = self.ends.entry(Arc::clone(&end.target));
-        let record = known.or_insert_with(|| EndRecord {
-            at_ms: end.at_ms,
+    /// Merges a target's exit; returns the suspects that are new for this exit.
+    pub fn on_exit(&mut self, exit: &TargetExit) -> Vec<RequestDigest> {
+        let entry = self.exits.entry(Arc::clone(&exit.target));
+        let record = entry.or_insert_with(|| ExitRecord {
+            at_ms: exit.at_ms,
             suspects: IndexMap::new(),
         });
-        // The first to notice was the nearest to it.
-        record.at_ms = record.at_ms.min(end.at_ms);
-        let mut fresh = Vec::new();
-        for suspect in &end.suspects {
+        // The earliest report is the closest to the actual exit.
+        record.at_ms = record.at_ms.min(exit.at_ms);
+        let mut new_suspects = Vec::new();
+        for suspect in &exit.suspects {
             let is_known = record.suspects.contains_key(&suspect.digest);
-            if !is_known && record.suspects.len() >= MOST_SUSPECTS {
+            if !is_known && record.suspects.len() >= MAX_SUSPECTS_PER_EXIT {
                 continue;
             }
             let ran_alone = record.suspects.entry(suspect.digest).or_default();
-            let is_news = !is_known || (suspect.ran_alone && !*ran_alone);
+            let is_new = !is_known || (suspect.ran_alone && !*ran_alone);
             *ran_alone |= suspect.ran_alone;
-            if is_news {
+            if is_new {
                 let request = self.requests.entry(suspect.digest).or_default();
-                request.ends.insert(Arc::clone(&end.target), *ran_alone);
-                fresh.push(suspect.digest);
+                request.exits.insert(Arc::clone(&exit.target), *ran_alone);
+                new_suspects.push(suspect.digest);
             }
         }
-        self.bound_ends();
-        fresh
+        self.evict_excess_exits();
+        new_suspects
     }
 
-    /// Takes up that a target outlived a suspect; returns whether that is news and it is
-    /// suspected here.
+    /// Merges a run that a target survived; returns whether the run is new and its request is
+    /// suspected in this process.
     ///
-    /// The news of its end may come later: messages are lost and told again. Were this one
-    /// forgotten meanwhile, the request would stay a suspect here alone, for ten minutes.
-    pub fn on_survived_run(&mut self, outlived: &SurvivedRun) -> bool {
-        let known = self.requests.get(&outlived.digest);
-        let is_suspect = known.is_some_and(|request| !request.is_idle());
-        let request = self.requests.entry(outlived.digest).or_default();
-        let is_news = !request.outlived.contains_key(&outlived.run);
-        let run = request.outlived.entry(Arc::clone(&outlived.run));
-        let at_ms = run.or_insert(outlived.at_ms);
-        *at_ms = (*at_ms).min(outlived.at_ms);
+    /// The run is stored even if no exit of the request is known yet, since messages are lost and
+    /// resent, and the report of the exit may arrive later. If the run were dropped, the request
+    /// would stay a suspect for ten minutes, in this process only.
+    pub fn on_survived_run(&mut self, survived: &SurvivedRun) -> bool {
+        let record = self.requests.get(&survived.digest);
+        let is_suspect = record.is_some_and(|request| !request.has_no_evidence());
+        let request = self.requests.entry(survived.digest).or_default();
+        let is_new = !request.survived_runs.contains_key(&survived.run);
+        let run = request.survived_runs.entry(Arc::clone(&survived.run));
+        let at_ms = run.or_insert(survived.at_ms);
+        *at_ms = (*at_ms).min(survived.at_ms);
         if !is_suspect {
-            self.bound_early();
+            self.evict_excess_early_records();
         }
-        is_suspect && is_news
+        is_suspect && is_new
     }
 
-    /// Takes up what the store or an operator says of a request; `None` takes it back.
+    /// Sets the hold that the store or an operator gives for a request; `None` removes it.
     pub fn on_hold(&mut self, digest: RequestDigest, hold: Option<Hold>, now_ms: MonoMs) {
         match hold {
             Some(hold) => {
                 let request = self.requests.entry(digest).or_default();
-                request.hold = Some(LearntHold {
+                request.hold = Some(ReceivedHold {
                     hold,
-                    learnt_ms: now_ms,
+                    received_ms: now_ms,
                 });
-                self.bound_holds();
+                self.evict_excess_holds();
             }
             None => {
                 if let Some(request) = self.requests.get_mut(&digest) {
                     request.hold = None;
                 }
-                self.drop_idle();
+                self.remove_idle_records();
             }
         }
     }
 
-    /// What the store or an operator says of a request.
+    /// The hold that the store or an operator gives for a request.
     #[must_use]
     pub fn hold(&self, digest: RequestDigest) -> Option<&Hold> {
-        let learnt = self.requests.get(&digest)?.hold.as_ref()?;
-        Some(&learnt.hold)
+        let received = self.requests.get(&digest)?.hold.as_ref()?;
+        Some(&received.hold)
     }
 
-    /// What may be done with the request now.
+    /// The status of the request at this time.
     #[must_use]
     pub fn status(
         &self,
@@ -253,33 +260,34 @@
         let Some(request) = self.requests.get(&digest) else {
             return QuarantineStatus::Clear;
         };
-        let kind = request.hold.as_ref().map(|learnt| learnt.hold.kind);
-        match (kind, self.derived(digest, request, now_ms)) {
+        let kind = request.hold.as_ref().map(|received| received.hold.kind);
+        match (kind, self.derived_status(digest, request, now_ms)) {
             (Some(HoldKind::Pinned), _) => QuarantineStatus::Held {
                 retry_after_ms: None,
             },
             (Some(HoldKind::Held), _) => {
-                let back_ms = request
+                let retry_after_ms = request
                     .hold
                     .as_ref()
-                    .map_or(0, |it| it.hold.retry_after_ms(wall_ms));
-                match back_ms {
+                    .map_or(0, |received| received.hold.retry_after_ms(wall_ms));
+                match retry_after_ms {
                     0 => QuarantineStatus::OnTrial,
                     _ => QuarantineStatus::Held {
-                        retry_after_ms: Some(back_ms),
+                        retry_after_ms: Some(retry_after_ms),
                     },
                 }
             }
-            (Some(HoldKind::Lifted) | None, derived) => derived,
+            (Some(HoldKind::Lifted) | None, derived_status) => derived_status,
         }
     }
 
-    /// The same where the end of a target stops a whole group.
+    /// The status of the request where the exit of a target stops a whole group.
     ///
-    /// A third end would cost all callers of a group some seconds; holding an innocent
-    /// request back costs its callers the time to its trial. So two ends suffice if no other
-    /// request explains both of them, and nothing else ended beside either. They do so too
-    /// where they came together: a request that all callers send is not the only one then.
+    /// A third exit would cost all callers of a group some seconds, whereas holding an innocent
+    /// request costs its callers the time until its trial. So two exits suffice if no other request
+    /// explains both of them and neither coincides with exits of other targets. This also applies
+    /// to two exits within a short time: a request that many callers send is not the only one that
+    /// explains them.
     #[must_use]
     pub fn status_in_group(
         &self,
@@ -287,51 +295,55 @@
         now_ms: MonoMs,
         wall_ms: WallMs,
     ) -> QuarantineStatus {
-        let standing = self.status(digest, now_ms, wall_ms);
+        let status = self.status(digest, now_ms, wall_ms);
         let request = self.requests.get(&digest);
-        match (standing, request) {
+        match (status, request) {
             (QuarantineStatus::Suspect | QuarantineStatus::OnTrial, Some(request))
                 if request.hold.is_none() =>
             {
-                self.held_as_sole_suspect(digest, request, now_ms)
-                    .unwrap_or(standing)
+                self.hold_as_sole_cause(digest, request, now_ms)
+                    .unwrap_or(status)
             }
-            _ => standing,
+            _ => status,
         }
     }
 
-    /// The targets that ended with the request.
+    /// The targets that exited while running the request.
     pub fn exits_of(&self, digest: RequestDigest) -> impl Iterator<Item = &Arc<str>> {
         let request = self.requests.get(&digest);
-        request.into_iter().flat_map(|request| request.ends.keys())
+        request.into_iter().flat_map(|request| request.exits.keys())
     }
 
-    /// Whether that target is known to have ended.
+    /// Whether the exit of this target is known.
     #[must_use]
     pub fn has_exited(&self, target: &str) -> bool {
-        self.ends.contains_key(target)
+        self.exits.contains_key(target)
     }
 
-    /// Requests that the facts hold back and the store does not know of, with what to
-    /// keep there.
+    /// Requests that the facts hold and for which the store has no hold yet, with the hold to
+    /// store.
     ///
-    /// Facts fade after minutes, and a loss of power takes them from all entries; what is
-    /// kept in the store lasts, and counts the trials that failed.
+    /// Facts expire after minutes, and a loss of power removes them from all entries. A stored hold
+    /// persists and counts the failed trials.
     #[must_use]
     pub fn unrecorded_holds(&self, now_ms: MonoMs, wall_ms: WallMs) -> Vec<(RequestDigest, Hold)> {
         let requests = self.requests.iter();
         requests
             .filter_map(|(digest, request)| {
-                let kept = request.hold.as_ref();
-                let hold = match kept.map(|learnt| learnt.hold.kind) {
+                let received = request.hold.as_ref();
+                let hold = match received.map(|received| received.hold.kind) {
                     Some(HoldKind::Pinned) => return None,
                     Some(HoldKind::Held) => {
-                        let kept = kept?;
-                        let newest_ms = self.newest(&self.counted_ends(request));
-                        kept.hold.after_trial(kept.learnt_ms, newest_ms, wall_ms)?
+                        let received = received?;
+                        let newest_ms = self.newest_exit_ms(&self.counted_exits(request));
+                        received.hold.after_failed_trial(
+                            received.received_ms,
+                            newest_ms,
+                            wall_ms,
+                        )?
                     }
                     Some(HoldKind::Lifted) | None => {
-                        let is_held = self.is_held_alone(*digest, request, now_ms);
+                        let is_held = self.is_held_as_sole_cause(*digest, request, now_ms);
                         is_held.then(|| Hold::new(HoldKind::Held, wall_ms))?
                     }
                 };
@@ -340,62 +352,67 @@
             .collect()
     }
 
-    /// Requests that the store keeps and nobody has asked for long after their trial was
-    /// due.
+    /// Requests whose stored hold has expired: nobody has sent the request for a long time after
+    /// its trial was due.
     #[must_use]
     pub fn expired_holds(&self, wall_ms: WallMs) -> Vec<RequestDigest> {
         let requests = self.requests.iter();
-        let held = requests.filter_map(|(digest, it)| Some((digest, it.hold.as_ref()?)));
-        held.filter(|(_, learnt)| learnt.hold.is_forgettable(wall_ms))
+        let with_hold =
+            requests.filter_map(|(digest, request)| Some((digest, request.hold.as_ref()?)));
+        with_hold
+            .filter(|(_, received)| received.hold.is_expired(wall_ms))
             .map(|(digest, _)| *digest)
             .collect()
     }
 
-    /// All facts that count, for an entry that may have missed some.
+    /// All unexpired facts, to be sent to an entry that may have missed some.
     #[must_use]
     pub fn facts(&self, now_ms: MonoMs) -> Facts {
-        let ends = self.ends.iter().map(|(target, end)| TargetExit {
+        let exits = self.exits.iter().map(|(target, exit)| TargetExit {
             target: Arc::clone(target),
-            at_ms: end.at_ms,
-            suspects: suspects_of(end),
+            at_ms: exit.at_ms,
+            suspects: exit_suspects(exit),
         });
         let requests = self.requests.iter();
-        let outlived = requests.flat_map(|(digest, request)| {
-            request.outlived.iter().map(|(run, at_ms)| SurvivedRun {
-                digest: *digest,
-                run: Arc::clone(run),
-                at_ms: *at_ms,
-            })
+        let survived_runs = requests.flat_map(|(digest, request)| {
+            request
+                .survived_runs
+                .iter()
+                .map(|(run, at_ms)| SurvivedRun {
+                    digest: *digest,
+                    run: Arc::clone(run),
+                    at_ms: *at_ms,
+                })
         });
-        Facts::new(ends.collect(), outlived.collect(), now_ms)
+        Facts::new(exits.collect(), survived_runs.collect(), now_ms)
     }
 
-    /// A summary of all facts: two entries whose summaries differ have something to tell
-    /// each other. Facts may come in any order, so the sum of their hashes stands for them.
+    /// A hash over all facts: two entries with different summaries have facts to exchange. The
+    /// summary is the sum of the hashes of the facts, so it does not depend on their order.
     #[must_use]
     pub fn summary(&self) -> u64 {
         let mut sum = 0_u64;
-        for (target, end) in &self.ends {
-            for (digest, ran_alone) in &end.suspects {
+        for (target, exit) in &self.exits {
+            for (digest, ran_alone) in &exit.suspects {
                 let weight = 1 + u64::from(*ran_alone);
                 let hash = fact_hash(target, *digest);
                 sum = sum.wrapping_add(hash.wrapping_mul(weight));
             }
         }
         for (digest, request) in &self.requests {
-            for run in request.outlived.keys() {
+            for run in request.survived_runs.keys() {
                 sum = sum.wrapping_add(fact_hash(run, *digest));
             }
         }
         sum
     }
 
-    /// Requests under suspicion, and requests that are held.
+    /// The number of suspected requests (including those on trial), and of held requests.
     #[must_use]
     pub fn counts(&self, now_ms: MonoMs, wall_ms: WallMs) -> (usize, usize) {
-        let standings = self.requests.keys();
-        let standings = standings.map(|digest| self.status(*digest, now_ms, wall_ms));
-        standings.fold((0, 0), |(suspects, held), standing| match standing {
+        let statuses = self.requests.keys();
+        let statuses = statuses.map(|digest| self.status(*digest, now_ms, wall_ms));
+        statuses.fold((0, 0), |(suspects, held), status| match status {
             QuarantineStatus::Clear => (suspects, held),
             QuarantineStatus::Suspect | QuarantineStatus::OnTrial => (suspects + 1, held),
             QuarantineStatus::Held { .. } => (suspects, held + 1),
@@ -403,8 +420,8 @@
     }
 }
 
-fn suspects_of(end: &EndRecord) -> Vec<Suspect> {
-    let suspects = end.suspects.iter().map(|(digest, ran_alone)| Suspect {
+fn exit_suspects(exit: &ExitRecord) -> Vec<Suspect> {
+    let suspects = exit.suspects.iter().map(|(digest, ran_alone)| Suspect {
         digest: *digest,
         ran_alone: *ran_alone,
     });
--- a/crates/core/src/quarantine/bounds.rs
+++ b/crates/core/src/quarantine/bounds.rs
@@ -1,88 +1,94 @@
-//! What is forgotten: facts that are too old, and the oldest where there are too many.
+//! Expiry of old facts, and eviction of the oldest entries when there are too many.
 
 use std::sync::Arc;
 
-use super::{FACT_TTL_MS, HoldKind, Quarantine, Record};
+use super::{FACT_TTL_MS, HoldKind, Quarantine, RequestRecord};
 use crate::time::MonoMs;
 
-/// Ends that are remembered. A fleet that loses more in ten minutes has other troubles;
-/// with the suspects below it bounds the memory at about a megabyte, and what entries
-/// tell each other at half of one.
-const MOST_ENDS: usize = 256;
+/// Maximum number of exits. A fleet that loses more targets in ten minutes has a larger problem
+/// than poison requests. Together with the maximum number of suspects per exit, this limits the
+/// memory to about a megabyte, and the messages between entries to half of one.
+const MAX_EXITS: usize = 256;
 
-/// Requests that are held. Each has cost three targets, so one account that means harm
-/// does not get there before it is noticed.
-const MOST_HOLDS: usize = 1_024;
+/// Maximum number of held requests. Each hold has cost three targets, so a malicious account is
+/// noticed before it reaches this number.
+const MAX_HOLDS: usize = 1_024;
 
-/// Requests of which only runs are known that targets outlived. All that ended with a dozen
-/// targets have room, and news of their ends is seconds behind.
-const MOST_EARLY: usize = 1_024;
+/// Maximum number of requests of which only survived runs are known. This suffices for all requests
+/// of a dozen exited targets, and the reports of their exits arrive within seconds.
+const MAX_EARLY_RECORDS: usize = 1_024;
 
 impl Quarantine {
-    /// Forgets facts that are too old to count.
+    /// Removes expired facts.
     pub fn expire_facts(&mut self, now_ms: MonoMs) {
         let is_fresh = |at_ms: MonoMs| now_ms.since(at_ms) < FACT_TTL_MS;
-        self.ends.retain(|_, end| is_fresh(end.at_ms));
+        self.exits.retain(|_, exit| is_fresh(exit.at_ms));
         for request in self.requests.values_mut() {
-            request.outlived.retain(|_, at_ms| is_fresh(*at_ms));
+            request.survived_runs.retain(|_, at_ms| is_fresh(*at_ms));
         }
-        self.drop_idle();
+        self.remove_idle_records();
     }
 
-    /// The oldest ends go first. What matters of them, who is held, is kept apart.
-    pub(super) fn bound_ends(&mut self) {
-        if self.ends.len() <= MOST_ENDS {
+    /// Evicts the oldest exit. Holds, which are the important consequence of exits, are stored
+    /// separately.
+    pub(super) fn evict_excess_exits(&mut self) {
+        if self.exits.len() <= MAX_EXITS {
             return;
         }
-        let oldest = self.ends.iter().min_by_key(|(_, end)| end.at_ms);
+        let oldest = self.exits.iter().min_by_key(|(_, exit)| exit.at_ms);
         let oldest = oldest.map(|(target, _)| Arc::clone(target));
-        let Some((target, end)) = oldest.and_then(|it| self.ends.swap_remove_entry(&it)) else {
+        let Some((target, exit)) = oldest.and_then(|target| self.exits.swap_remove_entry(&target))
+        else {
             return;
         };
-        for digest in end.suspects.into_keys() {
+        for digest in exit.suspects.into_keys() {
             let Some(request) = self.requests.get_mut(&digest) else {
                 continue;
             };
-            request.ends.swap_remove(&target);
-            if request.is_idle() {
+            request.exits.swap_remove(&target);
+            if request.has_no_evidence() {
                 self.requests.swap_remove(&digest);
             }
         }
     }
 
-    pub(super) fn bound_holds(&mut self) {
-        let is_held = |request: &Record| {
-            let kind = request.hold.as_ref().map(|it| it.hold.kind);
+    pub(super) fn evict_excess_holds(&mut self) {
+        let is_held = |request: &RequestRecord| {
+            let kind = request.hold.as_ref().map(|received| received.hold.kind);
             kind == Some(HoldKind::Held)
         };
-        let held = self.requests.iter().filter(|(_, it)| is_held(it));
+        let held = self.requests.iter().filter(|(_, request)| is_held(request));
         let (count, oldest) = held.fold((0, None), |(count, oldest), (digest, request)| {
-            let since = request.hold.as_ref().map(|it| it.hold.since);
-            let older = oldest.filter(|(known, _)| Some(*known) <= since);
+            let since = request.hold.as_ref().map(|received| received.hold.since);
+            let older = oldest.filter(|(oldest_since, _)| Some(*oldest_since) <= since);
             (count + 1, older.or(since.map(|since| (since, *digest))))
         });
-        if let (true, Some((_, digest))) = (count > MOST_HOLDS, oldest) {
+        if let (true, Some((_, digest))) = (count > MAX_HOLDS, oldest) {
             self.requests.swap_remove(&digest);
         }
     }
 
-    pub(super) fn drop_idle(&mut self) {
-        let ends = &self.ends;
+    pub(super) fn remove_idle_records(&mut self) {
+        let exits = &self.exits;
         self.requests.retain(|_, request| {
-            request.ends.retain(|end, _| ends.contains_key(end));
-            !request.is_idle() || request.is_early()
+            request.exits.retain(|exit, _| exits.contains_key(exit));
+            !request.has_no_evidence() || request.has_only_survived_runs()
         });
-        self.bound_early();
+        self.evict_excess_early_records();
     }
 
-    pub(super) fn bound_early(&mut self) {
-        let early = self.requests.values().filter(|it| it.is_early()).count();
-        let mut surplus = early.saturating_sub(MOST_EARLY);
+    pub(super) fn evict_excess_early_records(&mut self) {
+        let early = self
+            .requests
+            .values()
+            .filter(|request| request.has_only_survived_runs())
+            .count();
+        let mut surplus = early.saturating_sub(MAX_EARLY_RECORDS);
         if surplus == 0 {
             return;
         }
         self.requests.retain(|_, request| {
-            let is_dropped = surplus > 0 && request.is_early();
+            let is_dropped = surplus > 0 && request.has_only_survived_runs();
             surplus -= usize::from(is_dropped);
             !is_dropped
         });
--- a/crates/core/src/quarantine/derive.rs
+++ b/crates/core/src/quarantine/derive.rs
@@ -1,64 +1,68 @@
-//! What follows for a request from the facts alone.
+//! Derives the status of a request from the facts alone.
 
 use std::sync::Arc;
 
 use super::explain::Explanation;
 use super::{
     CORRELATED_HOLD_THRESHOLD, CORRELATION_WINDOW_MS, GROUP_HOLD_MS, Quarantine, QuarantineStatus,
-    Record, hold,
+    RequestRecord, hold,
 };
 use crate::digest::RequestDigest;
 use crate::time::MonoMs;
 
-/// Ends after which a request is on trial.
-const TRIAL_AT: usize = 2;
+/// Number of exits after which a request is on trial.
+const TRIAL_THRESHOLD: usize = 2;
 
-/// Ends of these that have to stand alone. One may be the guilty request's, with a neighbour
-/// that was at two targets that were killed.
-const ALONE_AT: usize = 2;
+/// Number of these exits that must be uncorrelated. One is not enough: it may be caused by the
+/// poison request, while the suspect ran beside it and also at two targets that were killed.
+const MIN_UNCORRELATED_EXITS: usize = 2;
 
-/// Ends of a request that did not run alone this soon after each other count as one: those
-/// runs began before their entries had heard of the first end, which takes some tens of
-/// milliseconds, more on a thin VM.
-const TOGETHER_MS: u64 = 250;
+/// Exits within this time of each other at which the request did not run alone count as one. The
+/// later runs began before their entries were notified of the first exit, which takes some tens of
+/// milliseconds, and longer on a VM with little CPU.
+const SIMULTANEOUS_WINDOW_MS: u64 = 250;
 
 impl Quarantine {
-    /// What follows from the facts alone.
-    pub(super) fn derived(
+    /// The status that follows from the facts alone.
+    pub(super) fn derived_status(
         &self,
         digest: RequestDigest,
-        request: &Record,
+        request: &RequestRecord,
         now_ms: MonoMs,
     ) -> QuarantineStatus {
-        let ends = self.counted_ends(request);
-        let counted = self.apart(request, &ends);
-        let net = self.net(&counted, request);
-        let alone = counted.iter().filter(|end| !self.is_crowded(end, digest));
-        match net {
+        let exits = self.counted_exits(request);
+        let counted = self.distinct_exits(request, &exits);
+        let net_exits = self.net_exits(&counted, request);
+        let uncorrelated = counted
+            .iter()
+            .filter(|exit| !self.is_correlated(exit, digest));
+        match net_exits {
             0 => QuarantineStatus::Clear,
             1 => QuarantineStatus::Suspect,
-            TRIAL_AT => QuarantineStatus::OnTrial,
-            _ if net < CORRELATED_HOLD_THRESHOLD && alone.count() < ALONE_AT => {
+            TRIAL_THRESHOLD => QuarantineStatus::OnTrial,
+            _ if net_exits < CORRELATED_HOLD_THRESHOLD
+                && uncorrelated.count() < MIN_UNCORRELATED_EXITS =>
+            {
                 QuarantineStatus::OnTrial
             }
-            _ => self.held_if_sole(digest, &ends, now_ms),
+            _ => self.status_at_threshold(digest, &exits, now_ms),
         }
     }
 
-    /// The standing of a request that enough ends speak against.
-    fn held_if_sole(
+    /// The status of a request with enough exits for a hold.
+    fn status_at_threshold(
         &self,
         digest: RequestDigest,
-        ends: &[&Arc<str>],
+        exits: &[&Arc<str>],
         now_ms: MonoMs,
     ) -> QuarantineStatus {
-        let waited_ms = now_ms.since(self.newest(ends));
-        let left_ms = hold::FIRST_WAIT_MS.saturating_sub(waited_ms);
-        match self.explanation(digest, ends, now_ms) {
+        let waited_ms = now_ms.since(self.newest_exit_ms(exits));
+        let left_ms = hold::FIRST_TRIAL_DELAY_MS.saturating_sub(waited_ms);
+        match self.explanation(digest, exits, now_ms) {
             _ if left_ms == 0 => QuarantineStatus::OnTrial,
             Explanation::Shared => QuarantineStatus::OnTrial,
-            Explanation::Open { known_in_ms } => QuarantineStatus::Held {
-                retry_after_ms: Some(known_in_ms),
+            Explanation::Undecided { resolved_in_ms } => QuarantineStatus::Held {
+                retry_after_ms: Some(resolved_in_ms),
             },
             Explanation::Sole => QuarantineStatus::Held {
                 retry_after_ms: Some(left_ms),
@@ -66,95 +70,108 @@
         }
     }
 
-    /// Whether the facts hold a request that surely alone explains its ends.
-    pub(super) fn is_held_alone(
+    /// Whether the facts hold the request and it is certain that no other request explains its
+    /// exits.
+    pub(super) fn is_held_as_sole_cause(
         &self,
         digest: RequestDigest,
-        request: &Record,
+        request: &RequestRecord,
         now_ms: MonoMs,
     ) -> bool {
-        let ends = self.counted_ends(request);
+        let exits = self.counted_exits(request);
         matches!(
-            self.derived(digest, request, now_ms),
+            self.derived_status(digest, request, now_ms),
             QuarantineStatus::Held { .. }
-        ) && self.explanation(digest, &ends, now_ms) == Explanation::Sole
+        ) && self.explanation(digest, &exits, now_ms) == Explanation::Sole
     }
 
-    /// The hold of a request that alone explains its ends; `None` if it does not, or its trial
-    /// is due.
-    pub(super) fn held_as_sole_suspect(
+    /// The `Held` status of a request where exits stop whole groups; `None` if it has too few net
+    /// exits, if one of them is correlated, if another request explains them as well, or if the
+    /// trial is due.
+    pub(super) fn hold_as_sole_cause(
         &self,
         digest: RequestDigest,
-        request: &Record,
+        request: &RequestRecord,
         now_ms: MonoMs,
     ) -> Option<QuarantineStatus> {
-        let ends = self.counted_ends(request);
-        let is_alone = ends.iter().all(|end| !self.is_crowded(end, digest));
-        let is_shared = self.explanation(digest, &ends, now_ms) == Explanation::Shared;
-        let left_ms = GROUP_HOLD_MS.checked_sub(now_ms.since(self.newest(&ends)))?;
-        let is_enough = self.net(&ends, request) >= TRIAL_AT;
-        let is_held = is_enough && is_alone && !is_shared && left_ms > 0;
+        let exits = self.counted_exits(request);
+        let is_uncorrelated = exits.iter().all(|exit| !self.is_correlated(exit, digest));
+        let is_shared = self.explanation(digest, &exits, now_ms) == Explanation::Shared;
+        let left_ms = GROUP_HOLD_MS.checked_sub(now_ms.since(self.newest_exit_ms(&exits)))?;
+        let reaches_threshold = self.net_exits(&exits, request) >= TRIAL_THRESHOLD;
+        let is_held = reaches_threshold && is_uncorrelated && !is_shared && left_ms > 0;
         is_held.then_some(QuarantineStatus::Held {
             retry_after_ms: Some(left_ms),
         })
     }
 
-    /// Ends less the runs outlived since. What was outlived before an end speaks for the
-    /// request no more: an engine's new version may end under what the former survived.
-    pub(super) fn net(&self, counted: &[&Arc<str>], request: &Record) -> usize {
-        let ends = counted.iter().filter_map(|end| self.ends.get(*end));
-        let ends = ends.map(|end| (end.at_ms, true));
-        let outlived = request.outlived.values().map(|at_ms| (*at_ms, false));
-        let mut events: Vec<(MonoMs, bool)> = ends.chain(outlived).collect();
-        // Of what happened in the same millisecond the end is taken for the later.
+    /// The number of exits, less the runs survived after each of them. A run that was survived
+    /// before an exit does not offset that exit: a new version of an engine may crash on a request
+    /// that the previous version survived.
+    pub(super) fn net_exits(&self, counted: &[&Arc<str>], request: &RequestRecord) -> usize {
+        let exits = counted.iter().filter_map(|exit| self.exits.get(*exit));
+        let exits = exits.map(|exit| (exit.at_ms, true));
+        let survived_runs = request.survived_runs.values().map(|at_ms| (*at_ms, false));
+        let mut events: Vec<(MonoMs, bool)> = exits.chain(survived_runs).collect();
+        // At equal times, survived runs (`false`) sort before exits (`true`), so the exit counts as
+        // later.
         events.sort();
-        events.into_iter().fold(0_usize, |net, (_, is_end)| {
-            if is_end {
-                net + 1
+        events.into_iter().fold(0_usize, |net_exits, (_, is_exit)| {
+            if is_exit {
+                net_exits + 1
             } else {
-                net.saturating_sub(1)
+                net_exits.saturating_sub(1)
             }
         })
     }
 
-    /// The ends that count against a request: those that no operator has lifted.
-    pub(super) fn counted_ends<'a>(&'a self, request: &'a Record) -> Vec<&'a Arc<str>> {
-        let lifted = request.hold.as_ref().map(|learnt| &learnt.hold.lifted);
-        let is_lifted = |end: &Arc<str>| lifted.is_some_and(|lifted| lifted.contains(end));
-        let ends = request.ends.keys();
-        ends.filter(|end| self.ends.contains_key(*end) && !is_lifted(end))
+    /// The exits that count against a request: those that no operator has lifted.
+    pub(super) fn counted_exits<'a>(&'a self, request: &'a RequestRecord) -> Vec<&'a Arc<str>> {
+        let lifted = request.hold.as_ref().map(|received| &received.hold.lifted);
+        let is_lifted = |exit: &Arc<str>| lifted.is_some_and(|lifted| lifted.contains(exit));
+        let exits = request.exits.keys();
+        exits
+            .filter(|exit| self.exits.contains_key(*exit) && !is_lifted(exit))
             .collect()
     }
 
-    /// Those ends that count one each: all at which the request ran alone, and the first of
-    /// those that came together.
-    pub(super) fn apart<'a>(&self, request: &Record, ends: &[&'a Arc<str>]) -> Vec<&'a Arc<str>> {
-        let ran_alone = |end: &Arc<str>| request.ends.get(end) == Some(&true);
-        let at_ms = |end: &Arc<str>| self.ends.get(end).map_or(MonoMs(0), |it| it.at_ms);
-        let mut sorted = ends.to_vec();
-        sorted.sort_by_key(|end| at_ms(end));
-        let mut last_among_others: Option<MonoMs> = None;
-        sorted.retain(|end| {
-            if ran_alone(end) {
+    /// The exits that count individually: all at which the request ran alone, and the first of
+    /// several within `SIMULTANEOUS_WINDOW_MS` at which it did not.
+    pub(super) fn distinct_exits<'a>(
+        &self,
+        request: &RequestRecord,
+        exits: &[&'a Arc<str>],
+    ) -> Vec<&'a Arc<str>> {
+        let ran_alone = |exit: &Arc<str>| request.exits.get(exit) == Some(&true);
+        let at_ms = |exit: &Arc<str>| {
+            self.exits
+                .get(exit)
+                .map_or(MonoMs(0), |record| record.at_ms)
+        };
+        let mut sorted = exits.to_vec();
+        sorted.sort_by_key(|exit| at_ms(exit));
+        let mut last_not_alone_ms: Option<MonoMs> = None;
+        sorted.retain(|exit| {
+            if ran_alone(exit) {
                 return true;
             }
-            let last = last_among_others.replace(at_ms(end));
-            last.is_none_or(|last| at_ms(end).since(last) > TOGETHER_MS)
+            let last = last_not_alone_ms.replace(at_ms(exit));
+            last.is_none_or(|last| at_ms(exit).since(last) > SIMULTANEOUS_WINDOW_MS)
         });
         sorted
     }
 
-    pub(super) fn newest(&self, ends: &[&Arc<str>]) -> MonoMs {
-        let times = ends.iter().filter_map(|end| self.ends.get(*end));
-        times.map(|end| end.at_ms).max().unwrap_or_default()
+    pub(super) fn newest_exit_ms(&self, exits: &[&Arc<str>]) -> MonoMs {
+        let records = exits.iter().filter_map(|exit| self.exits.get(*exit));
+        records.map(|exit| exit.at_ms).max().unwrap_or_default()
     }
 
-    /// Whether another target ended at the same time without the request.
-    fn is_crowded(&self, end: &Arc<str>, digest: RequestDigest) -> bool {
-        let Some(own) = self.ends.get(end) else {
+    /// Whether another target that did not run this request exited at about the same time.
+    fn is_correlated(&self, exit: &Arc<str>, digest: RequestDigest) -> bool {
+        let Some(own) = self.exits.get(exit) else {
             return false;
         };
-        let mut others = self.ends.values();
+        let mut others = self.exits.values();
         others.any(|other| {
             let apart_ms = other
                 .at_ms
--- a/crates/core/tests/quarantine_fleet.rs
+++ b/crates/core/tests/quarantine_fleet.rs
@@ -1,9 +1,9 @@
-//! A model of a fleet in which targets end, under a guilty request or without one: whom
-//! its entries hold back.
+//! Simulates a fleet in which targets exit, with or without a poison request, and checks which
+//! requests its entries reject.
 //!
-//! Entries hear each other late and not always; locks are those of one store, and whoever
-//! gets one reads there which targets ended. Time goes in steps, all that is random comes
-//! from a seed.
+//! Gossip between entries is delayed and sometimes lost. Locks are those of one store, and the
+//! holder of a lock reads there which targets have exited. Time advances in fixed steps, and all
+//! randomness comes from a seed.
 
 use std::collections::VecDeque;
 
@@ -18,23 +18,24 @@
 const TARGETS: usize = 16;
 const SLOTS: usize = 12;
 
-/// Time of an innocent run, until a caller's deadline, between two of its tries.
+/// Duration of an innocent run, a caller's deadline, and the delay between two attempts of a
+/// caller.
 const RUN_MS: u64 = 1_000;
 const DEADLINE_MS: u64 = 8_000;
-const AGAIN_MS: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 
-/// The guilty request ends its target this long after it began.
-const ENDS_AFTER_MS: u64 = 100;
+/// Time from the start of the poison request to the exit of its target.
+const TIME_TO_EXIT_MS: u64 = 100;
 
-/// A target is back after this long.
-const BACK_AFTER_MS: u64 = 4_000;
+/// Time until an exited target is available again.
+const RESTART_MS: u64 = 4_000;
 
-/// Facts reach a peer within this time, and one in five is lost until entries compare.
-const NEWS_WITHIN_MS: u64 = 100;
-const LOST_NEWS_PERCENT: u64 = 20;
-const COMPARE_EVERY_MS: u64 = 5_000;
+/// Maximum delay of gossip. One message in five is lost, until the entries compare their summaries.
+const GOSSIP_DELAY_MS: u64 = 100;
+const GOSSIP_LOSS_PERCENT: u64 = 20;
+const ANTI_ENTROPY_INTERVAL_MS: u64 = 5_000;
 
-const GUILTY: u64 = u64::MAX;
+const POISON: u64 = u64::MAX;
 
 fn suspect(run: &Run) -> Suspect {
     Suspect {
@@ -52,7 +53,7 @@
     })
 }
 
-/// Numbers that look random: the finalizer of splitmix64 over a counter.
+/// Pseudo-random numbers: the finalizer of splitmix64 over a counter.
 struct Random(u64);
 
 impl Random {
@@ -70,7 +71,7 @@
     request: u64,
     entry: usize,
     deadline_ms: u64,
-    ends_ms: u64,
+    finishes_ms: u64,
     lock: Option<String>,
 }
 
@@ -83,18 +84,18 @@
 
 #[derive(Clone, Debug, Default)]
 struct Target {
-    life: u64,
-    back_ms: u64,
+    incarnation: u64,
+    available_from_ms: u64,
     runs: Vec<Run>,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
     served: u64,
-    missed: u64,
-    /// Innocent requests that were ever refused because of their standing.
-    held: u64,
-    ended_by_guilt: u64,
+    missed_deadline: u64,
+    /// Rejections of innocent requests because of their quarantine status.
+    rejected_innocent: u64,
+    poison_exits: u64,
 }
 
 struct Fleet {
@@ -104,9 +105,9 @@
     targets: Vec<Target>,
     callers: VecDeque<Caller>,
     locks: IndexMap<String, u64>,
-    news: Vec<(u64, usize, Facts)>,
-    /// Ends that stand in the store, which whoever gets a lock reads.
-    kept: Vec<TargetExit>,
+    in_flight: Vec<(u64, usize, Facts)>,
+    /// Exits in the store, which the holder of a lock reads.
+    stored_exits: Vec<TargetExit>,
     next_request: u64,
     counts: Counts,
 }
@@ -120,33 +121,40 @@
             targets: vec![Target::default(); TARGETS],
             callers: VecDeque::new(),
             locks: IndexMap::new(),
-            news: Vec::new(),
-            kept: Vec::new(),
+            in_flight: Vec::new(),
+            stored_exits: Vec::new(),
             next_request: 0,
             counts: Counts::default(),
         }
     }
 
-    /// Runs for `time_ms` with `load` requests in a hundred steps, and the guilty one
-    /// every `guilty_every_ms` at some entry.
-    fn play(&mut self, time_ms: u64, load: u64, guilty_every_ms: Option<u64>) {
-        for _ in 0..time_ms / STEP_MS {
+    /// Runs for `duration_ms` with `requests_per_100_steps`, and sends the poison request through
+    /// some entry every `poison_interval_ms`.
+    fn run_for(
+        &mut self,
+        duration_ms: u64,
+        requests_per_100_steps: u64,
+        poison_interval_ms: Option<u64>,
+    ) {
+        for _ in 0..duration_ms / STEP_MS {
             self.now_ms += STEP_MS;
-            let arrivals = load / 100 + u64::from(self.random.below(100) < load % 100);
+            let arrivals = requests_per_100_steps / 100
+                + u64::from(self.random.below(100) < requests_per_100_steps % 100);
             for _ in 0..arrivals {
                 self.next_request += 1;
-                self.call(self.next_request);
+                self.add_caller(self.next_request);
             }
-            if guilty_every_ms.is_some_and(|every_ms| self.now_ms.is_multiple_of(every_ms)) {
-                self.call(GUILTY);
+            if poison_interval_ms.is_some_and(|interval_ms| self.now_ms.is_multiple_of(interval_ms))
+            {
+                self.add_caller(POISON);
             }
-            self.hear();
-            self.end_runs();
-            self.answer_callers();
+            self.deliver_facts();
+            self.finish_runs();
+            self.serve_callers();
         }
     }
 
-    fn call(&mut self, request: u64) {
+    fn add_caller(&mut self, request: u64) {
         self.callers.push_back(Caller {
             request,
             due_ms: self.now_ms,
@@ -154,122 +162,126 @@
         });
     }
 
-    fn wall(&self) -> WallMs {
+    fn wall_time(&self) -> WallMs {
         WallMs(1_790_000_000_000 + self.now_ms)
     }
 
-    fn tell(&mut self, from: usize, facts: &Facts) {
+    fn broadcast(&mut self, from: usize, facts: &Facts) {
         for entry in (0..self.entries.len()).filter(|entry| *entry != from) {
-            let is_lost = self.random.below(100) < LOST_NEWS_PERCENT;
+            let is_lost = self.random.below(100) < GOSSIP_LOSS_PERCENT;
             let delay_ms = if is_lost {
-                self.random.below(COMPARE_EVERY_MS)
+                self.random.below(ANTI_ENTROPY_INTERVAL_MS)
             } else {
-                self.random.below(NEWS_WITHIN_MS)
+                self.random.below(GOSSIP_DELAY_MS)
             };
-            self.news
+            self.in_flight
                 .push((self.now_ms + delay_ms, entry, facts.clone()));
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver_facts(&mut self) {
         let now_ms = self.now_ms;
-        let due = self.news.extract_if(.., |(due_ms, ..)| *due_ms <= now_ms);
+        let due = self
+            .in_flight
+            .extract_if(.., |(due_ms, ..)| *due_ms <= now_ms);
         for (_, entry, facts) in due {
-            for end in &facts.exits {
-                self.entries[entry].on_exit(end);
+            for exit in &facts.exits {
+                self.entries[entry].on_exit(exit);
             }
-            for outlived in &facts.survived_runs {
-                self.entries[entry].on_survived_run(outlived);
+            for survived in &facts.survived_runs {
+                self.entries[entry].on_survived_run(survived);
             }
         }
     }
 
-    fn end_runs(&mut self) {
+    fn finish_runs(&mut self) {
         let now_ms = self.now_ms;
         for index in 0..TARGETS {
             let ended: Vec<Run> = self.targets[index]
                 .runs
-                .extract_if(.., |run| run.ends_ms <= now_ms)
+                .extract_if(.., |run| run.finishes_ms <= now_ms)
                 .collect();
             for run in ended {
-                if run.request == GUILTY {
-                    self.counts.ended_by_guilt += 1;
+                if run.request == POISON {
+                    self.counts.poison_exits += 1;
                     self.targets[index].runs.push(run);
                     self.kill(index);
                     break;
                 }
-                self.outlive(&run);
+                self.on_run_survived(&run);
             }
         }
     }
 
-    fn outlive(&mut self, run: &Run) {
+    fn on_run_survived(&mut self, run: &Run) {
         self.counts.served += 1;
         if let Some(lock) = &run.lock {
             self.locks.swap_remove(lock);
         }
-        let own = digest(run.request);
-        let wall = self.wall();
-        let known = &mut self.entries[run.entry];
-        // An entry makes no fact of a run that it suspects of nothing.
-        if known.status(own, MonoMs(self.now_ms), wall) == QuarantineStatus::Clear {
+        let request_digest = digest(run.request);
+        let wall_time = self.wall_time();
+        let quarantine = &mut self.entries[run.entry];
+        // An entry reports no survived run of a request that it does not suspect.
+        if quarantine.status(request_digest, MonoMs(self.now_ms), wall_time)
+            == QuarantineStatus::Clear
+        {
             return;
         }
-        let outlived = SurvivedRun {
-            digest: own,
+        let survived = SurvivedRun {
+            digest: request_digest,
             run: format!("{}/{}", run.entry, self.now_ms).into(),
             at_ms: MonoMs(self.now_ms),
         };
-        if known.on_survived_run(&outlived) {
-            let facts = Facts::new(Vec::new(), vec![outlived], MonoMs(self.now_ms));
-            self.tell(run.entry, &facts);
+        if quarantine.on_survived_run(&survived) {
+            let facts = Facts::new(Vec::new(), vec![survived], MonoMs(self.now_ms));
+            self.broadcast(run.entry, &facts);
         }
     }
 
-    /// Ends a target; each entry tells of its own requests there.
+    /// Stops a target; each entry reports its own requests there.
     fn kill(&mut self, index: usize) {
         let target = &mut self.targets[index];
         let runs = std::mem::take(&mut target.runs);
-        let name = format!("{index}@{}", target.life);
-        target.life += 1;
-        target.back_ms = self.now_ms + BACK_AFTER_MS;
+        let name = format!("{index}@{}", target.incarnation);
+        target.incarnation += 1;
+        target.available_from_ms = self.now_ms + RESTART_MS;
         for entry in 0..self.entries.len() {
-            let own = runs.iter().filter(|run| run.entry == entry);
-            let end = TargetExit {
+            let own_runs = runs.iter().filter(|run| run.entry == entry);
+            let exit = TargetExit {
                 target: name.as_str().into(),
                 at_ms: MonoMs(self.now_ms),
-                suspects: own.map(suspect).collect(),
+                suspects: own_runs.map(suspect).collect(),
             };
-            if end.suspects.is_empty() {
+            if exit.suspects.is_empty() {
                 continue;
             }
-            self.entries[entry].on_exit(&end);
-            self.kept.push(end.clone());
-            let facts = Facts::new(vec![end], Vec::new(), MonoMs(self.now_ms));
-            self.tell(entry, &facts);
+            self.entries[entry].on_exit(&exit);
+            self.stored_exits.push(exit.clone());
+            let facts = Facts::new(vec![exit], Vec::new(), MonoMs(self.now_ms));
+            self.broadcast(entry, &facts);
         }
         for run in runs {
             if let Some(lock) = &run.lock {
-                // Given back once the news is told.
+                // The lock is released once the facts have reached all peers.
                 self.locks
-                    .insert(lock.clone(), self.now_ms + NEWS_WITHIN_MS);
+                    .insert(lock.clone(), self.now_ms + GOSSIP_DELAY_MS);
             }
-            self.come_again(run.request, run.deadline_ms);
+            self.retry_later(run.request, run.deadline_ms);
         }
     }
 
-    fn come_again(&mut self, request: u64, deadline_ms: u64) {
-        if request == GUILTY {
+    fn retry_later(&mut self, request: u64, deadline_ms: u64) {
+        if request == POISON {
             return;
         }
         self.callers.push_back(Caller {
             request,
-            due_ms: self.now_ms + AGAIN_MS,
+            due_ms: self.now_ms + RETRY_DELAY_MS,
             deadline_ms,
         });
     }
 
-    fn answer_callers(&mut self) {
+    fn serve_callers(&mut self) {
         let now_ms = self.now_ms;
         self.locks.retain(|_, until_ms| now_ms < *until_ms);
         for _ in 0..self.callers.len() {
@@ -279,7 +291,7 @@
             if caller.due_ms > now_ms {
                 self.callers.push_back(caller);
             } else if caller.deadline_ms <= now_ms {
-                self.counts.missed += u64::from(caller.request != GUILTY);
+                self.counts.missed_deadline += u64::from(caller.request != POISON);
             } else {
                 self.send(&caller);
             }
@@ -289,60 +301,60 @@
     fn send(&mut self, caller: &Caller) {
         let entries = self.entries.len() as u64;
         let entry = usize::try_from(self.random.below(entries)).expect("few entries");
-        let own = digest(caller.request);
-        let wall = self.wall();
-        let standing = self.entries[entry].status(own, MonoMs(self.now_ms), wall);
-        let lock = match standing {
+        let request_digest = digest(caller.request);
+        let wall_time = self.wall_time();
+        let status = self.entries[entry].status(request_digest, MonoMs(self.now_ms), wall_time);
+        let lock = match status {
             QuarantineStatus::Clear => None,
-            QuarantineStatus::Suspect => Some(format!("request/{own}")),
+            QuarantineStatus::Suspect => Some(format!("request/{request_digest}")),
             QuarantineStatus::OnTrial => Some("service".to_owned()),
             QuarantineStatus::Held { .. } => {
-                self.counts.held += u64::from(caller.request != GUILTY);
-                return self.come_again(caller.request, caller.deadline_ms);
+                self.counts.rejected_innocent += u64::from(caller.request != POISON);
+                return self.retry_later(caller.request, caller.deadline_ms);
             }
         };
         let is_taken = lock
             .as_ref()
             .is_some_and(|lock| self.locks.contains_key(lock));
-        let free = self.free_target().filter(|_| !is_taken);
-        let Some(target) = free else {
-            return self.come_again(caller.request, caller.deadline_ms);
+        let free_target_index = self.free_target().filter(|_| !is_taken);
+        let Some(target) = free_target_index else {
+            return self.retry_later(caller.request, caller.deadline_ms);
         };
         if let Some(lock) = &lock {
-            let known = &mut self.entries[entry];
-            for end in &self.kept {
-                known.on_exit(end);
+            let quarantine = &mut self.entries[entry];
+            for exit in &self.stored_exits {
+                quarantine.on_exit(exit);
             }
-            if known.status(own, MonoMs(self.now_ms), wall) != standing {
-                return self.come_again(caller.request, caller.deadline_ms);
+            if quarantine.status(request_digest, MonoMs(self.now_ms), wall_time) != status {
+                return self.retry_later(caller.request, caller.deadline_ms);
             }
             self.locks.insert(lock.clone(), caller.deadline_ms);
         }
-        let takes_ms = match caller.request {
-            GUILTY => ENDS_AFTER_MS,
+        let duration_ms = match caller.request {
+            POISON => TIME_TO_EXIT_MS,
             _ => RUN_MS,
         };
         self.targets[target].runs.push(Run {
             request: caller.request,
             entry,
             deadline_ms: caller.deadline_ms,
-            ends_ms: self.now_ms + takes_ms,
+            finishes_ms: self.now_ms + duration_ms,
             lock,
         });
     }
 
     fn free_target(&mut self) -> Option<usize> {
         let first = usize::try_from(self.random.below(TARGETS as u64)).expect("few targets");
-        let order = (0..TARGETS).map(|offset| (first + offset) % TARGETS);
-        let mut order = order.filter(|index| {
+        let target_indexes = (0..TARGETS).map(|offset| (first + offset) % TARGETS);
+        let mut target_indexes = target_indexes.filter(|index| {
             let target = &self.targets[*index];
-            target.back_ms <= self.now_ms && target.runs.len() < SLOTS
+            target.available_from_ms <= self.now_ms && target.runs.len() < SLOTS
         });
-        order.next()
+        target_indexes.next()
     }
 
-    /// Kills that part of the targets at once, for no request's sake.
-    fn kill_some(&mut self, percent: usize) {
+    /// Kills this percentage of the targets at once, with no request as the cause.
+    fn kill_percent(&mut self, percent: usize) {
         for index in 0..(TARGETS * percent).div_ceil(100) {
             let index = (index * 5 + 3) % TARGETS;
             self.kill(index);
@@ -351,25 +363,26 @@
 }
 
 /// Requests in a hundred steps: nine in ten of the slots are taken.
-const FULL_LOAD: u64 = 172;
+const HIGH_LOAD: u64 = 172;
 
-// Innocent callers were refused after a rack had lost power. 15 in 100 of the targets are
-// killed at once, three times in a row, at moments that are bad for those that come again.
+// Guards against rejecting innocent callers after a rack has lost power. 15 in 100 of the targets
+// are killed at once, three times in a row, at intervals at which retried requests are running
+// again.
 #[test]
-fn nobody_is_refused_after_targets_were_killed_three_times_in_a_row() {
+fn no_request_is_rejected_after_three_rounds_of_kills() {
     for seed in 0..50 {
         for apart_ms in [400, 700, 1_200, 2_500] {
             let mut fleet = Fleet::new(6, seed);
-            fleet.play(5_000, FULL_LOAD, None);
+            fleet.run_for(5_000, HIGH_LOAD, None);
             for _ in 0..3 {
-                fleet.kill_some(15);
-                fleet.play(apart_ms, FULL_LOAD, None);
+                fleet.kill_percent(15);
+                fleet.run_for(apart_ms, HIGH_LOAD, None);
             }
-            fleet.play(12_000, FULL_LOAD, None);
+            fleet.run_for(12_000, HIGH_LOAD, None);
 
             let counts = &fleet.counts;
             assert_eq!(
-                (counts.held, counts.missed),
+                (counts.rejected_innocent, counts.missed_deadline),
                 (0, 0),
                 "seed {seed}: {counts:?}"
             );
@@ -377,19 +390,19 @@
     }
 }
 
-// What an account's guilty request costs the others: sent once a second for a minute it ends
-// three targets of sixteen, each for four seconds, and all others are served in time.
+// The effect of one account's poison request on other callers: sent once a second for a minute, it
+// stops three targets of sixteen, each for four seconds, and all other requests are served in time.
 #[test]
-fn a_guilty_request_once_a_second_leaves_the_others_their_service() {
+fn a_poison_request_once_a_second_does_not_affect_other_requests() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.play(3_000, FULL_LOAD, None);
-        fleet.play(60_000, FULL_LOAD, Some(1_000));
-        fleet.play(DEADLINE_MS + RUN_MS, 0, None);
+        fleet.run_for(3_000, HIGH_LOAD, None);
+        fleet.run_for(60_000, HIGH_LOAD, Some(1_000));
+        fleet.run_for(DEADLINE_MS + RUN_MS, 0, None);
 
         let counts = &fleet.counts;
         assert_eq!(
-            (counts.missed, counts.held),
+            (counts.missed_deadline, counts.rejected_innocent),
             (0, 0),
             "seed {seed}: {counts:?}"
         );
@@ -397,85 +410,86 @@
     }
 }
 
-// The guilty one ends three targets whatever the number of entries it comes back through,
-// and as few more as the spread of the news allows: here none, since its runs are
-// serialized from the first end on. It comes every 500 ms, so copies of it that began
-// before the first end cannot be helped; there are none here.
+// The poison request stops three targets, whatever the number of entries through which it is
+// retried, plus those that gossip delays allow. Here there are none, since its runs are serialized
+// from the first exit on. Copies that began before the first exit cannot be prevented, but at one
+// copy every 500 ms there are none.
 #[test]
-fn a_guilty_request_ends_three_targets_however_many_entries_there_are() {
+fn a_poison_request_stops_at_most_three_targets_for_any_number_of_entries() {
     for entries in [2, 6, 20, 53] {
         for seed in 0..20 {
             let mut fleet = Fleet::new(entries, seed);
-            fleet.play(3_000, FULL_LOAD, None);
-            fleet.play(60_000, FULL_LOAD, Some(500));
+            fleet.run_for(3_000, HIGH_LOAD, None);
+            fleet.run_for(60_000, HIGH_LOAD, Some(500));
 
             let counts = &fleet.counts;
             assert!(
-                counts.ended_by_guilt <= 3,
+                counts.poison_exits <= 3,
+                "{entries} entries, seed {seed}: {counts:?}"
+            );
+            assert_eq!(
+                counts.rejected_innocent, 0,
                 "{entries} entries, seed {seed}: {counts:?}"
             );
-            assert_eq!(counts.held, 0, "{entries} entries, seed {seed}: {counts:?}");
         }
     }
 }
 
-// Both at once. Each kill in the crowd of which the guilty one ends a target is doubtful,
-// so it may end two targets more.
+// A poison request and kills at the same time. An exit that the poison request causes during a
+// round of kills is weak evidence, so it may stop two more targets.
 #[test]
-fn a_guilty_request_is_found_among_targets_that_are_killed() {
+fn a_poison_request_is_held_while_targets_are_killed() {
     for seed in 0..30 {
         let mut fleet = Fleet::new(6, seed);
-        fleet.play(3_000, FULL_LOAD, None);
+        fleet.run_for(3_000, HIGH_LOAD, None);
         for _ in 0..3 {
-            fleet.kill_some(15);
-            fleet.play(1_500, FULL_LOAD, Some(500));
+            fleet.kill_percent(15);
+            fleet.run_for(1_500, HIGH_LOAD, Some(500));
         }
-        fleet.play(60_000, FULL_LOAD, Some(500));
+        fleet.run_for(60_000, HIGH_LOAD, Some(500));
 
         let counts = &fleet.counts;
-        assert!(counts.ended_by_guilt <= 5, "seed {seed}: {counts:?}");
-        assert_eq!(counts.held, 0, "seed {seed}: {counts:?}");
+        assert!(counts.poison_exits <= 5, "seed {seed}: {counts:?}");
+        assert_eq!(counts.rejected_innocent, 0, "seed {seed}: {counts:?}");
     }
 }
 
 impl Fleet {
-    /// Of those that ended with a target, how many any entry still takes for this or worse.
-    fn suspected(&self, is_meant: impl Fn(QuarantineStatus) -> bool) -> usize {
-        let (now_ms, wall) = (MonoMs(self.now_ms), self.wall());
-        let suspects = self.kept.iter().flat_map(|end| &end.suspects);
-        let digests: IndexSet<RequestDigest> = suspects.map(|it| it.digest).collect();
+    /// Number of the requests at exited targets for which any entry has a matching status.
+    fn count_with_status(&self, matches_status: impl Fn(QuarantineStatus) -> bool) -> usize {
+        let (now_ms, wall_time) = (MonoMs(self.now_ms), self.wall_time());
+        let suspects = self.stored_exits.iter().flat_map(|exit| &exit.suspects);
+        let digests: IndexSet<RequestDigest> = suspects.map(|suspect| suspect.digest).collect();
         let is_suspected = |digest: &&RequestDigest| {
             let mut entries = self.entries.iter();
-            entries.any(|entry| is_meant(entry.status(**digest, now_ms, wall)))
+            entries.any(|entry| matches_status(entry.status(**digest, now_ms, wall_time)))
         };
         digests.iter().filter(is_suspected).count()
     }
 
-    fn play_until_ends(&mut self, ends: u64) {
-        while self.counts.ended_by_guilt < ends {
-            self.play(STEP_MS, FULL_LOAD, Some(500));
+    fn run_until_poison_exits(&mut self, exits: u64) {
+        while self.counts.poison_exits < exits {
+            self.run_for(STEP_MS, HIGH_LOAD, Some(500));
         }
     }
 }
 
-// How fast the guilty request stands out. Each of its ends takes a dozen neighbours along.
-// They come again elsewhere, so from the second end on it alone is on trial, at all entries.
+// How soon the poison request is identified. A dozen innocent requests run beside it at each exit.
+// They are retried elsewhere and cleared, so from the second exit on the poison request is the only
+// one on trial, at all entries.
 #[test]
-fn after_its_second_end_the_guilty_request_is_the_only_one_on_trial() {
+fn after_two_exits_only_the_poison_request_is_on_trial() {
     for entries in [2, 6, 20, 53] {
         for seed in 0..10 {
             let mut fleet = Fleet::new(entries, seed);
-            fleet.play(3_000, FULL_LOAD, None);
-            fleet.play_until_ends(1);
-            fleet.play(RUN_MS + AGAIN_MS, FULL_LOAD, None);
-            fleet.play_until_ends(2);
-            fleet.play(NEWS_WITHIN_MS, FULL_LOAD, None);
-
-            let on_trial = fleet.suspected(|standing| {
-                !matches!(
-                    standing,
-                    QuarantineStatus::Clear | QuarantineStatus::Suspect
-                )
+            fleet.run_for(3_000, HIGH_LOAD, None);
+            fleet.run_until_poison_exits(1);
+            fleet.run_for(RUN_MS + RETRY_DELAY_MS, HIGH_LOAD, None);
+            fleet.run_until_poison_exits(2);
+            fleet.run_for(GOSSIP_DELAY_MS, HIGH_LOAD, None);
+
+            let on_trial = fleet.count_with_status(|status| {
+                !matches!(status, QuarantineStatus::Clear | QuarantineStatus::Suspect)
             });
             assert_eq!(on_trial, 1, "{entries} entries, seed {seed}");
         }
