--- a/crates/quarantine/src/abandoned_runs.rs
+++ b/crates/quarantine/src/abandoned_runs.rs
@@ -1,13 +1,13 @@
-//! Runs that their callers left, until it is known that their targets have outlived them.
+//! Runs that were abandoned by their callers, until it is known that the target survived them.
 //!
-//! A target may end under such a run, and nobody loses an answer that would tell of it. The
-//! next request that comes to the target would, but there may be none for seconds, and until
-//! then the guilty request runs elsewhere and ends another target. So this process looks at
-//! the target itself. What other sends show of it counts too: at a busy target that is
-//! enough, and no connection is made for it.
+//! A target may exit during such a run without a lost response that would show it. The next request
+//! for the target would show it, but there may be none for seconds, and meanwhile the poison
+//! request runs elsewhere and stops another target. So this process probes the target itself. The
+//! results of other sends count as well: at a busy target they suffice, and no connection is made
+//! for probes.
 //!
-//! Whoever listens at its address may have taken the place of a target that ended, so a look
-//! asks who that is.
+//! The listener at the target's address may be the successor of a target that exited, so a probe
+//! asks for its identity.
 
 use std::sync::Arc;
 
@@ -17,126 +17,136 @@
 
 use crate::lost_requests::{LostRequest, TargetIncarnation};
 
-/// The first look is this long after the caller left: a run that ends its target mostly
-/// does so at once, and its caller may be back as soon.
-const FIRST_LOOK_MS: u64 = 100;
+/// Delay from the abandonment of a run to the first probe. A run that makes its target exit mostly
+/// does so immediately, and the caller may retry as soon.
+const FIRST_PROBE_DELAY_MS: u64 = 100;
 
-/// The last look. Targets are told that nobody waits, and drop a run within this time.
-const LAST_LOOK_MS: u64 = 1_000;
+/// Delay from the abandonment of a run to the last probe. Targets are notified that the caller has
+/// disconnected, and cancel the run within this time.
+const LAST_PROBE_DELAY_MS: u64 = 1_000;
 
-/// A look counts for runs for which it comes this much early. Callers often leave together,
-/// and each would bring looks of its own, milliseconds after the others.
-const EARLY_MS: u64 = 50;
+/// A probe also counts for runs for which it is early by at most this time. Callers often
+/// disconnect together, and otherwise the run of each would require its own probes, milliseconds
+/// apart.
+const PROBE_TOLERANCE_MS: u64 = 50;
 
-/// Least time between two looks at a target, however many leave it.
-const LOOK_SPACING_MS: u64 = 100;
+/// Minimum time between two probes of a target, for any number of abandoned runs.
+const MIN_PROBE_SPACING_MS: u64 = 100;
 
-/// Targets that are looked at; the oldest go first. A process with more callers that leave
-/// within a second has them at targets at which it sends other requests too.
-const MOST_TARGETS: usize = 256;
+/// Maximum number of targets to probe; the oldest are evicted. A process with more callers that
+/// disconnect within a second also sends other requests to these targets.
+const MAX_TARGETS: usize = 256;
 
-/// Runs at each of them, the oldest go first: more than a target runs at a time.
-const MOST_RUNS: usize = 64;
+/// Maximum number of abandoned runs at each target, which is more than a target runs at a time. The
+/// oldest are evicted.
+const MAX_RUNS_PER_TARGET: usize = 64;
 
-struct Run {
-    loss: LostRequest,
-    left_ms: MonoMs,
+struct AbandonedRun {
+    request: LostRequest,
+    abandoned_ms: MonoMs,
 }
 
-struct LeftRuns {
-    /// The oldest is the first.
-    runs: Vec<Run>,
-    /// When the target was last known to listen.
-    seen_ms: MonoMs,
+struct TargetRuns {
+    /// Ordered from oldest to newest.
+    runs: Vec<AbandonedRun>,
+    /// The time of the last request for a connection that the target accepted.
+    last_accepted_ms: MonoMs,
 }
 
-impl LeftRuns {
-    fn next_look(&self) -> Option<MonoMs> {
-        let looks = self.runs.iter().map(|run| {
-            let first_ms = run.left_ms + FIRST_LOOK_MS;
-            if self.was_seen_by(first_ms) {
-                run.left_ms + LAST_LOOK_MS
+impl TargetRuns {
+    fn next_probe_ms(&self) -> Option<MonoMs> {
+        let probe_times = self.runs.iter().map(|run| {
+            let first_probe_ms = run.abandoned_ms + FIRST_PROBE_DELAY_MS;
+            if self.covers_probe_at(first_probe_ms) {
+                run.abandoned_ms + LAST_PROBE_DELAY_MS
             } else {
-                first_ms
+                first_probe_ms
             }
         });
-        let soonest_ms = self.seen_ms + LOOK_SPACING_MS;
-        looks.min().map(|due_ms| due_ms.max(soonest_ms))
+        let earliest_ms = self.last_accepted_ms + MIN_PROBE_SPACING_MS;
+        probe_times.min().map(|due_ms| due_ms.max(earliest_ms))
     }
 
-    fn was_seen_by(&self, due_ms: MonoMs) -> bool {
-        self.seen_ms + EARLY_MS >= due_ms
+    fn covers_probe_at(&self, due_ms: MonoMs) -> bool {
+        self.last_accepted_ms + PROBE_TOLERANCE_MS >= due_ms
     }
 }
 
-/// The runs that their callers left, by the incarnation of their target.
+/// The abandoned runs, by target incarnation.
 #[derive(Default)]
-pub(crate) struct Left {
-    by_target: IndexMap<Arc<str>, LeftRuns>,
+pub(crate) struct AbandonedRuns {
+    by_target: IndexMap<Arc<str>, TargetRuns>,
 }
 
-impl Left {
-    /// Whether no target has to be looked at.
+impl AbandonedRuns {
+    /// Whether no target needs a probe.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_target.is_empty()
     }
 
-    /// Adds a run that its caller left; returns whether the target is a new one to look at.
+    /// Adds an abandoned run; returns whether the target had none before, so that probing must be
+    /// started.
     pub(crate) fn add(
         &mut self,
-        place: &TargetIncarnation,
-        loss: LostRequest,
+        incarnation: &TargetIncarnation,
+        request: LostRequest,
         now_ms: MonoMs,
     ) -> bool {
-        let is_new = !self.by_target.contains_key(&place.target);
-        if is_new && self.by_target.len() >= MOST_TARGETS {
+        let is_new = !self.by_target.contains_key(&incarnation.target);
+        if is_new && self.by_target.len() >= MAX_TARGETS {
             self.by_target.shift_remove_index(0);
         }
-        let entry = self.by_target.entry(Arc::clone(&place.target));
-        let left = entry.or_insert_with(|| LeftRuns {
+        let entry = self.by_target.entry(Arc::clone(&incarnation.target));
+        let target_runs = entry.or_insert_with(|| TargetRuns {
             runs: Vec::new(),
-            seen_ms: now_ms,
+            last_accepted_ms: now_ms,
         });
-        if left.runs.len() >= MOST_RUNS {
-            left.runs.remove(0);
+        if target_runs.runs.len() >= MAX_RUNS_PER_TARGET {
+            target_runs.runs.remove(0);
         }
-        left.runs.push(Run {
-            loss,
-            left_ms: now_ms,
+        target_runs.runs.push(AbandonedRun {
+            request,
+            abandoned_ms: now_ms,
         });
         is_new
     }
 
-    /// When the target has to be looked at next; `None` if it has outlived all that were
-    /// left there.
-    pub(crate) fn next_look(&self, target: &str) -> Option<MonoMs> {
-        self.by_target.get(target)?.next_look()
+    /// The time of the next probe of the target; `None` if it has survived all abandoned runs.
+    pub(crate) fn next_probe_ms(&self, target: &str) -> Option<MonoMs> {
+        self.by_target.get(target)?.next_probe_ms()
     }
 
-    /// The target took a connection that was asked for at `at_ms`.
-    pub(crate) fn on_connection_accepted(&mut self, target: &str, at_ms: MonoMs) {
-        let Some(left) = self.by_target.get_mut(target) else {
+    /// Records that the target accepted a connection that was requested at `requested_ms`.
+    pub(crate) fn on_connection_accepted(&mut self, target: &str, requested_ms: MonoMs) {
+        let Some(target_runs) = self.by_target.get_mut(target) else {
             return;
         };
-        left.seen_ms = left.seen_ms.max(at_ms);
-        let runs = std::mem::take(&mut left.runs).into_iter();
-        let open = runs.filter(|run| !left.was_seen_by(run.left_ms + LAST_LOOK_MS));
-        left.runs = open.collect();
-        if left.runs.is_empty() {
+        target_runs.last_accepted_ms = target_runs.last_accepted_ms.max(requested_ms);
+        let runs = std::mem::take(&mut target_runs.runs).into_iter();
+        let unproven =
+            runs.filter(|run| !target_runs.covers_probe_at(run.abandoned_ms + LAST_PROBE_DELAY_MS));
+        target_runs.runs = unproven.collect();
+        if target_runs.runs.is_empty() {
             self.by_target.shift_remove(target);
         }
     }
 
-    /// Gives up the runs at a target: it has ended, or nothing can be known of it.
-    pub(crate) fn take(&mut self, target: &str) -> Vec<LostRequest> {
-        let left = self.by_target.shift_remove(target);
-        let runs = left.map(|left| left.runs).unwrap_or_default();
-        runs.into_iter().map(|run| run.loss).collect()
+    /// Removes the runs at a target that has exited, or whose state cannot be determined, and
+    /// returns them.
+    pub(crate) fn take_target(&mut self, target: &str) -> Vec<LostRequest> {
+        let target_runs = self.by_target.shift_remove(target);
+        let runs = target_runs
+            .map(|target_runs| target_runs.runs)
+            .unwrap_or_default();
+        runs.into_iter().map(|run| run.request).collect()
     }
 
-    /// Whether a target of this request has still to be looked at.
-    pub(crate) fn awaits(&self, digest: RequestDigest) -> bool {
-        let mut runs = self.by_target.values().flat_map(|left| &left.runs);
-        runs.any(|run| run.loss.digest == digest)
+    /// Whether a target with a run of this request still needs a probe.
+    pub(crate) fn awaits_probe(&self, digest: RequestDigest) -> bool {
+        let mut runs = self
+            .by_target
+            .values()
+            .flat_map(|target_runs| &target_runs.runs);
+        runs.any(|run| run.request.digest == digest)
     }
 }
--- a/crates/quarantine/src/clearance.rs
+++ b/crates/quarantine/src/clearance.rs
@@ -1,13 +1,14 @@
 //! What a request needs before it may be sent to a target.
 //!
-//! Each way to a target leads through [`SuspectTracker::acquire_clearance`], at the last moment before the
-//! connection: what was learnt while a request waited, ran or was cut counts too. A suspect
-//! gets a lock over all processes there, for which it may have to wait.
+//! Every code path that sends a request to a target calls [`SuspectTracker::acquire_clearance`]
+//! immediately before the connection, so that facts which were received while the request waited,
+//! ran or was interrupted count as well. A suspect acquires a lock there that is valid for all
+//! processes, and may have to wait for it.
 //!
-//! The locks are keys with a lease in the platform's store, so a process that dies with one
-//! blocks nobody for longer than its request had left. A lock that is on its way is waited
-//! for. Once the store has failed, a suspect runs once at a time in this process, and one on
-//! trial does not run.
+//! The locks are keys with a lease in the platform's store, so a process that dies while it holds
+//! one blocks other processes no longer than the remaining time of its request. A request waits for
+//! a lock whose acquisition is in progress. Once the store has failed, this process allows
+//! one run of each suspect at a time, and does not run requests on trial.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,48 +20,48 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::replicator::{LockAnswer, Task};
+use crate::replicator::{LockReply, Task};
 use crate::suspects::SuspectTracker;
 
-/// Time between two looks of a request that waits for another run to end.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a request that waits for the end of another run polls its status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Kept beyond a request's time by the lease of its lock: the run's end is told first.
-const LEASE_MARGIN: Duration = Duration::from_secs(1);
+/// Time by which the lease of a lock exceeds the request's remaining time, so that the outcome of
+/// the run is reported before the lock expires.
+const LOCK_LEASE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Longest wait until it is known whether a target has ended, before a lock is given back.
+/// Maximum time to wait for the result of exit checks before a lock is released.
 ///
-/// The target of a run whose caller left is looked at for a second.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// The target of an abandoned run is probed for a second.
+const EXIT_CHECK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Part of the time for its answer that a request waits for a lock of a slow store: a second
-/// target may be asked in the rest.
-const LOCK_SHARE: f64 = 0.3;
+/// Fraction of the time for its response that a request waits for a lock of a slow store. The rest
+/// suffices for an attempt at a second target.
+const LOCK_WAIT_FRACTION: f64 = 0.3;
 
-/// When to come back while another run of a suspect goes on: about the time that it takes.
-const BUSY_BACK: Duration = Duration::from_secs(1);
+/// Retry delay while another run of the suspect is in progress: about the duration of a run.
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When to come back to a process that has not read yet what is held back: another one knows,
-/// and this one mostly does within milliseconds.
-const UNINFORMED_BACK: Duration = Duration::from_secs(1);
+/// Retry delay for a caller of a process that has not loaded the quarantine yet. Other processes
+/// have loaded it, and this one usually has within milliseconds.
+const UNINFORMED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When to come back where a lock is needed and the store does not answer. Outages last
-/// for seconds.
-const AWAY_BACK: Duration = Duration::from_secs(5);
+/// Retry delay if a lock is needed and the store does not reply. Outages last for seconds.
+const STORE_UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A request is not sent because targets end under it.
+/// The rejection of a request because targets exit while running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineRejection {
-    /// When coming back can help; `None` if an operator has to lift it first.
+    /// Time after which a retry may succeed; `None` if an operator has to lift the hold first.
     pub retry_after: Option<Duration>,
-    /// Why, for the logs.
+    /// The reason, for log lines.
     pub reason: &'static str,
 }
 
 impl QuarantineRejection {
-    /// It has waited for its turn until its time was over.
+    /// The request reached its wait limit before it acquired its lock.
     pub const OUT_OF_TIME: Self = Self {
-        retry_after: Some(BUSY_BACK),
+        retry_after: Some(BUSY_RETRY_AFTER),
         reason: "out-of-time",
     };
 }
@@ -68,62 +69,66 @@
 /// How long a request may wait.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitLimits {
-    /// For its turn, if it is suspected.
+    /// Maximum time to wait for the lock of a suspect.
     pub lock_wait: Duration,
-    /// For its whole answer, for which its lock is needed.
+    /// Maximum time until the response is complete, for which the lock is needed.
     pub response_wait: Duration,
 }
 
-/// What a request has to show. It is asked for its digest only where anything is suspected.
+/// The properties of a request that the quarantine needs. The digest is requested only if any
+/// request is suspected or held.
 pub trait RequestIdentity {
-    /// The digest of its content.
+    /// The digest of the request's content.
     fn digest(&self) -> RequestDigest;
 
-    /// The service it goes to.
+    /// The service that the request is sent to.
     fn service(&self) -> &Arc<str>;
 
-    /// Whether the end of one of its targets stops a whole group.
+    /// Whether the exit of one of the service's targets stops a whole group.
     fn exit_stops_group(&self) -> bool {
         false
     }
 }
 
-/// How much else a lock keeps from running.
+/// The runs that a lock excludes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Scope {
+enum LockScope {
     /// Other runs of the same request.
     Request,
-    /// Those too, and other requests of the service that are on trial.
+    /// Other runs of the same request, and runs of other requests on trial in the service.
     Service,
 }
 
-impl Scope {
-    /// The names under which a request is locked.
+impl LockScope {
+    /// The names of the locks for the request.
     ///
-    /// A request on trial may still run as a suspect, for a process that has not heard of its
-    /// last end, so its trial is locked under both names, all or none.
-    fn names(self, asking: &impl RequestIdentity) -> Vec<Arc<str>> {
-        let request: Arc<str> = format!("request/{}", asking.digest()).into();
+    /// A process that has not received the latest exit of a request on trial still runs it as a
+    /// suspect, so a trial acquires both locks or none.
+    fn lock_names(self, request: &impl RequestIdentity) -> Vec<Arc<str>> {
+        let request_name: Arc<str> = format!("request/{}", request.digest()).into();
         match self {
-            Self::Request => vec![request],
-            Self::Service => vec![request, format!("service/{}", asking.service()).into()],
+            Self::Request => vec![request_name],
+            Self::Service => vec![
+                request_name,
+                format!("service/{}", request.service()).into(),
+            ],
         }
     }
 }
 
-/// A lock over all processes, or over this one while the store does not answer.
-struct Permit {
+/// A lock over all processes, or over this process only while the store does not reply.
+struct RunLock {
     suspects: Arc<SuspectTracker>,
     digest: RequestDigest,
-    scope: Scope,
+    scope: LockScope,
     names: Vec<Arc<str>>,
-    /// The lease that holds it; `None` without the store.
+    /// The lease of the lock; `None` if it is not in the store.
     lease: Option<Lease>,
 }
 
-impl Drop for Permit {
-    // Requests are dropped wherever their callers leave them. The next run must not begin
-    // before it is known and told how this one ended.
+impl Drop for RunLock {
+    // A request is dropped as soon as its caller disconnects. The next run must not start before
+    // the outcome of this one is known and reported.
     fn drop(&mut self) {
         let suspects = Arc::clone(&self.suspects);
         let (digest, lease) = (self.digest, self.lease);
@@ -132,182 +137,188 @@
             return;
         };
         runtime.spawn(async move {
-            let settled = suspects.settled(digest);
-            if timeout(SETTLE_TIME, settled).await.is_err() {
-                log::warn!(digest:% = digest; "it is not known in time whether a target ended");
+            let exit_checks_done = suspects.exit_checks_done(digest);
+            if timeout(EXIT_CHECK_TIMEOUT, exit_checks_done).await.is_err() {
+                log::warn!(digest:% = digest; "exit check did not finish in time; releasing the lock");
             }
             if let Some(lease) = lease {
-                suspects.ask_keeper(Task::Unlock { lease });
+                suspects.send_task(Task::Unlock { lease });
             }
             let mut state = suspects.lock();
             for name in &names {
                 state.locks.swap_remove(name);
             }
-            suspects.changed(&state);
+            suspects.publish_change(&state);
         });
     }
 }
 
-/// What a request has got; it is given back with it.
+/// Permission to run a request, which holds the lock of a suspect until it is dropped.
 #[derive(Default)]
-pub struct RunClearance(Option<Permit>);
+pub struct RunClearance(Option<RunLock>);
 
 impl RunClearance {
-    /// Whether no other run of this request goes on in any process, as a suspect.
+    /// Whether the request runs as a suspect and no other run of it is in progress in any process.
     ///
-    /// A lock of this process alone, without the store, says nothing of the others: runs of
-    /// a request that all callers send would each seem to be the only one, and the ends
-    /// that a guilty one brings about together would be laid to it one by one.
+    /// A lock of this process only, without the store, does not exclude runs in other processes.
+    /// Otherwise each run of a request that many callers send would seem to be the only one, and
+    /// simultaneous exits that a poison request causes would each count against it.
     #[must_use]
     pub fn runs_alone(&self) -> bool {
-        let permit = self.0.as_ref();
-        permit.is_some_and(|permit| permit.lease.is_some())
+        let run_lock = self.0.as_ref();
+        run_lock.is_some_and(|run_lock| run_lock.lease.is_some())
     }
 
-    fn suffices(&self, needed: Scope) -> bool {
-        self.0.as_ref().is_some_and(|permit| permit.scope >= needed)
+    fn covers(&self, required: LockScope) -> bool {
+        self.0
+            .as_ref()
+            .is_some_and(|run_lock| run_lock.scope >= required)
     }
 }
 
-enum Need {
+enum Requirement {
     Nothing,
-    Lock(Scope),
-    /// The end of another run, or certainty about the last.
-    Patience,
-    Refusal(QuarantineRejection),
+    Lock(LockScope),
+    /// The end of another run, or the result of a pending exit check.
+    Wait,
+    Rejection(QuarantineRejection),
 }
 
 impl SuspectTracker {
-    /// Why the request cannot be sent at present, if no waiting helps.
-    pub fn rejection(&self, asking: &impl RequestIdentity) -> Option<QuarantineRejection> {
-        match self.need(asking, &RunClearance::default()) {
-            Need::Refusal(held) => Some(held),
-            Need::Nothing | Need::Lock(_) | Need::Patience => None,
+    /// The reason why the request cannot be sent at present, if waiting does not help.
+    pub fn rejection(&self, request: &impl RequestIdentity) -> Option<QuarantineRejection> {
+        match self.requirement(request, &RunClearance::default()) {
+            Requirement::Rejection(rejection) => Some(rejection),
+            Requirement::Nothing | Requirement::Lock(_) | Requirement::Wait => None,
         }
     }
 
-    /// Gets what a request needs to be sent, waiting for its turn where it has to. It may
-    /// be sent as long as nothing is awaited after this.
+    /// Acquires what a request needs to be sent, and waits for the lock of a suspect if necessary.
+    /// The request may be sent if there is no await point between this call and the send.
     ///
     /// # Errors
     ///
     /// If the request may not be sent at present.
     pub async fn acquire_clearance(
         self: &Arc<Self>,
-        asking: &impl RequestIdentity,
+        request: &impl RequestIdentity,
         clearance: &mut RunClearance,
-        patience: WaitLimits,
+        limits: WaitLimits,
     ) -> Result<(), QuarantineRejection> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
-            match self.need(asking, clearance) {
-                Need::Nothing => return Ok(()),
-                Need::Refusal(held) => return Err(held),
-                Need::Patience => {}
-                Need::Lock(scope) => {
-                    // One request never holds two locks, so none waits for another's.
+            match self.requirement(request, clearance) {
+                Requirement::Nothing => return Ok(()),
+                Requirement::Rejection(rejection) => return Err(rejection),
+                Requirement::Wait => {}
+                Requirement::Lock(scope) => {
+                    // The old lock is released first: a request never holds two locks, so requests
+                    // cannot wait for each other's locks.
                     *clearance = RunClearance::default();
-                    *clearance = self.permit(asking, scope, patience).await?;
-                    if clearance.suffices(scope) {
+                    *clearance = self.acquire_lock(request, scope, limits).await?;
+                    if clearance.covers(scope) {
                         continue;
                     }
                 }
             }
-            let Some(left) = patience.lock_wait.checked_sub(began.elapsed()) else {
+            let Some(remaining) = limits.lock_wait.checked_sub(started.elapsed()) else {
                 return Err(if self.is_uninformed() {
                     UNINFORMED
                 } else {
-                    BUSY
+                    RUNS_ELSEWHERE
                 });
             };
-            // Running out of time is a reason to look again.
-            let _ = timeout(left.min(LOOK_EVERY), changes.changed()).await;
+            // After the time-out the status is checked again, as after a change.
+            let _ = timeout(remaining.min(POLL_INTERVAL), changes.changed()).await;
         }
     }
 
-    fn need(&self, asking: &impl RequestIdentity, clearance: &RunClearance) -> Need {
+    fn requirement(&self, request: &impl RequestIdentity, clearance: &RunClearance) -> Requirement {
         if self.is_uninformed() {
-            return Need::Patience;
+            return Requirement::Wait;
         }
         if !self.is_active.load(Ordering::Relaxed) {
-            return Need::Nothing;
+            return Requirement::Nothing;
         }
-        let digest = asking.digest();
-        if self.lock().losses.is_unsettled(digest) {
-            return Need::Patience;
+        let digest = request.digest();
+        if self.lock().lost_requests.is_pending(digest) {
+            return Requirement::Wait;
         }
-        let scope = match self.standing(digest, asking.exit_stops_group()) {
-            QuarantineStatus::Clear => return Need::Nothing,
-            QuarantineStatus::Suspect => Scope::Request,
-            QuarantineStatus::OnTrial => Scope::Service,
+        let scope = match self.status(digest, request.exit_stops_group()) {
+            QuarantineStatus::Clear => return Requirement::Nothing,
+            QuarantineStatus::Suspect => LockScope::Request,
+            QuarantineStatus::OnTrial => LockScope::Service,
             QuarantineStatus::Held { retry_after_ms } => {
-                return Need::Refusal(QuarantineRejection {
+                return Requirement::Rejection(QuarantineRejection {
                     retry_after: retry_after_ms.map(Duration::from_millis),
                     reason: "held",
                 });
             }
         };
-        if clearance.suffices(scope) {
-            Need::Nothing
+        if clearance.covers(scope) {
+            Requirement::Nothing
         } else {
-            Need::Lock(scope)
+            Requirement::Lock(scope)
         }
     }
 
-    /// Asks for a lock; an empty clearance if another run has it.
-    async fn permit(
+    /// Acquires a lock; returns an empty clearance if another run holds it.
+    async fn acquire_lock(
         self: &Arc<Self>,
-        asking: &impl RequestIdentity,
-        scope: Scope,
-        patience: WaitLimits,
+        request: &impl RequestIdentity,
+        scope: LockScope,
+        limits: WaitLimits,
     ) -> Result<RunClearance, QuarantineRejection> {
-        let digest = asking.digest();
-        let names = scope.names(asking);
-        if !self.reserve(&names) {
+        let digest = request.digest();
+        let names = scope.lock_names(request);
+        if !self.reserve_lock_names(&names) {
             return Ok(RunClearance::default());
         }
-        let mut permit = Permit {
+        let mut run_lock = RunLock {
             suspects: Arc::clone(self),
             digest,
             scope,
             names: names.clone(),
             lease: None,
         };
-        let (answer, answered) = oneshot::channel();
-        self.ask_keeper(Task::Lock {
+        let (reply_sender, reply) = oneshot::channel();
+        self.send_task(Task::Lock {
             names,
-            ttl: patience.response_wait + LEASE_MARGIN,
-            answer,
+            ttl: limits.response_wait + LOCK_LEASE_MARGIN,
+            reply_sender,
         });
-        let is_away = self.is_store_away.load(Ordering::Relaxed);
-        let wait = if is_away {
-            patience.lock_wait.max(LOOK_EVERY)
+        let is_store_unavailable = self.is_store_unavailable.load(Ordering::Relaxed);
+        let wait = if is_store_unavailable {
+            limits.lock_wait.max(POLL_INTERVAL)
         } else {
-            patience
+            limits
                 .lock_wait
-                .max(patience.response_wait.mul_f64(LOCK_SHARE))
+                .max(limits.response_wait.mul_f64(LOCK_WAIT_FRACTION))
         };
-        // A keeper that is gone can reach the store no more.
-        let answered = timeout(wait, answered).await;
-        let answered = answered.map(|answer| answer.unwrap_or(LockAnswer::Away));
-        match (answered, scope) {
-            (Ok(LockAnswer::Granted { lease }), _) => {
-                permit.lease = Some(lease);
-                let lock = permit.names.last().map_or("-", |name| &**name);
+        // A dropped sender means that the replicator is gone, and with it the access to the store.
+        let reply = timeout(wait, reply).await;
+        let reply = reply.map(|reply| reply.unwrap_or(LockReply::StoreUnavailable));
+        match (reply, scope) {
+            (Ok(LockReply::Granted { lease }), _) => {
+                run_lock.lease = Some(lease);
+                let lock = run_lock.names.last().map_or("-", |name| &**name);
                 log::info!(digest:% = digest, lock; "a suspect runs alone");
-                Ok(RunClearance(Some(permit)))
+                Ok(RunClearance(Some(run_lock)))
             }
-            (Ok(LockAnswer::Taken), _) => Ok(RunClearance::default()),
-            (Err(_), _) if !is_away => Err(LATE),
-            (Ok(LockAnswer::Away) | Err(_), Scope::Request) => Ok(RunClearance(Some(permit))),
-            (Ok(LockAnswer::Away) | Err(_), Scope::Service) => Err(AWAY),
+            (Ok(LockReply::Taken), _) => Ok(RunClearance::default()),
+            (Err(_), _) if !is_store_unavailable => Err(LOCK_LATE),
+            (Ok(LockReply::StoreUnavailable) | Err(_), LockScope::Request) => {
+                Ok(RunClearance(Some(run_lock)))
+            }
+            (Ok(LockReply::StoreUnavailable) | Err(_), LockScope::Service) => Err(NO_LOCK),
         }
     }
 
-    /// Keeps other requests of this process from these locks; `false` if one has any of them.
-    fn reserve(&self, names: &[Arc<str>]) -> bool {
+    /// Reserves these locks among the requests of this process; returns `false` if one of them is
+    /// taken.
+    fn reserve_lock_names(&self, names: &[Arc<str>]) -> bool {
         let mut state = self.lock();
         let is_free = names.iter().all(|name| !state.locks.contains(name));
         if is_free {
@@ -316,15 +327,15 @@
         is_free
     }
 
-    fn is_unsettled(&self, digest: RequestDigest) -> bool {
+    fn has_pending_exit_check(&self, digest: RequestDigest) -> bool {
         let state = self.lock();
-        state.losses.is_unsettled(digest) || state.left.awaits(digest)
+        state.lost_requests.is_pending(digest) || state.abandoned_runs.awaits_probe(digest)
     }
 
-    /// Waits until it is known whether the targets at which it ran ended.
-    async fn settled(&self, digest: RequestDigest) {
+    /// Waits until it is known whether the targets of the request's previous runs have exited.
+    async fn exit_checks_done(&self, digest: RequestDigest) {
         let mut changes = self.changes.subscribe();
-        while self.is_unsettled(digest) {
+        while self.has_pending_exit_check(digest) {
             if changes.changed().await.is_err() {
                 return;
             }
@@ -333,21 +344,21 @@
 }
 
 const UNINFORMED: QuarantineRejection = QuarantineRejection {
-    retry_after: Some(UNINFORMED_BACK),
+    retry_after: Some(UNINFORMED_RETRY_AFTER),
     reason: "uninformed",
 };
 
-const AWAY: QuarantineRejection = QuarantineRejection {
-    retry_after: Some(AWAY_BACK),
+const NO_LOCK: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(STORE_UNAVAILABLE_RETRY_AFTER),
     reason: "no-lock",
 };
 
-const LATE: QuarantineRejection = QuarantineRejection {
-    retry_after: Some(BUSY_BACK),
+const LOCK_LATE: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(BUSY_RETRY_AFTER),
     reason: "lock-late",
 };
 
-const BUSY: QuarantineRejection = QuarantineRejection {
-    retry_after: Some(BUSY_BACK),
+const RUNS_ELSEWHERE: QuarantineRejection = QuarantineRejection {
+    retry_after: Some(BUSY_RETRY_AFTER),
     reason: "runs-elsewhere",
 };
--- a/crates/quarantine/src/follow.rs
+++ b/crates/quarantine/src/follow.rs
@@ -1,4 +1,5 @@
-//! Follows what the store keeps, for a process that follows nothing else there.
+//! Follows the quarantine's items in the store, for a process that does not follow the store
+//! otherwise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,47 +10,48 @@
 use crate::stored::PREFIX;
 use crate::{ClusterAccess, SuspectTracker};
 
-/// Longest wait of one watch. Each counts as a call, and news comes at once all the same.
+/// Maximum duration of one watch call. Each call counts as store traffic, and a longer duration
+/// does not delay events.
 const WATCH_WAIT_MS: u64 = 20_000;
 
-/// Pause after a call that failed; outages last for seconds, and peers tell meanwhile.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after a failed call. Outages last for seconds, and peers send facts in the meantime.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Takes over what the store keeps, for as long as the process lives.
-pub async fn follow_store(suspects: Arc<SuspectTracker>, surroundings: Arc<dyn ClusterAccess>) {
-    let mut is_away = false;
+/// Applies the quarantine's items of the store until the process exits.
+pub async fn follow_store(suspects: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) {
+    let mut is_unavailable = false;
     loop {
-        let mut store = surroundings.store();
-        let Err(error) = follow_until_lost(&suspects, &mut store, &mut is_away).await;
+        let mut store = cluster.store();
+        let Err(error) = follow_until_error(&suspects, &mut store, &mut is_unavailable).await;
         suspects.on_store_failed();
-        if !is_away {
-            log::warn!(reason:% = error; "what is held back cannot be read in the store");
+        if !is_unavailable {
+            log::warn!(reason:% = error; "cannot read the quarantine items in the store");
         }
-        is_away = true;
-        sleep(RETRY_PAUSE).await;
+        is_unavailable = true;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 enum Never {}
 
-async fn follow_until_lost(
+async fn follow_until_error(
     suspects: &SuspectTracker,
     store: &mut Store,
-    is_away: &mut bool,
+    is_unavailable: &mut bool,
 ) -> Result<Never, StoreError> {
     let (items, mut position) = store.own_items(PREFIX).await?;
     suspects.apply_items(&items, position);
-    if std::mem::take(is_away) {
-        log::info!("what is held back can be read in the store again");
+    if std::mem::take(is_unavailable) {
+        log::info!("the quarantine items in the store can be read again");
     }
     loop {
         let topic = Topic::Own(PREFIX);
-        let watched = store.watch(topic, position, WATCH_WAIT_MS).await?;
-        for revised in watched.events {
+        let response = store.watch(topic, position, WATCH_WAIT_MS).await?;
+        for revised in response.events {
             if let StoreEvent::Own { key, value } = revised.event {
                 suspects.apply_item(&key, value.as_deref(), revised.position);
             }
         }
-        position = watched.position;
+        position = response.position;
     }
 }
--- a/crates/quarantine/src/items.rs
+++ b/crates/quarantine/src/items.rs
@@ -1,8 +1,8 @@
-//! Takes over the items that the store keeps.
+//! Applies items of the store to the state of this process.
 //!
-//! A store that was restored from an older copy lacks what was written since. What this
-//! process knows better is written again: holds that are missing or older there, and the
-//! end of those that it has again.
+//! A store that was restored from an older copy lacks later writes. What this process knows better
+//! is written again: holds that are missing or outdated in the store are stored, and removed holds
+//! that are present again are removed.
 
 use berylhook_core::digest::RequestDigest;
 use berylhook_core::position::Position;
@@ -12,107 +12,115 @@
 
 use crate::replicator::Task;
 use crate::stored::{self, StoredItem};
-use crate::suspects::{SuspectTracker, locked};
+use crate::suspects::{SuspectTracker, lock_mutex};
 
 impl SuspectTracker {
-    /// Where the request's hold was written last in the store; `None` if it has none.
-    pub(crate) fn hold_written(&self, digest: RequestDigest) -> Option<Position> {
-        locked(&self.kept_holds).written(digest)
+    /// The position at which the request's hold was last written in the store; `None` if it has
+    /// none.
+    pub(crate) fn hold_position(&self, digest: RequestDigest) -> Option<Position> {
+        lock_mutex(&self.stored_holds).position(digest)
     }
 
-    /// Whether the store was restored since that era.
-    pub(crate) fn is_of_former_era(&self, era: u64) -> bool {
-        locked(&self.kept_holds).era() > era
+    /// Whether the store has been restored since this era.
+    pub(crate) fn is_of_previous_era(&self, era: u64) -> bool {
+        lock_mutex(&self.stored_holds).era() > era
     }
 
-    /// Holds that the store has lost, for it to keep again.
-    pub(crate) fn lost_holds(&self) -> Vec<(RequestDigest, Hold)> {
-        let lost = locked(&self.kept_holds).lost();
+    /// Holds that are missing in the store, to be written again.
+    pub(crate) fn missing_holds(&self) -> Vec<(RequestDigest, Hold)> {
+        let missing = lock_mutex(&self.stored_holds).missing();
         let state = self.lock();
-        let known = lost.into_iter().filter_map(|digest| {
+        let with_holds = missing.into_iter().filter_map(|digest| {
             let hold = state.quarantine.hold(digest)?;
             Some((digest, hold.clone()))
         });
-        known.collect()
+        with_holds.collect()
     }
 
     fn known_hold(&self, digest: RequestDigest) -> Option<Hold> {
         self.lock().quarantine.hold(digest).cloned()
     }
 
-    /// Takes over the hold that the store has at that position.
-    pub(crate) fn learn_hold(&self, digest: RequestDigest, hold: Option<Hold>, written: Position) {
-        let known = self.known_hold(digest);
-        let is_news = locked(&self.kept_holds).learn(digest, hold.as_ref(), known, written);
-        if is_news {
-            self.take_hold(digest, hold);
+    /// Applies the request's hold that the store has at this position.
+    pub(crate) fn apply_stored_hold(
+        &self,
+        digest: RequestDigest,
+        hold: Option<Hold>,
+        position: Position,
+    ) {
+        let known_hold = self.known_hold(digest);
+        let is_new =
+            lock_mutex(&self.stored_holds).apply(digest, hold.as_ref(), known_hold, position);
+        if is_new {
+            self.apply_hold(digest, hold);
         }
     }
 
-    /// Takes over what the store holds of this project's, read anew at that position.
+    /// Applies all items of the quarantine, from a full read of the store at this position.
     pub fn apply_items(&self, items: &[OwnItem], position: Position) {
-        let (is_restored, mut gone) = {
-            let mut kept = locked(&self.kept_holds);
-            (kept.on_era(position.era), kept.digests())
+        let (is_restored, mut absent) = {
+            let mut stored = lock_mutex(&self.stored_holds);
+            (stored.on_era(position.era), stored.digests())
         };
-        // Ends come before what was outlived: that of an unknown suspect says nothing.
+        // The keys of exits sort before those of survived runs. A survived run only changes a
+        // status if an exit of the request is known.
         for item in items {
-            let taken = if is_restored {
-                self.take_copied(item)
+            let hold_digest = if is_restored {
+                self.apply_restored_item(item)
             } else {
                 self.apply_item(&item.key, Some(&item.value), item.position)
             };
-            if let Some(digest) = taken {
-                gone.retain(|known| *known != digest);
+            if let Some(digest) = hold_digest {
+                absent.retain(|known| *known != digest);
             }
         }
         self.on_store_read();
-        for digest in gone {
+        for digest in absent {
             if is_restored {
-                locked(&self.kept_holds).lose(digest, None);
+                lock_mutex(&self.stored_holds).mark_missing(digest, None);
             } else {
-                self.learn_hold(digest, None, position);
+                self.apply_stored_hold(digest, None, position);
             }
         }
     }
 
-    /// Takes over one item of a store that was restored from an older copy, unless this
-    /// process knows better; gives the request whose hold it is.
-    fn take_copied(&self, item: &OwnItem) -> Option<RequestDigest> {
+    /// Applies an item of a store that was restored from an older copy, unless this process has a
+    /// later version; returns the request if the item is a hold.
+    fn apply_restored_item(&self, item: &OwnItem) -> Option<RequestDigest> {
         let Ok(StoredItem::Hold {
             digest,
-            hold: Some(copied),
+            hold: Some(restored_hold),
         }) = stored::read(&item.key, Some(&item.value))
         else {
             return self.apply_item(&item.key, Some(&item.value), item.position);
         };
-        let known = self.known_hold(digest);
-        let has_ended = locked(&self.kept_holds).has_ended(digest, &copied);
-        match known {
-            Some(known) if known.is_newer_than(&copied) => {
-                locked(&self.kept_holds).lose(digest, Some(item.position));
+        let known_hold = self.known_hold(digest);
+        let was_removed = lock_mutex(&self.stored_holds).was_removed(digest, &restored_hold);
+        match known_hold {
+            Some(known_hold) if known_hold.is_newer_than(&restored_hold) => {
+                lock_mutex(&self.stored_holds).mark_missing(digest, Some(item.position));
             }
-            _ => self.learn_hold(digest, Some(copied), item.position),
+            _ => self.apply_stored_hold(digest, Some(restored_hold), item.position),
         }
-        if has_ended {
-            log::info!(digest:% = digest; "the store has a hold again that had ended");
-            self.ask_keeper(Task::Lift(digest));
+        if was_removed {
+            log::info!(digest:% = digest; "a removed hold is in the store again after a restore; removing it");
+            self.send_task(Task::RemoveHold(digest));
         }
         Some(digest)
     }
 
-    /// A wall-clock time on this process's own clock.
-    fn at_ms(&self, at: WallMs) -> MonoMs {
+    /// Converts a wall-clock time to this process's monotonic clock.
+    fn to_mono_ms(&self, at: WallMs) -> MonoMs {
         let age_ms = WallMs::now().0.saturating_sub(at.0);
         MonoMs(self.now_ms().0.saturating_sub(age_ms))
     }
 
-    /// Takes over one item of the store; gives the request whose hold it is.
+    /// Applies an item of the store; returns the request if the item is a hold.
     pub fn apply_item(
         &self,
         key: &str,
         value: Option<&[u8]>,
-        written: Position,
+        position: Position,
     ) -> Option<RequestDigest> {
         match stored::read(key, value) {
             Ok(StoredItem::Exit {
@@ -120,33 +128,33 @@
                 at,
                 suspects,
             }) => {
-                let at_ms = self.at_ms(at);
-                let end = TargetExit {
+                let at_ms = self.to_mono_ms(at);
+                let exit = TargetExit {
                     target,
                     at_ms,
                     suspects,
                 };
-                let facts = Facts::new(vec![end], Vec::new(), self.now_ms());
-                self.take_facts(&facts, "store");
+                let facts = Facts::new(vec![exit], Vec::new(), self.now_ms());
+                self.apply_facts(&facts, "store");
                 None
             }
             Ok(StoredItem::SurvivedRun { digest, run, at }) => {
-                let outlived = SurvivedRun {
+                let survived = SurvivedRun {
                     digest,
                     run,
-                    at_ms: self.at_ms(at),
+                    at_ms: self.to_mono_ms(at),
                 };
-                let facts = Facts::new(Vec::new(), vec![outlived], self.now_ms());
-                self.take_facts(&facts, "store");
+                let facts = Facts::new(Vec::new(), vec![survived], self.now_ms());
+                self.apply_facts(&facts, "store");
                 None
             }
             Ok(StoredItem::Hold { digest, hold }) => {
-                self.learn_hold(digest, hold, written);
+                self.apply_stored_hold(digest, hold, position);
                 Some(digest)
             }
             Ok(StoredItem::Irrelevant) => None,
             Err(error) => {
-                log::error!(key, reason:% = error; "an item of the store cannot be read");
+                log::error!(key, reason:% = error; "cannot decode an item of the store");
                 None
             }
         }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,28 +1,28 @@
-//! Requests that are held back because targets end under them: what this process saw, what
-//! it heard, and who may go on.
+//! Quarantine of requests that make targets exit: collects the facts of this process, exchanges
+//! them with other processes, and decides whether a request may run.
 //!
-//! The decision is `berylhook_core::quarantine`'s. Here its facts are gathered, and each
-//! request asks before it is sent. A process that embeds this brings its [`ClusterAccess`]
-//! and its [`QuarantineMetrics`], asks [`SuspectTracker::acquire_clearance`] before each send, and tells what became of
-//! it.
+//! The decisions are made by `berylhook_core::quarantine`. This crate collects the facts for them,
+//! and each request is checked before it is sent. A process that uses this crate implements
+//! [`ClusterAccess`] and [`QuarantineMetrics`], calls [`SuspectTracker::acquire_clearance`] before
+//! each send, and reports the outcome.
 //!
-//! | Part | Job |
+//! | Module | Contents |
 //! |---|---|
-//! | `suspects` | what is known, and what follows for a request |
-//! | `losses` | which targets ended, from sends that lost their answer |
-//! | `left` | which targets to look at, since callers left runs there |
-//! | `look` | how a target is asked who it is |
+//! | `suspects` | the state of this process, and the status of a request |
+//! | `lost_requests` | detects exited targets after sends that lost their response |
+//! | `abandoned_runs` | schedules probes of targets at which callers abandoned runs |
+//! | `probe` | asks a target which incarnation it is |
 //! | `clearance` | what a request needs before it may be sent |
-//! | `keeper` | tells facts to peers and to the store, takes locks there |
-//! | `items` | takes over the items that the store keeps |
-//! | `kept_holds` | what the store has of holds, and what a restore took from it |
-//! | `follow` | follows it, for a process that follows nothing else there |
+//! | `replicator` | sends facts to peers and to the store, and acquires locks there |
+//! | `items` | applies items of the store |
+//! | `stored_holds` | holds in the store, and those that a restore has removed or brought back |
+//! | `follow` | follows the store, for a process that does not follow it otherwise |
 //! | `initial_sync` | whether a process that has just started knows enough to serve |
-//! | `messages` | what processes tell each other |
-//! | [`stored`] | what stands in the store |
+//! | `messages` | messages between processes |
+//! | [`stored`] | keys and documents in the store |
 //!
-//! Most of the time nothing is suspected; a request then costs one atomic load, and no
-//! digest is made of it.
+//! Most of the time no request is suspected. A request then costs one atomic load, and its digest
+//! is not computed.
 
 mod abandoned_runs;
 mod clearance;
@@ -51,30 +51,30 @@
 pub use self::replicator::Replicator;
 pub use self::suspects::SuspectTracker;
 
-/// A peer's answer to news, or why there is none.
+/// A peer's reply to an update, or the reason why there is none.
 pub type UpdateReply<'a> =
     Pin<Box<dyn Future<Output = Result<QuarantineUpdate, String>> + Send + 'a>>;
 
-/// The store and the peers of the process.
+/// Access to the store and to the peers of this process.
 pub trait ClusterAccess: Send + Sync {
-    /// This process's name, as the holder of a lock.
+    /// The name of this process, which is stored as the holder of its locks.
     fn name(&self) -> Arc<str>;
 
-    /// A client for the platform's store.
+    /// Creates a client for the platform's store.
     fn store(&self) -> Store;
 
-    /// All peers known.
+    /// The addresses of all known peers.
     fn peers(&self) -> Vec<SocketAddr>;
 
-    /// Tells a peer news; it answers with all that it knows where the news asks for it.
-    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_>;
+    /// Sends an update to a peer. The peer replies with all its facts if the update asks for them.
+    fn send_update(&self, peer: SocketAddr, update: QuarantineUpdate) -> UpdateReply<'_>;
 }
 
-/// Where the process counts what happens here.
+/// The metrics of the quarantine in this process.
 pub trait QuarantineMetrics: Send + Sync {
-    /// How many requests are suspected at present, and how many held back.
+    /// Sets the number of requests that are suspected, and of those that are held.
     fn set_request_counts(&self, suspected: usize, held: usize);
 
-    /// So many requests were newly found to have been at a target that ended.
+    /// Adds the number of requests that were newly found to have been at a target when it exited.
     fn add_requests_at_exit(&self, requests: usize);
 }
--- a/crates/quarantine/src/lost_requests.rs
+++ b/crates/quarantine/src/lost_requests.rs
@@ -1,9 +1,9 @@
-//! Which targets ended, from sends that lost their answer.
+//! Detects exited targets after sends that lost their response.
 //!
-//! A connection that ends without an answer says little: the target may have ended, may
-//! have reset it, or only one of its peers in a group is gone. What tells them apart is
-//! whether anybody still listens at its address. A VM that does not answer at all has lost
-//! its power or is cut off, which no request is blamed for.
+//! A connection that closes without a response is not sufficient evidence: the target may have
+//! exited, may have reset the connection, or only one of its peers in a group may be gone. The
+//! distinction is whether a process still listens at its address. A VM that does not reply at all
+//! has lost its power or is unreachable, which is attributed to no request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,38 +13,39 @@
 use berylhook_core::time::MonoMs;
 use indexmap::IndexMap;
 
-/// A loss whose target seemed to live is remembered this long, for a younger target at its
-/// address: supervisors that start a process again at once leave no time to find nobody
-/// there, and the younger one is listed within seconds.
-const REMEMBERED_MS: u64 = 10_000;
+/// Retention of lost requests whose target seemed to be alive. A supervisor that restarts a process
+/// immediately leaves no time in which connections are refused, but the new incarnation at the
+/// address is listed within seconds.
+const RETENTION_MS: u64 = 10_000;
 
-/// Targets whose losses are remembered. A target has one entry however many it lost.
-const MOST_TARGETS: usize = 256;
+/// Maximum number of targets with lost requests. A target has one entry for all its lost requests.
+const MAX_TARGETS: usize = 256;
 
-/// Losses remembered for each of them.
-const MOST_LOSSES: usize = 64;
+/// Maximum number of lost requests for each target.
+const MAX_REQUESTS_PER_TARGET: usize = 64;
 
-/// An incarnation of a target, and where it is.
+/// An incarnation of a target, and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetIncarnation {
-    /// The name of the incarnation, the same at all processes.
+    /// The name of the incarnation, the same in all processes.
     pub target: Arc<str>,
-    /// Where it listens.
+    /// The address at which the target listens.
     pub address: SocketAddr,
-    /// When it came to be listed there: a later one at the address has taken its place.
+    /// The revision of the target list at which this incarnation was added. An incarnation with a
+    /// higher revision at the same address has replaced it.
     pub listed_revision: u64,
 }
 
-/// A request whose answer was lost.
+/// A request whose response was lost, or whose run was abandoned.
 #[derive(Clone, Debug)]
 pub struct LostRequest {
-    /// What was asked.
+    /// The digest of the request's content.
     pub digest: RequestDigest,
-    /// Whether it ran under a lock, as a suspect.
+    /// Whether the request ran under a lock, as a suspect.
     pub ran_alone: bool,
-    /// The attempt's id, for the logs.
+    /// The id of the attempt, for log lines.
     pub attempt_id: Arc<str>,
-    /// The client account, for the logs.
+    /// The client account, for log lines.
     pub account: Arc<str>,
 }
 
@@ -57,88 +58,96 @@
     }
 }
 
-struct Lost {
-    place: TargetIncarnation,
-    losses: Vec<LostRequest>,
-    /// When it turned out that somebody listens there; `None` while nobody knows.
-    unproved_ms: Option<MonoMs>,
+struct LostAtTarget {
+    incarnation: TargetIncarnation,
+    requests: Vec<LostRequest>,
+    /// When a probe found a listener at the address; `None` while the probe is pending.
+    no_exit_found_ms: Option<MonoMs>,
 }
 
-/// Losses at targets of which it is not known that they ended.
+/// Lost requests at targets that are not known to have exited.
 #[derive(Default)]
-pub(crate) struct Losses {
-    by_target: IndexMap<Arc<str>, Lost>,
+pub(crate) struct LostRequests {
+    by_target: IndexMap<Arc<str>, LostAtTarget>,
 }
 
-impl Losses {
+impl LostRequests {
     pub(crate) fn is_empty(&self) -> bool {
         self.by_target.is_empty()
     }
 
-    /// Adds a loss; returns whether the target has to be looked at.
-    pub(crate) fn add(&mut self, place: &TargetIncarnation, loss: LostRequest) -> bool {
-        if self.by_target.len() >= MOST_TARGETS && !self.by_target.contains_key(&place.target) {
+    /// Adds a lost request; returns whether the target must be probed.
+    pub(crate) fn add(&mut self, incarnation: &TargetIncarnation, request: LostRequest) -> bool {
+        if self.by_target.len() >= MAX_TARGETS && !self.by_target.contains_key(&incarnation.target)
+        {
             self.by_target.swap_remove_index(0);
         }
-        let entry = self.by_target.entry(Arc::clone(&place.target));
-        let lost = entry.or_insert_with(|| Lost {
-            place: place.clone(),
-            losses: Vec::new(),
-            // Looked at below, as one that was found to live is looked at again.
-            unproved_ms: Some(MonoMs(0)),
+        let entry = self.by_target.entry(Arc::clone(&incarnation.target));
+        let lost = entry.or_insert_with(|| LostAtTarget {
+            incarnation: incarnation.clone(),
+            requests: Vec::new(),
+            // Cleared below, so that the target is probed, like one that a previous probe found
+            // alive.
+            no_exit_found_ms: Some(MonoMs(0)),
         });
-        if lost.losses.len() < MOST_LOSSES {
-            lost.losses.push(loss);
+        if lost.requests.len() < MAX_REQUESTS_PER_TARGET {
+            lost.requests.push(request);
         }
-        lost.unproved_ms.take().is_some()
+        lost.no_exit_found_ms.take().is_some()
     }
 
-    /// Whether it is being found out if a target of this request has ended.
-    pub(crate) fn is_unsettled(&self, digest: RequestDigest) -> bool {
-        let mut unsettled = self
+    /// Whether a probe of a target that lost this request is pending.
+    pub(crate) fn is_pending(&self, digest: RequestDigest) -> bool {
+        let mut pending = self
             .by_target
             .values()
-            .filter(|it| it.unproved_ms.is_none());
-        unsettled.any(|lost| lost.losses.iter().any(|loss| loss.digest == digest))
+            .filter(|lost| lost.no_exit_found_ms.is_none());
+        pending.any(|lost| lost.requests.iter().any(|request| request.digest == digest))
     }
 
-    /// The target has ended: gives the losses there.
-    pub(crate) fn take(&mut self, name: &str) -> Vec<LostRequest> {
-        let lost = self.by_target.swap_remove(name);
-        lost.map(|lost| lost.losses).unwrap_or_default()
+    /// Removes a target that has exited, and returns its lost requests.
+    pub(crate) fn take_target(&mut self, target: &str) -> Vec<LostRequest> {
+        let lost = self.by_target.swap_remove(target);
+        lost.map(|lost| lost.requests).unwrap_or_default()
     }
 
-    /// Nothing shows that the target has ended.
-    pub(crate) fn set_unproved(&mut self, name: &str, now_ms: MonoMs) {
-        if let Some(lost) = self.by_target.get_mut(name) {
-            lost.unproved_ms = Some(now_ms);
+    /// Records that a probe did not show that the target has exited.
+    pub(crate) fn on_no_exit_found(&mut self, target: &str, now_ms: MonoMs) {
+        if let Some(lost) = self.by_target.get_mut(target) {
+            lost.no_exit_found_ms = Some(now_ms);
         }
     }
 
-    /// Forgets losses for which nothing showed that their target ended.
-    pub(crate) fn forget_old(&mut self, now_ms: MonoMs) {
+    /// Removes old lost requests whose target was not found to have exited.
+    pub(crate) fn expire(&mut self, now_ms: MonoMs) {
         self.by_target.retain(|_, lost| {
-            let unproved_ms = lost.unproved_ms.unwrap_or(now_ms);
-            now_ms.since(unproved_ms) < REMEMBERED_MS
+            let no_exit_found_ms = lost.no_exit_found_ms.unwrap_or(now_ms);
+            now_ms.since(no_exit_found_ms) < RETENTION_MS
         });
     }
 
-    /// The losses at targets at whose address a younger one is listed.
-    pub(crate) fn superseded(
+    /// Removes the targets at whose address a later incarnation is listed, and returns their lost
+    /// requests.
+    pub(crate) fn take_superseded(
         &mut self,
-        usable: &[TargetIncarnation],
+        listed: &[TargetIncarnation],
     ) -> Vec<(Arc<str>, Vec<LostRequest>)> {
-        let is_superseded = |lost: &Lost| {
-            let former = &lost.place;
-            let mut here = usable.iter().filter(|it| it.address == former.address);
-            here.any(|place| place.listed_revision > former.listed_revision)
+        let is_superseded = |lost: &LostAtTarget| {
+            let previous = &lost.incarnation;
+            let mut at_address = listed
+                .iter()
+                .filter(|incarnation| incarnation.address == previous.address);
+            at_address.any(|incarnation| incarnation.listed_revision > previous.listed_revision)
         };
-        let found = self.by_target.iter().filter(|(_, it)| is_superseded(it));
-        let names: Vec<_> = found.map(|(name, _)| Arc::clone(name)).collect();
-        let taken = names.into_iter().map(|name| {
-            let losses = self.take(&name);
-            (name, losses)
+        let superseded = self
+            .by_target
+            .iter()
+            .filter(|(_, lost)| is_superseded(lost));
+        let targets: Vec<_> = superseded.map(|(target, _)| Arc::clone(target)).collect();
+        let with_requests = targets.into_iter().map(|target| {
+            let requests = self.take_target(&target);
+            (target, requests)
         });
-        taken.collect()
+        with_requests.collect()
     }
 }
--- a/crates/quarantine/src/messages.rs
+++ b/crates/quarantine/src/messages.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of targets that ended.
+//! Messages between processes about targets that exited.
 
 use std::sync::Arc;
 
@@ -8,41 +8,41 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Facts, with their age at the time of telling.
+/// Facts, with their age at the time of sending.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct QuarantineUpdate {
-    ends: Vec<EndNews>,
-    outlived: Vec<OutlivedNews>,
-    /// Whether the teller wants all that the other knows.
+    exits: Vec<ExitReport>,
+    survived_runs: Vec<SurvivedRunReport>,
+    /// Whether the sender asks for all facts of the receiver.
     pub(crate) wants_all: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct EndNews {
+struct ExitReport {
     target: Arc<str>,
     age_ms: u64,
-    suspects: Vec<SuspectNews>,
+    suspects: Vec<SuspectReport>,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct SuspectNews {
+struct SuspectReport {
     digest: [u8; 32],
     ran_alone: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct OutlivedNews {
+struct SurvivedRunReport {
     digest: [u8; 32],
     run: Arc<str>,
     age_ms: u64,
 }
 
-/// Bytes that are no news.
+/// Bytes that are not a valid update.
 #[derive(Debug, Error)]
-#[error("these bytes are no news ({0}); send them as a process of this version does")]
+#[error("malformed quarantine update ({0}); peers must send the format of this version")]
 pub struct MalformedUpdate(#[from] postcard::Error);
 
-impl From<&Suspect> for SuspectNews {
+impl From<&Suspect> for SuspectReport {
     fn from(suspect: &Suspect) -> Self {
         Self {
             digest: *suspect.digest.as_bytes(),
@@ -51,26 +51,26 @@
     }
 }
 
-impl From<SuspectNews> for Suspect {
-    fn from(news: SuspectNews) -> Self {
+impl From<SuspectReport> for Suspect {
+    fn from(report: SuspectReport) -> Self {
         Self {
-            digest: RequestDigest::from_bytes(news.digest),
-            ran_alone: news.ran_alone,
+            digest: RequestDigest::from_bytes(report.digest),
+            ran_alone: report.ran_alone,
         }
     }
 }
 
 impl QuarantineUpdate {
-    /// Reads what a peer has sent.
+    /// Decodes an update from a peer.
     ///
     /// # Errors
     ///
-    /// If the bytes are no news.
+    /// If the bytes are not a valid update.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, MalformedUpdate> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
-    /// The bytes to send to a peer.
+    /// Encodes the update for a peer.
     ///
     /// # Panics
     ///
@@ -81,36 +81,39 @@
     }
 
     pub(crate) fn of(facts: &Facts, wants_all: bool) -> Self {
-        let ends = facts.exits.iter().map(|end| EndNews {
-            target: Arc::clone(&end.target),
-            age_ms: facts.now_ms.since(end.at_ms),
-            suspects: end.suspects.iter().map(SuspectNews::from).collect(),
-        });
-        let outlived = facts.survived_runs.iter().map(|it| OutlivedNews {
-            digest: *it.digest.as_bytes(),
-            run: Arc::clone(&it.run),
-            age_ms: facts.now_ms.since(it.at_ms),
+        let exits = facts.exits.iter().map(|exit| ExitReport {
+            target: Arc::clone(&exit.target),
+            age_ms: facts.now_ms.since(exit.at_ms),
+            suspects: exit.suspects.iter().map(SuspectReport::from).collect(),
         });
+        let survived_runs = facts
+            .survived_runs
+            .iter()
+            .map(|survived| SurvivedRunReport {
+                digest: *survived.digest.as_bytes(),
+                run: Arc::clone(&survived.run),
+                age_ms: facts.now_ms.since(survived.at_ms),
+            });
         Self {
-            ends: ends.collect(),
-            outlived: outlived.collect(),
+            exits: exits.collect(),
+            survived_runs: survived_runs.collect(),
             wants_all,
         }
     }
 
-    /// The facts by a clock that reads `now_ms`.
+    /// Converts the update to facts on a clock that reads `now_ms`.
     pub(crate) fn into_facts(self, now_ms: MonoMs) -> Facts {
         let at_ms = |age_ms: u64| MonoMs(now_ms.0.saturating_sub(age_ms));
-        let ends = self.ends.into_iter().map(|it| TargetExit {
-            target: it.target,
-            at_ms: at_ms(it.age_ms),
-            suspects: it.suspects.into_iter().map(Suspect::from).collect(),
+        let exits = self.exits.into_iter().map(|report| TargetExit {
+            target: report.target,
+            at_ms: at_ms(report.age_ms),
+            suspects: report.suspects.into_iter().map(Suspect::from).collect(),
         });
-        let outlived = self.outlived.into_iter().map(|it| SurvivedRun {
-            digest: RequestDigest::from_bytes(it.digest),
-            run: it.run,
-            at_ms: at_ms(it.age_ms),
+        let survived_runs = self.survived_runs.into_iter().map(|report| SurvivedRun {
+            digest: RequestDigest::from_bytes(report.digest),
+            run: report.run,
+            at_ms: at_ms(report.age_ms),
         });
-        Facts::new(ends.collect(), outlived.collect(), now_ms)
+        Facts::new(exits.collect(), survived_runs.collect(), now_ms)
     }
 }
--- a/crates/quarantine/src/probe.rs
+++ b/crates/quarantine/src/probe.rs
@@ -1,22 +1,23 @@
-//! How a target is looked at that may have ended: its caller left a run there, or it lost an answer.
+//! Probes of a target that may have exited, because a caller abandoned a run there or a response
+//! was lost.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
 
 use berylhook_target::probe::{self, Listening};
 
-/// What a look shows.
+/// The result of a probe.
 pub type ProbeFuture<'a> = Pin<Box<dyn Future<Output = Listening> + Send + 'a>>;
 
-/// Finds out who listens at a target's address.
+/// Determines which target listens at a target's address.
 ///
-/// [`Listening::Accepted`] also stands for a listener that does not tell who it is.
+/// [`Listening::Accepted`] is also the result for a listener that does not identify itself.
 pub trait Probe: Send + Sync {
-    /// Asks the target once.
+    /// Probes the target once.
     fn probe(&self) -> ProbeFuture<'_>;
 }
 
-/// Takes any listener at the address for the target.
+/// Assumes that any listener at the address is the target.
 pub struct AnyListener(pub SocketAddr);
 
 impl Probe for AnyListener {
--- a/crates/quarantine/src/replicator.rs
+++ b/crates/quarantine/src/replicator.rs
@@ -1,13 +1,14 @@
-//! Tells facts to the peers and to the store, and takes the locks there.
+//! Sends facts to the peers and to the store, and acquires locks in the store.
 //!
-//! News goes two ways at once. Peers hear it within milliseconds, also while the store is
-//! away; the store keeps it for an entry that starts later, or that its peers do not reach.
-//! What both miss is found when entries compare their summaries, each five seconds.
+//! Facts are sent on two paths at the same time. Peers receive them within milliseconds, even while
+//! the store is unavailable. The store keeps them for entries that start later or that the peers
+//! cannot reach. Facts that are lost on both paths are exchanged when entries compare their
+//! summaries, every five seconds.
 //!
-//! A lock is given back only after all news before it stands in the store, and whoever gets
-//! one reads what stands there. So the next run of a suspect begins with what the last one
-//! showed, whatever news was lost on the way: without that a guilty request ended a fourth
-//! target in 7 of 20 plays of a model with two entries that loses one message in five.
+//! A lock is released only after all previous facts are in the store, and the new holder of a lock
+//! reads the store. So the next run of a suspect starts with the outcome of the previous run, even
+//! if messages are lost. Without this, a poison request stopped a fourth target in 7 of 20 runs of
+//! a simulation with two entries that loses one message in five.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,75 +29,76 @@
 use crate::ClusterAccess;
 use crate::messages::QuarantineUpdate;
 use crate::stored::{self, ExitDocument, SurvivedRunDocument, SuspectDocument};
-use crate::suspects::{SuspectTracker, locked};
+use crate::suspects::{SuspectTracker, lock_mutex};
 
-/// Time for a peer's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time-out for a peer's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Wait before a peer that did not take news is told again.
-const TELL_AGAIN: Duration = Duration::from_millis(400);
+/// Delay before an update is sent again to a peer that did not confirm it.
+const SEND_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Times that a peer is told before it is left to find out by comparing.
-const MOST_TELLINGS: usize = 3;
+/// Number of attempts to send an update to a peer. After that, the peer gets the facts when
+/// summaries are compared.
+const MAX_SEND_ATTEMPTS: usize = 3;
 
-/// Tellings whose end the next lock to be given back waits for.
-const MOST_TELLINGS_KEPT: usize = 64;
+/// Maximum number of pending writes of facts that the release of the next lock waits for.
+const MAX_PENDING_WRITES: usize = 64;
 
-/// Ends from which on it is kept that a target outlived the request.
-const ENDS_TO_KEEP_OUTLIVED: usize = 2;
+/// Number of exits of a request from which on its survived runs are stored.
+const MIN_EXITS_TO_STORE_SURVIVED_RUNS: usize = 2;
 
-/// Peers told at once: those that do not answer must not hold up the others.
-const TOLD_AT_ONCE: usize = 8;
+/// Maximum number of peers to which an update is sent at the same time. Peers that do not reply
+/// must not delay the others.
+const MAX_CONCURRENT_SENDS: usize = 8;
 
-/// Time for news to stand in the store before its lock is left to its lease.
-const KEPT_WITHIN: Duration = Duration::from_millis(1_500);
+/// Time-out for writing facts to the store. After that, the lock is not released but expires with
+/// its lease.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at what has to be kept or forgotten in the store.
-const TIDY_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which holds are stored and removed.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What traffic asks of the keeper.
+/// A task for the replicator.
 pub(crate) enum Task {
-    /// Tell these facts to all.
-    Tell(Facts),
-    /// A trial went well: take back what is kept of the request.
-    Lift(RequestDigest),
-    /// Take a lock over all entries, under all of these names or none.
+    /// Send these facts to the peers and the store.
+    SendFacts(Facts),
+    /// Remove the hold of a request, because a target has survived its trial or a restore of the
+    /// store has brought the hold back.
+    RemoveHold(RequestDigest),
+    /// Acquire a lock over all entries, under all of these names or none.
     Lock {
         names: Vec<Arc<str>>,
         ttl: Duration,
-        answer: oneshot::Sender<LockAnswer>,
+        reply_sender: oneshot::Sender<LockReply>,
     },
-    /// Give a lock back.
+    /// Release a lock.
     Unlock { lease: Lease },
-    /// Exchange all facts with a peer that knows others.
-    Compare(SocketAddr),
+    /// Exchange all facts with a peer whose summary differs.
+    ExchangeFacts(SocketAddr),
 }
 
-/// What became of a request for a lock.
+/// The reply to a request for a lock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LockAnswer {
-    /// It is held by that lease.
+pub(crate) enum LockReply {
+    /// The lock is held under this lease.
     Granted { lease: Lease },
-    /// Another run has it.
+    /// Another run holds the lock.
     Taken,
-    /// The store does not answer.
-    Away,
+    /// The store does not reply.
+    StoreUnavailable,
 }
 
-/// Keeps what is known of requests under which targets end.
+/// Replicates facts and holds to the peers and the store, and manages locks in the store.
 pub struct Replicator {
     suspects: Arc<SuspectTracker>,
-    surroundings: Arc<dyn ClusterAccess>,
+    cluster: Arc<dyn ClusterAccess>,
 }
 
 impl Replicator {
-    /// A keeper of what is known in `suspects`.
+    /// Creates a replicator for the state in `suspects`.
     #[must_use]
-    pub fn new(suspects: Arc<SuspectTracker>, surroundings: Arc<dyn ClusterAccess>) -> Self {
-        Self {
-            suspects,
-            surroundings,
-        }
+    pub fn new(suspects: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) -> Self {
+        Self { suspects, cluster }
     }
 
     fn suspects(&self) -> &Arc<SuspectTracker> {
@@ -104,193 +106,202 @@
     }
 
     fn store(&self) -> Store {
-        self.surroundings.store()
+        self.cluster.store()
     }
 
-    /// Does what traffic asks, for as long as the process lives.
+    /// Runs the tasks of the tracker until the process exits.
     pub async fn run(self: Arc<Self>) {
-        let waiting = &self.suspects().waiting_tasks;
-        let Some(mut tasks) = locked(waiting).take() else {
+        let task_receiver = &self.suspects().task_receiver;
+        let Some(mut tasks) = lock_mutex(task_receiver).take() else {
             return;
         };
-        tokio::spawn(Arc::clone(&self).tidy_always());
-        let mut tellings: Vec<JoinHandle<bool>> = Vec::new();
+        tokio::spawn(Arc::clone(&self).run_maintenance());
+        let mut pending_writes: Vec<JoinHandle<bool>> = Vec::new();
         while let Some(task) = tasks.recv().await {
-            self.begin(task, &mut tellings, &mut tasks);
+            self.start_task(task, &mut pending_writes, &mut tasks);
         }
     }
 
-    fn begin(
+    fn start_task(
         self: &Arc<Self>,
         task: Task,
-        tellings: &mut Vec<JoinHandle<bool>>,
+        pending_writes: &mut Vec<JoinHandle<bool>>,
         tasks: &mut mpsc::UnboundedReceiver<Task>,
     ) {
-        let keeper = Arc::clone(self);
+        let replicator = Arc::clone(self);
         match task {
-            Task::Tell(facts) => {
-                let (facts, next) = gather(facts, tasks);
-                if tellings.len() >= MOST_TELLINGS_KEPT {
-                    tellings.remove(0);
+            Task::SendFacts(facts) => {
+                let (facts, next_task) = collect_facts(facts, tasks);
+                if pending_writes.len() >= MAX_PENDING_WRITES {
+                    pending_writes.remove(0);
                 }
-                tellings.push(tokio::spawn(keeper.tell(facts)));
-                if let Some(next) = next {
-                    self.begin(next, tellings, tasks);
+                pending_writes.push(tokio::spawn(replicator.publish(facts)));
+                if let Some(next_task) = next_task {
+                    self.start_task(next_task, pending_writes, tasks);
                 }
             }
-            Task::Lift(digest) => drop(tokio::spawn(async move {
-                keeper.forget(digest).await;
+            Task::RemoveHold(digest) => drop(tokio::spawn(async move {
+                replicator.remove_hold(digest).await;
             })),
-            Task::Lock { names, ttl, answer } => drop(tokio::spawn(async move {
-                let locked = keeper.take_lock(&names, ttl).await;
-                // Who asked may have left.
-                if let Err(LockAnswer::Granted { lease }) = answer.send(locked) {
-                    keeper.give_back(lease).await;
+            Task::Lock {
+                names,
+                ttl,
+                reply_sender,
+            } => drop(tokio::spawn(async move {
+                let reply = replicator.acquire_lock(&names, ttl).await;
+                // The requester may be gone, and then nobody else would release the lock.
+                if let Err(LockReply::Granted { lease }) = reply_sender.send(reply) {
+                    replicator.release_lock(lease).await;
                 }
             })),
-            Task::Compare(address) => drop(tokio::spawn(async move {
-                keeper.compare(address).await;
+            Task::ExchangeFacts(address) => drop(tokio::spawn(async move {
+                replicator.exchange_facts(address).await;
             })),
             Task::Unlock { lease } => {
-                let tellings = std::mem::take(tellings);
+                let pending_writes = std::mem::take(pending_writes);
                 tokio::spawn(async move {
-                    if all_kept(tellings).await {
-                        keeper.give_back(lease).await;
+                    if all_written(pending_writes).await {
+                        replicator.release_lock(lease).await;
                     } else {
-                        log::info!("a lock is left to its lease: the news is not kept yet");
+                        log::info!(
+                            "the exits are not in the store yet; a lock expires with its lease"
+                        );
                     }
                 });
             }
         }
     }
 
-    /// Takes a peer's news; the answer tells all that is known here if the peer wants it.
+    /// Applies a peer's update; the reply contains all facts of this process if the peer asks for
+    /// them.
     #[must_use]
-    pub fn apply_update(&self, news: QuarantineUpdate) -> QuarantineUpdate {
+    pub fn apply_update(&self, update: QuarantineUpdate) -> QuarantineUpdate {
         let suspects = self.suspects();
-        let wants_all = news.wants_all;
-        suspects.take_facts(&news.into_facts(suspects.now_ms()), "peer");
-        let told = if wants_all {
+        let wants_all = update.wants_all;
+        suspects.apply_facts(&update.into_facts(suspects.now_ms()), "peer");
+        let reply_facts = if wants_all {
             suspects.facts()
         } else {
             Facts::default()
         };
-        QuarantineUpdate::of(&told, false)
+        QuarantineUpdate::of(&reply_facts, false)
     }
 
     /// Exchanges all facts with a peer.
-    async fn compare(&self, address: SocketAddr) {
+    async fn exchange_facts(&self, address: SocketAddr) {
         let suspects = self.suspects();
-        let news = QuarantineUpdate::of(&suspects.facts(), true);
-        match self.ask(address, news).await {
-            Ok(told) => {
-                suspects.take_facts(&told.into_facts(suspects.now_ms()), "peer");
-                suspects.on_peer_told();
+        let update = QuarantineUpdate::of(&suspects.facts(), true);
+        match self.send_to_peer(address, update).await {
+            Ok(reply) => {
+                suspects.apply_facts(&reply.into_facts(suspects.now_ms()), "peer");
+                suspects.on_peer_report();
             }
-            Err(reason) => log::debug!(reason:% = reason; "a peer does not compare its facts"),
+            Err(reason) => log::debug!(reason:% = reason; "cannot exchange facts with a peer"),
         }
     }
 
-    async fn ask(
+    async fn send_to_peer(
         &self,
         address: SocketAddr,
-        news: QuarantineUpdate,
+        update: QuarantineUpdate,
     ) -> Result<QuarantineUpdate, String> {
-        let telling = self.surroundings.send_update(address, news);
-        match timeout(ANSWER_TIMEOUT, telling).await {
-            Ok(told) => told,
-            Err(_) => Err(format!("no answer within {ANSWER_TIMEOUT:?}")),
+        let reply = self.cluster.send_update(address, update);
+        match timeout(REPLY_TIMEOUT, reply).await {
+            Ok(reply) => reply,
+            Err(_) => Err(format!("no reply within {REPLY_TIMEOUT:?}")),
         }
     }
 
-    /// Tells facts; returns whether they stand in the store.
-    async fn tell(self: Arc<Self>, facts: Facts) -> bool {
-        let keeper = Arc::clone(&self);
-        let told = facts.clone();
-        // A peer that does not answer must not hold up the next run of a suspect.
-        tokio::spawn(async move { keeper.tell_peers(&told).await });
-        self.keep(&facts).await
+    /// Sends facts to the peers and the store; returns whether all exits are in the store.
+    async fn publish(self: Arc<Self>, facts: Facts) -> bool {
+        let replicator = Arc::clone(&self);
+        let peer_facts = facts.clone();
+        // A peer that does not reply must not delay the next run of a suspect.
+        tokio::spawn(async move { replicator.send_to_peers(&peer_facts).await });
+        self.store_facts(&facts).await
     }
 
-    async fn tell_peers(&self, facts: &Facts) {
-        let mut addresses = self.surroundings.peers();
+    async fn send_to_peers(&self, facts: &Facts) {
+        let mut addresses = self.cluster.peers();
         let peers = addresses.len();
-        for telling in 0..MOST_TELLINGS {
-            if telling > 0 {
-                sleep(TELL_AGAIN).await;
+        for attempt in 0..MAX_SEND_ATTEMPTS {
+            if attempt > 0 {
+                sleep(SEND_RETRY_DELAY).await;
             }
             let facts = Facts {
                 now_ms: self.suspects().now_ms(),
                 ..facts.clone()
             };
-            let news = QuarantineUpdate::of(&facts, false);
-            let told = addresses.into_iter().map(|address| {
-                let news = news.clone();
+            let update = QuarantineUpdate::of(&facts, false);
+            let sends = addresses.into_iter().map(|address| {
+                let update = update.clone();
                 async move {
-                    let answer = self.ask(address, news).await;
-                    answer.is_err().then_some(address)
+                    let reply = self.send_to_peer(address, update).await;
+                    reply.is_err().then_some(address)
                 }
             });
-            let missed = stream::iter(told).buffer_unordered(TOLD_AT_ONCE);
+            let missed = stream::iter(sends).buffer_unordered(MAX_CONCURRENT_SENDS);
             let missed: Vec<Option<SocketAddr>> = missed.collect().await;
             addresses = missed.into_iter().flatten().collect();
             if addresses.is_empty() {
                 break;
             }
         }
-        // Runs that targets outlived are told often, and are no call for anybody to act.
-        for end in &facts.exits {
+        // Only exits are logged. Survived runs are sent often, and require no action of an
+        // operator.
+        for exit in &facts.exits {
             let missed = addresses.len();
-            log::info!(target = &*end.target, peers, missed; "peers were told of a target that ended");
+            log::info!(target = &*exit.target, peers, missed; "exit of a target sent to peers");
         }
     }
 
-    /// Leaves facts in the store, for entries that start later.
-    async fn keep(&self, facts: &Facts) -> bool {
-        let mut are_kept = true;
-        for end in &facts.exits {
-            if let Err(error) = self.keep_end(end, facts.now_ms).await {
-                log::warn!(target = &*end.target, reason:% = error; "an end is not kept in the store");
-                are_kept = false;
+    /// Writes facts to the store, for entries that start later; returns whether all exits were
+    /// written.
+    async fn store_facts(&self, facts: &Facts) -> bool {
+        let mut are_stored = true;
+        for exit in &facts.exits {
+            if let Err(error) = self.store_exit(exit, facts.now_ms).await {
+                log::warn!(target = &*exit.target, reason:% = error; "cannot store the exit of a target");
+                are_stored = false;
             }
         }
-        for outlived in &facts.survived_runs {
-            if let Err(error) = self.keep_outlived(outlived, facts.now_ms).await {
-                log::info!(digest:% = outlived.digest, reason:% = error; "an outlived run is not kept in the store");
+        for survived in &facts.survived_runs {
+            if let Err(error) = self.store_survived_run(survived, facts.now_ms).await {
+                log::info!(digest:% = survived.digest, reason:% = error; "cannot store a survived run");
             }
         }
         if !facts.exits.is_empty() {
-            self.keep_holds().await;
+            self.store_holds().await;
         }
-        are_kept
+        are_stored
     }
 
-    /// Leaves in the store that a target outlived a suspect. An entry that starts later
-    /// and read of the ends alone would hold back what all others have cleared. One end
-    /// holds nothing back, so its many suspects are not written.
-    async fn keep_outlived(
+    /// Writes a survived run of a suspect to the store. An entry that starts later and reads only
+    /// the exits would restrict a request that all other entries have cleared. A single exit holds
+    /// no request, so the survived runs of its many suspects are not written.
+    async fn store_survived_run(
         &self,
-        outlived: &SurvivedRun,
+        survived: &SurvivedRun,
         now_ms: MonoMs,
     ) -> Result<(), StoreError> {
-        let ends = self.suspects().exits_of(outlived.digest);
-        if ends < ENDS_TO_KEEP_OUTLIVED {
+        let exit_count = self.suspects().exit_count(survived.digest);
+        if exit_count < MIN_EXITS_TO_STORE_SURVIVED_RUNS {
             return Ok(());
         }
-        let age_ms = now_ms.since(outlived.at_ms);
+        let age_ms = now_ms.since(survived.at_ms);
         let document = SurvivedRunDocument {
-            digest: outlived.digest.to_string(),
-            run: Arc::clone(&outlived.run),
+            digest: survived.digest.to_string(),
+            run: Arc::clone(&survived.run),
             at_unix_ms: WallMs::now().0.saturating_sub(age_ms),
         };
-        let (digest, run) = (outlived.digest, &outlived.run);
+        let (digest, run) = (survived.digest, &survived.run);
         let key = format!("{}{digest}/{run}", stored::SURVIVED_RUN_PREFIX);
         let value = serde_json::to_vec(&document).expect("plain structures serialize");
-        self.keep_fact(key, value).await
+        self.store_fact(key, value).await
     }
 
-    /// Writes a fact, which ends with its lease.
-    async fn keep_fact(&self, key: String, value: Vec<u8>) -> Result<(), StoreError> {
+    /// Writes a fact, which is removed when its lease expires.
+    async fn store_fact(&self, key: String, value: Vec<u8>) -> Result<(), StoreError> {
         let mut store = self.store();
         let lease = store.grant(FACT_TTL_MS).await?;
         let put = Put {
@@ -302,22 +313,22 @@
         store.commit(&[put]).await.map(drop)
     }
 
-    async fn keep_end(&self, end: &TargetExit, now_ms: MonoMs) -> Result<(), StoreError> {
-        let age_ms = now_ms.since(end.at_ms);
+    async fn store_exit(&self, exit: &TargetExit, now_ms: MonoMs) -> Result<(), StoreError> {
+        let age_ms = now_ms.since(exit.at_ms);
         let document = ExitDocument {
-            target: Arc::clone(&end.target),
+            target: Arc::clone(&exit.target),
             at_unix_ms: WallMs::now().0.saturating_sub(age_ms),
-            suspects: end.suspects.iter().map(SuspectDocument::from).collect(),
+            suspects: exit.suspects.iter().map(SuspectDocument::from).collect(),
         };
-        // Each telling has a key of its own: what is told later of the same end adds to it.
+        // Each report has its own key, so that a later report of the same exit adds to it.
         let telling: u64 = rand::random();
-        let key = format!("{}{}/{telling:016x}", stored::EXIT_PREFIX, end.target);
+        let key = format!("{}{}/{telling:016x}", stored::EXIT_PREFIX, exit.target);
         let value = serde_json::to_vec(&document).expect("plain structures serialize");
-        self.keep_fact(key, value).await
+        self.store_fact(key, value).await
     }
 
-    /// Keeps in the store which requests are held back, and how often their trials failed.
-    async fn keep_holds(&self) {
+    /// Stores the holds that follow from the facts, and how many of their trials have failed.
+    async fn store_holds(&self) {
         let suspects = self.suspects();
         let unrecorded_holds = {
             let state = suspects.lock();
@@ -325,41 +336,41 @@
                 .quarantine
                 .unrecorded_holds(suspects.now_ms(), WallMs::now())
         };
-        for (digest, hold) in suspects.lost_holds().into_iter().chain(unrecorded_holds) {
-            match self.keep_hold(digest, &hold).await {
-                Ok(written) => {
-                    log::warn!(digest:% = digest, failed_trials = hold.failed_trials; "a request is held back");
-                    suspects.learn_hold(digest, Some(hold), written);
+        for (digest, hold) in suspects.missing_holds().into_iter().chain(unrecorded_holds) {
+            match self.store_hold(digest, &hold).await {
+                Ok(position) => {
+                    log::warn!(digest:% = digest, failed_trials = hold.failed_trials; "hold of a request stored");
+                    suspects.apply_stored_hold(digest, Some(hold), position);
                 }
-                // Another entry was first; the watch tells what it wrote.
+                // Another entry wrote the hold first; the watch delivers its value.
                 Err(StoreError::Conflict) => {}
                 Err(error) => {
-                    log::warn!(digest:% = digest, reason:% = error; "a hold is not kept in the store");
+                    log::warn!(digest:% = digest, reason:% = error; "cannot store the hold of a request");
                 }
             }
         }
     }
 
-    async fn keep_hold(&self, digest: RequestDigest, hold: &Hold) -> Result<Position, StoreError> {
+    async fn store_hold(&self, digest: RequestDigest, hold: &Hold) -> Result<Position, StoreError> {
         let put = Put {
             key: stored::hold_key(digest),
             value: stored::hold_value(hold),
-            expected: self.suspects().hold_written(digest),
+            expected: self.suspects().hold_position(digest),
             lease: None,
         };
         self.store().commit(&[put]).await
     }
 
-    async fn take_lock(&self, names: &[Arc<str>], ttl: Duration) -> LockAnswer {
-        let locked = self.try_lock(names, ttl).await;
-        let is_away = &self.suspects().is_store_away;
-        is_away.store(locked.is_err(), Ordering::Relaxed);
-        match locked {
-            Ok(Some(lease)) => LockAnswer::Granted { lease },
-            Ok(None) => LockAnswer::Taken,
+    async fn acquire_lock(&self, names: &[Arc<str>], ttl: Duration) -> LockReply {
+        let result = self.try_lock(names, ttl).await;
+        let is_store_unavailable = &self.suspects().is_store_unavailable;
+        is_store_unavailable.store(result.is_err(), Ordering::Relaxed);
+        match result {
+            Ok(Some(lease)) => LockReply::Granted { lease },
+            Ok(None) => LockReply::Taken,
             Err(error) => {
-                log::warn!(lock:? = names, reason:% = error; "a lock cannot be taken");
-                LockAnswer::Away
+                log::warn!(lock:? = names, reason:% = error; "cannot acquire a lock");
+                LockReply::StoreUnavailable
             }
         }
     }
@@ -380,28 +391,26 @@
             }
         }
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let lease = store
-            .grant(ttl_ms.clamp(LEAST_LEASE_MS, FACT_TTL_MS))
-            .await?;
+        let lease = store.grant(ttl_ms.clamp(MIN_LEASE_MS, FACT_TTL_MS)).await?;
         let puts = keys.into_iter().map(|key| Put {
             key,
-            value: self.surroundings.name().as_bytes().to_vec(),
+            value: self.cluster.name().as_bytes().to_vec(),
             expected: None,
             lease: Some(lease),
         });
         let puts: Vec<Put> = puts.collect();
-        let locked = match store.commit(&puts).await {
+        let result = match store.commit(&puts).await {
             Ok(_) => store.own_items(stored::PREFIX).await,
             Err(error) => Err(error),
         };
-        match locked {
+        match result {
             Ok((items, position)) => {
                 self.suspects().apply_items(&items, position);
                 Ok(Some(lease))
             }
             Err(error) => {
-                // It may have been taken all the same; the lease gives it back.
-                self.give_back(lease).await;
+                // The lock may have been acquired despite the error. Ending the lease releases it.
+                self.release_lock(lease).await;
                 match error {
                     StoreError::Conflict => Ok(None),
                     error => Err(error),
@@ -410,72 +419,75 @@
         }
     }
 
-    async fn give_back(&self, lease: Lease) {
-        if self.suspects().is_of_former_era(lease.era) {
+    async fn release_lock(&self, lease: Lease) {
+        if self.suspects().is_of_previous_era(lease.era) {
             return;
         }
         if let Err(error) = self.store().end(lease).await {
-            log::info!(reason:% = error; "a lock ends with its lease");
+            log::info!(reason:% = error; "cannot release a lock; it expires with its lease");
         }
     }
 
-    /// Keeps and forgets what nobody else has. Calls to a store that is away take their
-    /// time, so requests for locks must not wait behind them.
-    async fn tidy_always(self: Arc<Self>) {
+    /// Stores and removes holds periodically. Calls to an unavailable store take long, so this runs
+    /// in its own task, in order not to delay requests for locks.
+    async fn run_maintenance(self: Arc<Self>) {
         loop {
-            sleep(TIDY_EVERY).await;
+            sleep(MAINTENANCE_INTERVAL).await;
             if self.suspects().is_active() {
-                self.tidy().await;
+                self.maintain().await;
             }
         }
     }
 
-    async fn tidy(&self) {
+    async fn maintain(&self) {
         self.suspects().expire_facts();
-        self.keep_holds().await;
+        self.store_holds().await;
         let expired_holds = self
             .suspects()
             .lock()
             .quarantine
             .expired_holds(WallMs::now());
         for digest in expired_holds {
-            self.forget(digest).await;
+            self.remove_hold(digest).await;
         }
     }
 
-    async fn forget(&self, digest: RequestDigest) {
+    async fn remove_hold(&self, digest: RequestDigest) {
         let suspects = self.suspects();
         let key = stored::hold_key(digest);
-        let Some(written) = suspects.hold_written(digest) else {
-            suspects.learn_hold(digest, None, Position::default());
+        let Some(position) = suspects.hold_position(digest) else {
+            suspects.apply_stored_hold(digest, None, Position::default());
             return;
         };
-        match self.store().remove(&key, written).await {
-            Ok(removed) => {
-                log::warn!(digest:% = digest; "a request is held back no more");
-                suspects.learn_hold(digest, None, removed);
+        match self.store().remove(&key, position).await {
+            Ok(removed_at) => {
+                log::warn!(digest:% = digest; "hold of a request removed");
+                suspects.apply_stored_hold(digest, None, removed_at);
             }
             Err(StoreError::Conflict) => {}
             Err(error) => {
-                log::warn!(digest:% = digest, reason:% = error; "a hold stays in the store");
+                log::warn!(digest:% = digest, reason:% = error; "cannot remove the hold of a request from the store");
             }
         }
     }
 }
 
-/// The platform grants no shorter leases.
-const LEAST_LEASE_MS: u64 = 1_000;
+/// The minimum duration of a lease in the platform's store.
+const MIN_LEASE_MS: u64 = 1_000;
 
-async fn all_kept(tellings: Vec<JoinHandle<bool>>) -> bool {
-    let kept = timeout(KEPT_WITHIN, join_all(tellings)).await;
-    kept.is_ok_and(|kept| kept.iter().all(|kept| matches!(kept, Ok(true))))
+async fn all_written(pending_writes: Vec<JoinHandle<bool>>) -> bool {
+    let results = timeout(WRITE_TIMEOUT, join_all(pending_writes)).await;
+    results.is_ok_and(|results| results.iter().all(|result| matches!(result, Ok(true))))
 }
 
-/// Takes all facts that wait to be told, and the first task that is not of this kind.
-fn gather(mut facts: Facts, tasks: &mut mpsc::UnboundedReceiver<Task>) -> (Facts, Option<Task>) {
+/// Merges all queued facts into one update, and returns the first task of another kind.
+fn collect_facts(
+    mut facts: Facts,
+    tasks: &mut mpsc::UnboundedReceiver<Task>,
+) -> (Facts, Option<Task>) {
     while let Ok(task) = tasks.try_recv() {
         match task {
-            Task::Tell(more) => {
+            Task::SendFacts(more) => {
                 facts.now_ms = facts.now_ms.max(more.now_ms);
                 facts.exits.extend(more.exits);
                 facts.survived_runs.extend(more.survived_runs);
--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stored.rs
@@ -1,13 +1,13 @@
-//! What stands in the platform's store of requests under which targets end.
+//! Keys and documents of the quarantine in the platform's store.
 //!
-//! | Key | Value | Ends |
+//! | Key | Value | Removed |
 //! |---|---|---|
-//! | `berylhook/quarantine/end/TARGET/PROCESS` | an [`ExitDocument`] | with its lease, after ten minutes |
-//! | `berylhook/quarantine/outlived/DIGEST/RUN` | an [`SurvivedRunDocument`] | the same |
-//! | `berylhook/quarantine/hold/DIGEST` | a [`HoldDocument`] | when it is lifted, or nobody has asked for long |
-//! | `berylhook/quarantine-lock/NAME` | who has the lock | with the run, or its lease |
+//! | `berylhook/quarantine/end/TARGET/PROCESS` | an [`ExitDocument`] | when its lease expires, after ten minutes |
+//! | `berylhook/quarantine/outlived/DIGEST/RUN` | a [`SurvivedRunDocument`] | when its lease expires, after ten minutes |
+//! | `berylhook/quarantine/hold/DIGEST` | a [`HoldDocument`] | when a trial succeeds, or the request is not sent for a long time |
+//! | `berylhook/quarantine-lock/NAME` | the name of the process that holds the lock | when the run ends, or its lease expires |
 //!
-//! Operators' commands write holds as entries do.
+//! Operators' commands write holds in the same form as entries.
 
 use std::sync::Arc;
 
@@ -17,49 +17,49 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// All keys that entries follow begin so.
+/// Prefix of all keys that entries follow.
 pub const PREFIX: &str = "berylhook/quarantine/";
 
-/// Keys of ended targets.
+/// Prefix of the keys of exits.
 pub const EXIT_PREFIX: &str = "berylhook/quarantine/end/";
 
-/// Keys of runs that targets outlived.
+/// Prefix of the keys of survived runs.
 pub const SURVIVED_RUN_PREFIX: &str = "berylhook/quarantine/outlived/";
 
-/// Keys of holds.
+/// Prefix of the keys of holds.
 pub const HOLD_PREFIX: &str = "berylhook/quarantine/hold/";
 
-/// Keys of locks.
+/// Prefix of the keys of locks.
 pub const LOCK_PREFIX: &str = "berylhook/quarantine-lock/";
 
-/// A target that ended, and the requests that one entry had there.
+/// The exit of a target, and the requests that one entry had there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExitDocument {
-    /// The target's incarnation.
+    /// The name of the target's incarnation.
     pub target: Arc<str>,
-    /// When it was noticed, Unix time in milliseconds.
+    /// The time at which the exit was detected, Unix time in milliseconds.
     pub at_unix_ms: u64,
-    /// The requests.
+    /// The requests of the entry that were at the target.
     pub suspects: Vec<SuspectDocument>,
 }
 
-/// A run of a suspect that its target outlived.
+/// A run of a suspect that the target survived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SurvivedRunDocument {
     /// The request's digest.
     pub digest: String,
-    /// The run.
+    /// The unique name of the run.
     pub run: Arc<str>,
-    /// When it ended, Unix time in milliseconds.
+    /// The time at which the run ended, Unix time in milliseconds.
     pub at_unix_ms: u64,
 }
 
-/// A request that was at a target when it ended.
+/// A request that was at a target when the target exited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectDocument {
-    /// Its digest.
+    /// The request's digest.
     pub digest: String,
-    /// Whether it ran alone, as a suspect.
+    /// Whether the request ran alone, as a suspect.
     pub ran_alone: bool,
 }
 
@@ -83,84 +83,84 @@
     }
 }
 
-/// What is kept of a request that is held back, or was.
+/// The hold of a request, or the record that it was lifted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldDocument {
     /// `held`, `pinned` or `lifted`.
     pub hold: StoredHoldKind,
-    /// Since when, Unix time in milliseconds.
+    /// The time at which the hold began, Unix time in milliseconds.
     pub since_unix_ms: u64,
-    /// Trials that ended a target.
+    /// Number of trials at which a target exited.
     #[serde(default)]
     pub failed_trials: u32,
-    /// Ended targets that do not count any more.
+    /// Exited targets that no longer count against the request.
     #[serde(default)]
     pub lifted: Vec<Arc<str>>,
 }
 
-/// What a hold says, as it is written.
+/// The kind of a hold, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StoredHoldKind {
-    /// Until its next trial.
+    /// The request is held until its next trial.
     Held,
-    /// Until an operator lifts it.
+    /// The request is held until an operator lifts the hold.
     Pinned,
-    /// Not any more.
+    /// The hold was lifted.
     Lifted,
 }
 
-/// An item that cannot be read.
+/// The error for an item that cannot be decoded.
 #[derive(Debug, Error)]
 pub enum StoredItemError {
-    /// Its value is no such document.
-    #[error("the value is malformed ({0}); remove the key, entries write it anew")]
+    /// The value is not a valid document.
+    #[error("malformed value ({0}); remove the key, and entries write it again")]
     Malformed(#[from] serde_json::Error),
-    /// A digest in it is none.
+    /// A digest in the item is invalid.
     #[error(transparent)]
     Digest(#[from] DigestError),
 }
 
-/// An item of the store.
+/// A decoded item of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredItem {
-    /// A target ended with these requests.
+    /// A target exited while it ran these requests.
     Exit {
-        /// The target's incarnation.
+        /// The name of the target's incarnation.
         target: Arc<str>,
-        /// When it was noticed.
+        /// The time at which the exit was detected.
         at: WallMs,
-        /// The requests.
+        /// The requests that were at the target.
         suspects: Vec<Suspect>,
     },
-    /// A target outlived a run of this request.
+    /// A target survived a run of this request.
     SurvivedRun {
-        /// The request.
+        /// The request's digest.
         digest: RequestDigest,
-        /// The run.
+        /// The unique name of the run.
         run: Arc<str>,
-        /// When it ended.
+        /// The time at which the run ended.
         at: WallMs,
     },
     /// A hold; `None` if it was removed.
     Hold {
-        /// The request.
+        /// The request's digest.
         digest: RequestDigest,
-        /// What is kept of it.
+        /// The hold.
         hold: Option<Hold>,
     },
-    /// Nothing that matters: an end whose lease is over, or a key of another version.
+    /// An item without effect: a removed fact, or a key of another version.
     Irrelevant,
 }
 
-/// Reads an item; one without a value was removed.
+/// Decodes an item; `None` as the value means that the item was removed.
 ///
 /// # Errors
 ///
-/// If the item cannot be read.
+/// If the item cannot be decoded.
 pub fn read(key: &str, value: Option<&[u8]>) -> Result<StoredItem, StoredItemError> {
-    let hold_of = key.strip_prefix(HOLD_PREFIX);
-    match (hold_of, value) {
+    let hold_digest = key.strip_prefix(HOLD_PREFIX);
+    match (hold_digest, value) {
         (Some(digest), value) => Ok(StoredItem::Hold {
             digest: digest.parse()?,
             hold: value.map(read_hold).transpose()?,
@@ -200,11 +200,11 @@
     })
 }
 
-/// The value of a hold.
+/// Encodes a hold.
 ///
 /// # Panics
 ///
-/// Never: the document has no part that cannot be written.
+/// Never: all fields of the document can be encoded.
 #[must_use]
 pub fn hold_value(hold: &Hold) -> Vec<u8> {
     let document = HoldDocument {
@@ -226,7 +226,7 @@
     format!("{HOLD_PREFIX}{digest}").into()
 }
 
-/// The name of a hold's kind in logs.
+/// The name of a hold's kind in log lines.
 #[must_use]
 pub fn kind_name(kind: HoldKind) -> &'static str {
     match kind {
--- a/crates/quarantine/src/stored_holds.rs
+++ b/crates/quarantine/src/stored_holds.rs
@@ -1,106 +1,108 @@
-//! What the store has of the holds of this process.
+//! The holds in the store, as this process knows them.
 //!
-//! A restore from an older copy takes holds back: some are missing then, others are there
-//! again that had ended. Both are kept in mind here until the store has them right.
+//! After a restore of the store from an older copy, some holds are missing and some removed holds
+//! are present again. Both are tracked here until the store is corrected.
 
 use berylhook_core::digest::RequestDigest;
 use berylhook_core::position::Position;
 use berylhook_core::quarantine::Hold;
 use indexmap::{IndexMap, IndexSet};
 
-/// Ended holds that are remembered. A copy of the store is seconds old, and holds end
-/// minutes apart.
-const MOST_ENDED: usize = 64;
+/// Maximum number of removed holds that are remembered. A copy of the store is seconds old, and
+/// holds are removed minutes apart.
+const MAX_REMOVED: usize = 64;
 
-/// Holds in the store, as this process knows them.
+/// The holds in the store, as this process knows them.
 #[derive(Debug, Default)]
-pub(crate) struct KeptHolds {
-    /// The store's era; `None` before it was first read.
+pub(crate) struct StoredHolds {
+    /// The store's era; `None` before the first read.
     era: Option<u64>,
-    /// Where each hold was written last.
-    written: IndexMap<RequestDigest, Position>,
-    /// Holds that the store has lost.
-    lost: IndexSet<RequestDigest>,
-    /// Holds that have ended, as they were.
-    ended: IndexMap<RequestDigest, Hold>,
+    /// The position at which each hold was last written.
+    positions: IndexMap<RequestDigest, Position>,
+    /// Requests whose hold is missing or outdated in the store after a restore.
+    missing: IndexSet<RequestDigest>,
+    /// Removed holds, with their last value.
+    removed: IndexMap<RequestDigest, Hold>,
 }
 
-impl KeptHolds {
-    /// The store's era; 0 before it was first read.
+impl StoredHolds {
+    /// The store's era; 0 before the first read.
     pub(crate) fn era(&self) -> u64 {
         self.era.unwrap_or_default()
     }
 
-    /// The store was read in that era; returns whether it was restored since the last time.
+    /// Records that the store was read in this era; returns whether it was restored since the last
+    /// read.
     pub(crate) fn on_era(&mut self, era: u64) -> bool {
-        let is_restored = self.era.is_some_and(|known| era > known);
+        let is_restored = self.era.is_some_and(|last| era > last);
         self.era = self.era.max(Some(era));
         is_restored
     }
 
-    /// Where the request's hold was written last; `None` if the store has none.
-    pub(crate) fn written(&self, digest: RequestDigest) -> Option<Position> {
-        self.written.get(&digest).copied()
+    /// The position at which the request's hold was last written; `None` if the store has none.
+    pub(crate) fn position(&self, digest: RequestDigest) -> Option<Position> {
+        self.positions.get(&digest).copied()
     }
 
-    /// The requests whose holds the store has.
+    /// The requests whose holds are in the store.
     pub(crate) fn digests(&self) -> Vec<RequestDigest> {
-        self.written.keys().copied().collect()
+        self.positions.keys().copied().collect()
     }
 
-    /// The requests whose holds the store has lost.
-    pub(crate) fn lost(&self) -> Vec<RequestDigest> {
-        self.lost.iter().copied().collect()
+    /// The requests whose holds are missing or outdated in the store.
+    pub(crate) fn missing(&self) -> Vec<RequestDigest> {
+        self.missing.iter().copied().collect()
     }
 
-    /// Takes up what the store has at that position, in place of the hold `known` before;
-    /// returns whether it is news.
-    pub(crate) fn learn(
+    /// Records the store's hold at this position, which replaces `previous`; returns whether the
+    /// position is not older than the one already known.
+    pub(crate) fn apply(
         &mut self,
         digest: RequestDigest,
         hold: Option<&Hold>,
-        known: Option<Hold>,
-        written: Position,
+        previous: Option<Hold>,
+        position: Position,
     ) -> bool {
-        // A watch may tell late what is known already.
-        if self.written(digest).is_some_and(|known| written < known) {
+        // A watch may deliver an item late, after a newer one was read.
+        if self.position(digest).is_some_and(|last| position < last) {
             return false;
         }
-        self.lost.swap_remove(&digest);
-        match (hold, known) {
+        self.missing.swap_remove(&digest);
+        match (hold, previous) {
             (Some(_), _) => {
-                self.written.insert(digest, written);
+                self.positions.insert(digest, position);
             }
-            (None, known) => {
-                self.written.swap_remove(&digest);
-                self.note_ended(digest, known);
+            (None, previous) => {
+                self.positions.swap_remove(&digest);
+                self.remember_removed(digest, previous);
             }
         }
         true
     }
 
-    fn note_ended(&mut self, digest: RequestDigest, hold: Option<Hold>) {
+    fn remember_removed(&mut self, digest: RequestDigest, hold: Option<Hold>) {
         let Some(hold) = hold else {
             return;
         };
-        if self.ended.len() >= MOST_ENDED {
-            self.ended.shift_remove_index(0);
+        if self.removed.len() >= MAX_REMOVED {
+            self.removed.shift_remove_index(0);
         }
-        self.ended.insert(digest, hold);
+        self.removed.insert(digest, hold);
     }
 
-    /// The store has lost the request's hold, or has an older one, written there.
-    pub(crate) fn lose(&mut self, digest: RequestDigest, copy: Option<Position>) {
-        self.lost.insert(digest);
+    /// Records that the store has no hold of the request, or an outdated one at the position
+    /// `copy`.
+    pub(crate) fn mark_missing(&mut self, digest: RequestDigest, copy: Option<Position>) {
+        self.missing.insert(digest);
         match copy {
-            Some(written) => self.written.insert(digest, written),
-            None => self.written.swap_remove(&digest),
+            Some(position) => self.positions.insert(digest, position),
+            None => self.positions.swap_remove(&digest),
         };
     }
 
-    /// Whether that hold, or a later one of the same request, has ended.
-    pub(crate) fn has_ended(&self, digest: RequestDigest, hold: &Hold) -> bool {
-        let ended = self.ended.get(&digest);
-        ended.is_some_and(|ended| ended == hold || ended.is_newer_than(hold))
+    /// Whether this hold, or a later one of the same request, was removed.
+    pub(crate) fn was_removed(&self, digest: RequestDigest, hold: &Hold) -> bool {
+        let removed = self.removed.get(&digest);
+        removed.is_some_and(|removed| removed == hold || removed.is_newer_than(hold))
     }
 }
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What this process knows of requests under which targets end.
+//! The state of this process: the facts and holds that it knows, and the checks that are pending.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,344 +16,378 @@
 use tokio::time::sleep;
 
 use crate::QuarantineMetrics;
-use crate::abandoned_runs::Left;
-use crate::initial_sync::Informed;
-use crate::lost_requests::{Losses, LostRequest, TargetIncarnation};
+use crate::abandoned_runs::AbandonedRuns;
+use crate::initial_sync::InitialSync;
+use crate::lost_requests::{LostRequest, LostRequests, TargetIncarnation};
 use crate::probe::{AnyListener, Probe};
 use crate::replicator::Task;
-use crate::stored_holds::KeptHolds;
+use crate::stored_holds::StoredHolds;
 
-/// Digests in one line of the log: a target runs about as many requests.
-const MOST_LISTED: usize = 16;
+/// Maximum number of digests in a log line: about as many requests as a target runs at a time.
+const MAX_LOGGED_DIGESTS: usize = 16;
 
 pub(crate) struct State {
     pub(crate) quarantine: Quarantine,
-    pub(crate) losses: Losses,
-    pub(crate) left: Left,
-    /// Names of the locks that requests of this process hold, or are asking for.
+    pub(crate) lost_requests: LostRequests,
+    pub(crate) abandoned_runs: AbandonedRuns,
+    /// Names of the locks that requests of this process hold or are acquiring.
     pub(crate) locks: IndexSet<Arc<str>>,
 }
 
-/// What this process knows of requests under which targets end.
+/// Tracks suspected requests: collects the evidence of this process and of its peers, and answers
+/// whether a request may run.
 pub struct SuspectTracker {
-    /// Names this process in the names of its runs.
-    process: u64,
-    runs: AtomicU64,
+    /// Random id of this process, used in the names of its runs.
+    process_id: u64,
+    next_run: AtomicU64,
     state: Mutex<State>,
     started: Instant,
-    /// What has been heard since the start.
-    informed: Mutex<Informed>,
-    /// Whether it is known what is held back; it stays so.
-    is_informed: AtomicBool,
-    /// Whether the store failed to answer the last request for a lock.
-    pub(crate) is_store_away: AtomicBool,
-    /// Whether any request needs a digest.
+    /// What has been received since the start.
+    initial_sync: Mutex<InitialSync>,
+    /// Whether the quarantine is known in this process. Never reset.
+    is_synced: AtomicBool,
+    /// Whether the store failed to reply to the last request for a lock.
+    pub(crate) is_store_unavailable: AtomicBool,
+    /// Whether any request is suspected or held, so that digests have to be computed.
     pub(crate) is_active: AtomicBool,
-    /// Whether targets have to be looked at, since callers left runs there.
+    /// Whether targets must be probed because callers abandoned runs there.
     awaits_probes: AtomicBool,
-    /// What the store has of holds.
-    pub(crate) kept_holds: Mutex<KeptHolds>,
-    /// Rises with each change, for requests that wait for one.
+    /// The holds in the store.
+    pub(crate) stored_holds: Mutex<StoredHolds>,
+    /// Incremented at each change, to wake up waiting requests.
     pub(crate) changes: watch::Sender<u64>,
-    tasks: mpsc::UnboundedSender<Task>,
-    /// Until the keeper takes it.
-    pub(crate) waiting_tasks: Mutex<Option<mpsc::UnboundedReceiver<Task>>>,
-    gauges: Arc<dyn QuarantineMetrics>,
+    task_sender: mpsc::UnboundedSender<Task>,
+    /// `None` once the replicator has taken it.
+    pub(crate) task_receiver: Mutex<Option<mpsc::UnboundedReceiver<Task>>>,
+    metrics: Arc<dyn QuarantineMetrics>,
 }
 
 impl SuspectTracker {
-    /// Nothing is known yet.
+    /// Creates a tracker without any facts.
     #[must_use]
-    pub fn new(gauges: Arc<dyn QuarantineMetrics>) -> Self {
-        let (tasks, waiting_tasks) = mpsc::unbounded_channel();
+    pub fn new(metrics: Arc<dyn QuarantineMetrics>) -> Self {
+        let (task_sender, task_receiver) = mpsc::unbounded_channel();
         Self {
-            process: rand::random(),
-            runs: AtomicU64::new(0),
+            process_id: rand::random(),
+            next_run: AtomicU64::new(0),
             state: Mutex::new(State {
                 quarantine: Quarantine::default(),
-                losses: Losses::default(),
-                left: Left::default(),
+                lost_requests: LostRequests::default(),
+                abandoned_runs: AbandonedRuns::default(),
                 locks: IndexSet::new(),
             }),
             started: Instant::now(),
-            informed: Mutex::default(),
-            is_informed: AtomicBool::new(false),
-            is_store_away: AtomicBool::new(false),
+            initial_sync: Mutex::default(),
+            is_synced: AtomicBool::new(false),
+            is_store_unavailable: AtomicBool::new(false),
             is_active: AtomicBool::new(false),
             awaits_probes: AtomicBool::new(false),
-            kept_holds: Mutex::default(),
+            stored_holds: Mutex::default(),
             changes: watch::Sender::new(0),
-            tasks,
-            waiting_tasks: Mutex::new(Some(waiting_tasks)),
-            gauges,
+            task_sender,
+            task_receiver: Mutex::new(Some(task_receiver)),
+            metrics,
         }
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
-        locked(&self.state)
+        lock_mutex(&self.state)
     }
 
-    /// A clock on which all facts that still count have happened.
+    /// A clock that starts at [`FACT_TTL_MS`], so that all unexpired facts have a timestamp on it.
     ///
-    /// Facts are told with their age. On a clock that begins with the process, one that
-    /// is older than the process would look new, and each restart would renew it.
+    /// Facts are sent with their age. On a clock that starts at zero with the process, a fact that
+    /// is older than the process would get the time zero and look newer than it is, and each
+    /// restart would renew it.
     #[must_use]
     pub fn now_ms(&self) -> MonoMs {
-        MonoMs(self.since_start_ms()) + FACT_TTL_MS
+        MonoMs(self.uptime_ms()) + FACT_TTL_MS
     }
 
-    fn since_start_ms(&self) -> u64 {
+    fn uptime_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    pub(crate) fn changed(&self, state: &State) {
-        let is_active = !state.quarantine.is_empty() || !state.losses.is_empty();
+    pub(crate) fn publish_change(&self, state: &State) {
+        let is_active = !state.quarantine.is_empty() || !state.lost_requests.is_empty();
         self.is_active.store(is_active, Ordering::Relaxed);
         let (suspected, held) = state.quarantine.counts(self.now_ms(), WallMs::now());
-        self.gauges.set_request_counts(suspected, held);
+        self.metrics.set_request_counts(suspected, held);
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Whether any request needs a digest.
+    /// Whether any request is suspected or held, so that digests have to be computed.
     pub fn is_active(&self) -> bool {
         self.is_active.load(Ordering::Relaxed)
     }
 
-    /// What may be done with the request now.
-    pub(crate) fn standing(&self, digest: RequestDigest, stops_group: bool) -> QuarantineStatus {
+    /// The status of the request at this time.
+    pub(crate) fn status(&self, digest: RequestDigest, exit_stops_group: bool) -> QuarantineStatus {
         let state = self.lock();
         let (now_ms, wall_ms) = (self.now_ms(), WallMs::now());
-        if stops_group {
+        if exit_stops_group {
             state.quarantine.status_in_group(digest, now_ms, wall_ms)
         } else {
             state.quarantine.status(digest, now_ms, wall_ms)
         }
     }
 
-    /// A send lost its answer.
+    /// Reports a send that lost its response.
     ///
-    /// Whether its target has ended is found out by a connection to it; until that is
-    /// known the request is not sent again. Whoever listens at its address is taken for it.
-    pub fn on_lost_response(self: &Arc<Self>, place: &TargetIncarnation, loss: LostRequest) {
-        self.on_lost_response_with_probe(place, loss, Arc::new(AnyListener(place.address)));
+    /// A connection to the target shows whether it has exited; until this is known the request is
+    /// not sent again. Any listener at the address is assumed to be the target.
+    pub fn on_lost_response(
+        self: &Arc<Self>,
+        incarnation: &TargetIncarnation,
+        request: LostRequest,
+    ) {
+        self.on_lost_response_with_probe(
+            incarnation,
+            request,
+            Arc::new(AnyListener(incarnation.address)),
+        );
     }
 
-    /// The same at a target that can be asked who it is.
+    /// Like [`Self::on_lost_response`], for a target that can be asked for its identity.
     pub fn on_lost_response_with_probe(
         self: &Arc<Self>,
-        place: &TargetIncarnation,
-        loss: LostRequest,
-        asked: Arc<dyn Probe>,
+        incarnation: &TargetIncarnation,
+        request: LostRequest,
+        probe: Arc<dyn Probe>,
     ) {
         let mut state = self.lock();
-        if state.quarantine.has_exited(&place.target) {
-            self.take_end(&mut state, &place.target, &[loss]);
+        if state.quarantine.has_exited(&incarnation.target) {
+            self.record_exit(&mut state, &incarnation.target, &[request]);
             return;
         }
-        let is_first = state.losses.add(place, loss);
-        self.changed(&state);
+        let needs_probe = state.lost_requests.add(incarnation, request);
+        self.publish_change(&state);
         drop(state);
-        if is_first {
+        if needs_probe {
             let suspects = Arc::clone(self);
-            let place = place.clone();
+            let incarnation = incarnation.clone();
             tokio::spawn(async move {
-                let has_ended = probe::has_ended(place.address).await
-                    || matches!(asked.probe().await, Listening::Refused | Listening::Another);
-                suspects.settle(&place.target, has_ended);
+                let has_exited = probe::has_ended(incarnation.address).await
+                    || matches!(probe.probe().await, Listening::Refused | Listening::Another);
+                suspects.on_exit_check(&incarnation.target, has_exited);
             });
         }
     }
 
-    /// A caller has left its request while it ran, or it was given up there.
+    /// Reports a run whose caller disconnected, or that was given up.
     ///
-    /// Its target may end all the same, so it is looked at until it has outlived the run.
-    /// Whoever listens at its address is taken for it.
-    pub fn on_abandoned_run(self: &Arc<Self>, place: &TargetIncarnation, loss: LostRequest) {
-        self.on_abandoned_run_with_probe(place, loss, Arc::new(AnyListener(place.address)));
+    /// The target may still exit because of the run, so it is probed until it has survived the run.
+    /// Any listener at the address is assumed to be the target.
+    pub fn on_abandoned_run(
+        self: &Arc<Self>,
+        incarnation: &TargetIncarnation,
+        request: LostRequest,
+    ) {
+        self.on_abandoned_run_with_probe(
+            incarnation,
+            request,
+            Arc::new(AnyListener(incarnation.address)),
+        );
     }
 
-    /// The same at a target that can be asked who it is.
+    /// Like [`Self::on_abandoned_run`], for a target that can be asked for its identity.
     pub fn on_abandoned_run_with_probe(
         self: &Arc<Self>,
-        place: &TargetIncarnation,
-        loss: LostRequest,
-        asked: Arc<dyn Probe>,
+        incarnation: &TargetIncarnation,
+        request: LostRequest,
+        probe: Arc<dyn Probe>,
     ) {
-        let is_new = self.lock().left.add(place, loss, self.now_ms());
+        let is_new = self
+            .lock()
+            .abandoned_runs
+            .add(incarnation, request, self.now_ms());
         self.awaits_probes.store(true, Ordering::Relaxed);
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
         if is_new {
-            runtime.spawn(Arc::clone(self).look_at(place.clone(), asked));
+            runtime.spawn(Arc::clone(self).probe_until_resolved(incarnation.clone(), probe));
         }
     }
 
-    /// Looks at a target until it has outlived the runs that callers left there.
-    async fn look_at(self: Arc<Self>, place: TargetIncarnation, asked: Arc<dyn Probe>) {
-        while let Some(wait) = self.next_look(&place.target) {
+    /// Probes a target until it has survived its abandoned runs, or is found to have exited.
+    async fn probe_until_resolved(
+        self: Arc<Self>,
+        incarnation: TargetIncarnation,
+        probe: Arc<dyn Probe>,
+    ) {
+        while let Some(wait) = self.next_probe_delay(&incarnation.target) {
             if !wait.is_zero() {
-                // Other sends may tell meanwhile, and then there is nothing to look at.
+                // Other sends may show in the meantime that the target is alive, which makes the
+                // probe unnecessary.
                 sleep(wait).await;
                 continue;
             }
-            let asked_ms = self.now_ms();
-            match asked.probe().await {
-                Listening::Accepted => self.on_connection_accepted(&place.target, asked_ms),
+            let requested_ms = self.now_ms();
+            match probe.probe().await {
+                Listening::Accepted => {
+                    self.on_connection_accepted(&incarnation.target, requested_ms);
+                }
                 Listening::Refused | Listening::Another => {
-                    self.on_connection_refused(&place.target);
+                    self.on_connection_refused(&incarnation.target);
                 }
-                // No request is blamed for a VM that is cut off or has lost its power.
+                // No request is blamed for a VM that is unreachable or has lost its power.
                 Listening::Silent => {
-                    self.lock().left.take(&place.target);
+                    self.lock().abandoned_runs.take_target(&incarnation.target);
                 }
             }
         }
         let state = self.lock();
         self.awaits_probes
-            .store(!state.left.is_empty(), Ordering::Relaxed);
-        // Locks are given back once this is known.
-        self.changed(&state);
+            .store(!state.abandoned_runs.is_empty(), Ordering::Relaxed);
+        // Wakes up the tasks that release locks once the pending checks are done.
+        self.publish_change(&state);
     }
 
-    fn next_look(&self, target: &str) -> Option<Duration> {
-        let due_ms = self.lock().left.next_look(target)?;
+    fn next_probe_delay(&self, target: &str) -> Option<Duration> {
+        let due_ms = self.lock().abandoned_runs.next_probe_ms(target)?;
         Some(Duration::from_millis(due_ms.since(self.now_ms())))
     }
 
-    /// Whether what sends show of their targets has to be told to [`Self::on_connection_accepted`].
+    /// Whether accepted connections have to be reported to [`Self::on_connection_accepted`].
     #[must_use]
     pub fn awaits_probes(&self) -> bool {
         self.awaits_probes.load(Ordering::Relaxed)
     }
 
-    /// A target took a connection that was asked for at `asked_ms` of this clock.
-    pub fn on_connection_accepted(&self, target: &str, asked_ms: MonoMs) {
-        self.lock().left.on_connection_accepted(target, asked_ms);
+    /// Reports that a target accepted a connection that was requested at `requested_ms` of this
+    /// clock.
+    pub fn on_connection_accepted(&self, target: &str, requested_ms: MonoMs) {
+        self.lock()
+            .abandoned_runs
+            .on_connection_accepted(target, requested_ms);
     }
 
-    /// A target has ended, and these requests ran there.
-    pub fn on_target_exit(&self, target: &Arc<str>, lost: &[LostRequest]) {
-        self.take_end(&mut self.lock(), target, lost);
+    /// Reports that a target has exited while it ran these requests.
+    pub fn on_target_exit(&self, target: &Arc<str>, lost_requests: &[LostRequest]) {
+        self.record_exit(&mut self.lock(), target, lost_requests);
     }
 
-    /// Nobody listens at a target's address: it has ended, if only now.
+    /// Reports that a connection to a target was refused, so that the target has exited.
     pub fn on_connection_refused(&self, target: &Arc<str>) {
         let mut state = self.lock();
-        let mut lost = state.losses.take(target);
-        lost.extend(state.left.take(target));
-        self.take_end(&mut state, target, &lost);
+        let mut lost_requests = state.lost_requests.take_target(target);
+        lost_requests.extend(state.abandoned_runs.take_target(target));
+        self.record_exit(&mut state, target, &lost_requests);
     }
 
-    fn settle(&self, name: &Arc<str>, has_ended: bool) {
+    fn on_exit_check(&self, target: &Arc<str>, has_exited: bool) {
         let mut state = self.lock();
-        if has_ended {
-            // A refused connection may have told before.
-            let mut lost = state.losses.take(name);
-            lost.extend(state.left.take(name));
-            self.take_end(&mut state, name, &lost);
+        if has_exited {
+            // A refused connection may have been reported before, which already removed these
+            // requests.
+            let mut lost_requests = state.lost_requests.take_target(target);
+            lost_requests.extend(state.abandoned_runs.take_target(target));
+            self.record_exit(&mut state, target, &lost_requests);
         } else {
-            state.losses.set_unproved(name, self.now_ms());
-            self.changed(&state);
+            state.lost_requests.on_no_exit_found(target, self.now_ms());
+            self.publish_change(&state);
         }
     }
 
-    /// Takes over which targets may get requests. A younger one at the address of one
-    /// that lost answers proves that the former has ended.
-    pub fn on_target_list(&self, usable: impl Iterator<Item = TargetIncarnation>) {
+    /// Applies the list of targets that may receive requests. A later incarnation at the address of
+    /// a target that lost responses proves that the previous incarnation has exited.
+    pub fn on_target_list(&self, listed: impl Iterator<Item = TargetIncarnation>) {
         let mut state = self.lock();
-        if state.losses.is_empty() {
+        if state.lost_requests.is_empty() {
             return;
         }
-        let usable: Vec<TargetIncarnation> = usable.collect();
-        for (name, lost) in state.losses.superseded(&usable) {
-            self.take_end(&mut state, &name, &lost);
+        let listed: Vec<TargetIncarnation> = listed.collect();
+        for (target, lost_requests) in state.lost_requests.take_superseded(&listed) {
+            self.record_exit(&mut state, &target, &lost_requests);
         }
-        self.changed(&state);
+        self.publish_change(&state);
     }
 
-    fn take_end(&self, state: &mut State, name: &Arc<str>, lost: &[LostRequest]) {
-        if lost.is_empty() {
+    fn record_exit(&self, state: &mut State, target: &Arc<str>, lost_requests: &[LostRequest]) {
+        if lost_requests.is_empty() {
             return;
         }
-        let end = TargetExit {
-            target: Arc::clone(name),
+        let exit = TargetExit {
+            target: Arc::clone(target),
             at_ms: self.now_ms(),
-            suspects: lost.iter().map(LostRequest::suspect).collect(),
+            suspects: lost_requests.iter().map(LostRequest::suspect).collect(),
         };
-        let fresh = state.quarantine.on_exit(&end);
-        self.gauges.add_requests_at_exit(fresh.len());
-        for loss in lost {
-            let standing = state
+        let new_suspects = state.quarantine.on_exit(&exit);
+        self.metrics.add_requests_at_exit(new_suspects.len());
+        for request in lost_requests {
+            let status = state
                 .quarantine
-                .status(loss.digest, self.now_ms(), WallMs::now());
+                .status(request.digest, self.now_ms(), WallMs::now());
             log::warn!(
-                target = &**name,
-                request = &*loss.attempt_id,
-                account = &*loss.account,
-                digest:% = loss.digest,
-                standing = standing.name();
+                target = &**target,
+                request = &*request.attempt_id,
+                account = &*request.account,
+                digest:% = request.digest,
+                standing = status.name();
                 "a target ended with a request"
             );
         }
-        self.changed(state);
-        self.tell(Facts::new(vec![end], Vec::new(), self.now_ms()));
+        self.publish_change(state);
+        self.send_facts(Facts::new(vec![exit], Vec::new(), self.now_ms()));
     }
 
-    /// A target has outlived a run of the request.
+    /// Reports that a target has survived a run of the request.
     pub fn on_survived_run(&self, digest: RequestDigest) {
         let mut state = self.lock();
-        let standing = state
+        let status = state
             .quarantine
             .status(digest, self.now_ms(), WallMs::now());
-        if standing == QuarantineStatus::Clear {
+        if status == QuarantineStatus::Clear {
             return;
         }
-        let run = self.runs.fetch_add(1, Ordering::Relaxed);
-        let outlived = SurvivedRun {
+        let run = self.next_run.fetch_add(1, Ordering::Relaxed);
+        let survived = SurvivedRun {
             digest,
-            run: format!("{:016x}/{run}", self.process).into(),
+            run: format!("{:016x}/{run}", self.process_id).into(),
             at_ms: self.now_ms(),
         };
-        state.quarantine.on_survived_run(&outlived);
+        state.quarantine.on_survived_run(&survived);
         let hold = state.quarantine.hold(digest).map(|hold| hold.kind);
         if hold == Some(HoldKind::Held) {
             state.quarantine.on_hold(digest, None, self.now_ms());
-            self.ask_keeper(Task::Lift(digest));
+            self.send_task(Task::RemoveHold(digest));
         }
-        log::info!(digest:% = digest, standing = standing.name(); "a target outlived a suspect");
-        self.changed(&state);
+        log::info!(digest:% = digest, standing = status.name(); "target survived a run of a suspect");
+        self.publish_change(&state);
         drop(state);
-        self.tell(Facts::new(Vec::new(), vec![outlived], self.now_ms()));
+        self.send_facts(Facts::new(Vec::new(), vec![survived], self.now_ms()));
     }
 
-    /// Takes over facts from a peer or the store.
-    pub(crate) fn take_facts(&self, facts: &Facts, source: &'static str) {
+    /// Applies facts from a peer or from the store.
+    pub(crate) fn apply_facts(&self, facts: &Facts, source: &'static str) {
         if facts.is_empty() {
             return;
         }
         let mut state = self.lock();
-        let mut is_news = false;
-        for end in &facts.exits {
-            let fresh = state.quarantine.on_exit(end);
-            is_news |= !fresh.is_empty();
-            log_learnt(source, &end.target, &fresh);
+        let mut is_new = false;
+        for exit in &facts.exits {
+            let new_suspects = state.quarantine.on_exit(exit);
+            is_new |= !new_suspects.is_empty();
+            log_new_suspects(source, &exit.target, &new_suspects);
         }
-        let outlived = facts.survived_runs.iter();
-        let cleared = outlived.filter(|it| state.quarantine.on_survived_run(it));
-        let cleared: Vec<RequestDigest> = cleared.map(|it| it.digest).collect();
+        let survived_runs = facts.survived_runs.iter();
+        let cleared_runs =
+            survived_runs.filter(|survived| state.quarantine.on_survived_run(survived));
+        let cleared_digests: Vec<RequestDigest> =
+            cleared_runs.map(|survived| survived.digest).collect();
         state.quarantine.expire_facts(self.now_ms());
-        if !cleared.is_empty() {
-            let digests = listed(&cleared);
-            log::info!(source, runs = cleared.len(), digests = &*digests; "runs learnt that targets outlived");
+        if !cleared_digests.is_empty() {
+            let digests = format_digests(&cleared_digests);
+            log::info!(source, runs = cleared_digests.len(), digests = &*digests; "received survived runs");
         }
-        if is_news || !cleared.is_empty() {
-            self.changed(&state);
+        if is_new || !cleared_digests.is_empty() {
+            self.publish_change(&state);
         }
     }
 
-    /// Takes over what the store keeps of a request; `None` if it keeps nothing any more.
-    pub(crate) fn take_hold(&self, digest: RequestDigest, hold: Option<Hold>) {
+    /// Applies the stored hold of a request; `None` if the store no longer has one.
+    pub(crate) fn apply_hold(&self, digest: RequestDigest, hold: Option<Hold>) {
         let mut state = self.lock();
         if state.quarantine.hold(digest) == hold.as_ref() {
             return;
@@ -361,93 +395,94 @@
         let kind = hold
             .as_ref()
             .map_or("none", |hold| crate::stored::kind_name(hold.kind));
-        log::warn!(digest:% = digest, hold = kind; "what is kept of a request has changed");
+        log::warn!(digest:% = digest, hold = kind; "hold of a request changed");
         state.quarantine.on_hold(digest, hold, self.now_ms());
-        self.changed(&state);
+        self.publish_change(&state);
     }
 
-    /// How many targets ended with the request.
-    pub(crate) fn exits_of(&self, digest: RequestDigest) -> usize {
+    /// The number of targets that exited while running the request.
+    pub(crate) fn exit_count(&self, digest: RequestDigest) -> usize {
         self.lock().quarantine.exits_of(digest).count()
     }
 
-    /// A summary of the facts, to be compared with that of a peer.
+    /// A hash over the facts, to be compared with that of a peer.
     #[must_use]
     pub fn summary(&self) -> u64 {
         self.lock().quarantine.summary()
     }
 
-    /// The summary for a peer; `None` while this process may still be about to learn what
-    /// others know.
+    /// The summary for a peer; `None` while this process may not have received all facts yet.
     #[must_use]
     pub fn summary_for_peers(&self) -> Option<u64> {
         (!self.is_uninformed()).then(|| self.summary())
     }
 
-    /// Has all facts exchanged with a peer whose summary differs.
+    /// Compares a peer's summary with that of this process, and exchanges all facts with the peer
+    /// if they differ.
     pub fn on_peer_summary(&self, address: SocketAddr, summary: u64) {
         if summary == self.summary() {
-            self.on_peer_told();
+            self.on_peer_report();
         } else {
-            self.ask_keeper(Task::Compare(address));
+            self.send_task(Task::ExchangeFacts(address));
         }
     }
 
-    /// The process follows the store: it waits for what is read there before it serves.
+    /// Declares that the process follows the store, so that it waits for the first read before it
+    /// serves.
     #[must_use]
     pub fn with_store_follower(self) -> Self {
-        locked(&self.informed).follow_store();
+        lock_mutex(&self.initial_sync).follow_store();
         self
     }
 
-    /// The store has told all that it keeps.
+    /// Records that all items of the store were read.
     pub(crate) fn on_store_read(&self) {
-        self.hear(Informed::on_store_read);
+        self.update_initial_sync(InitialSync::on_store_read);
     }
 
-    /// A peer that knows what is held back has told all its facts.
-    pub(crate) fn on_peer_told(&self) {
-        self.hear(Informed::on_peer_told);
+    /// Records that a peer that knows the quarantine has sent all its facts.
+    pub(crate) fn on_peer_report(&self) {
+        self.update_initial_sync(InitialSync::on_peer_report);
     }
 
-    /// What the store keeps cannot be read at present.
+    /// Records that the store cannot be read at present.
     pub fn on_store_failed(&self) {
-        let since_start_ms = self.since_start_ms();
-        self.hear(|informed| informed.on_store_failed(since_start_ms));
+        let uptime_ms = self.uptime_ms();
+        self.update_initial_sync(|initial_sync| initial_sync.on_store_failed(uptime_ms));
     }
 
-    fn hear(&self, heard: impl FnOnce(&mut Informed)) {
-        if self.is_informed.load(Ordering::Relaxed) {
+    fn update_initial_sync(&self, update: impl FnOnce(&mut InitialSync)) {
+        if self.is_synced.load(Ordering::Relaxed) {
             return;
         }
-        heard(&mut locked(&self.informed));
+        update(&mut lock_mutex(&self.initial_sync));
         if !self.is_uninformed() {
             self.changes.send_modify(|count| *count += 1);
         }
     }
 
-    /// Whether this process may still be about to hear of what is held back. It should get
-    /// no requests then.
+    /// Whether this process does not know the quarantine yet. It should receive no requests until
+    /// then.
     #[must_use]
     pub fn is_uninformed(&self) -> bool {
-        if self.is_informed.load(Ordering::Relaxed) {
+        if self.is_synced.load(Ordering::Relaxed) {
             return false;
         }
-        let Some(source) = locked(&self.informed).source(self.since_start_ms()) else {
+        let Some(source) = lock_mutex(&self.initial_sync).source(self.uptime_ms()) else {
             return true;
         };
-        if !self.is_informed.swap(true, Ordering::Relaxed) {
-            log::info!(source; "it is known what is held back");
+        if !self.is_synced.swap(true, Ordering::Relaxed) {
+            log::info!(source; "quarantine state is known");
         }
         false
     }
 
-    /// Forgets what is too old to count.
+    /// Removes expired facts and lost requests.
     pub(crate) fn expire_facts(&self) {
         let mut state = self.lock();
         state.quarantine.expire_facts(self.now_ms());
-        state.losses.forget_old(self.now_ms());
-        self.changed(&state);
+        state.lost_requests.expire(self.now_ms());
+        self.publish_change(&state);
     }
 
     pub(crate) fn facts(&self) -> Facts {
@@ -455,31 +490,34 @@
         self.lock().quarantine.facts(self.now_ms())
     }
 
-    fn tell(&self, facts: Facts) {
-        self.ask_keeper(Task::Tell(facts));
+    fn send_facts(&self, facts: Facts) {
+        self.send_task(Task::SendFacts(facts));
     }
 
-    pub(crate) fn ask_keeper(&self, task: Task) {
-        if self.tasks.send(task).is_err() {
-            log::debug!("the process ends; peers are not told");
+    pub(crate) fn send_task(&self, task: Task) {
+        if self.task_sender.send(task).is_err() {
+            log::debug!("process is exiting; task for the replicator dropped");
         }
     }
 }
 
-fn log_learnt(source: &'static str, target: &str, fresh: &[RequestDigest]) {
-    if !fresh.is_empty() {
-        let digests = listed(fresh);
-        log::info!(source, target, suspects = fresh.len(), digests = &*digests; "suspicions learnt");
+fn log_new_suspects(source: &'static str, target: &str, new_suspects: &[RequestDigest]) {
+    if !new_suspects.is_empty() {
+        let digests = format_digests(new_suspects);
+        log::info!(source, target, suspects = new_suspects.len(), digests = &*digests; "suspicions learnt");
     }
 }
 
-/// The first digests in one text.
-fn listed(digests: &[RequestDigest]) -> String {
-    let texts = digests.iter().take(MOST_LISTED).map(ToString::to_string);
+/// Joins the first digests for a log line.
+fn format_digests(digests: &[RequestDigest]) -> String {
+    let texts = digests
+        .iter()
+        .take(MAX_LOGGED_DIGESTS)
+        .map(ToString::to_string);
     texts.collect::<Vec<_>>().join(" ")
 }
 
-/// Locks a state that is only ever held for a few instructions.
-pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex that is only held for a few instructions at a time.
+pub(crate) fn lock_mutex<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of this lock panics")
 }
--- a/crates/quarantine/tests/abandoned_runs.rs
+++ b/crates/quarantine/tests/abandoned_runs.rs
@@ -1,4 +1,4 @@
-//! Targets at which callers left runs, looked at over real connections.
+//! Probes of targets at which callers abandoned runs, over real connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Longer than a target is looked at.
-const ALL_LOOKS: Duration = Duration::from_millis(1_500);
+/// Longer than a target is probed.
+const ALL_PROBES: Duration = Duration::from_millis(1_500);
 
-/// Long enough for any machine to get there.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Long enough on any machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
 struct Counts {
-    ended: AtomicUsize,
+    requests_at_exits: AtomicUsize,
 }
 
 impl QuarantineMetrics for Counts {
     fn set_request_counts(&self, _suspected: usize, _held: usize) {}
 
     fn add_requests_at_exit(&self, requests: usize) {
-        self.ended.fetch_add(requests, Ordering::SeqCst);
+        self.requests_at_exits.fetch_add(requests, Ordering::SeqCst);
     }
 }
 
-/// A target that takes connections until it is ended, and counts them.
+/// A target that accepts and counts connections until it is stopped.
 struct Target {
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
@@ -42,8 +42,12 @@
 
 impl Target {
     async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
         let connections = Arc::new(AtomicUsize::new(0));
         let counted = Arc::clone(&connections);
         let accepting = tokio::spawn(async move {
@@ -58,11 +62,11 @@
         }
     }
 
-    fn end(&self) {
+    fn stop(&self) {
         self.accepting.abort();
     }
 
-    fn place(&self) -> TargetIncarnation {
+    fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation {
             target: "i-1".into(),
             address: self.address,
@@ -71,7 +75,7 @@
     }
 }
 
-fn loss(body: &str) -> LostRequest {
+fn lost_request(body: &str) -> LostRequest {
     LostRequest {
         digest: RequestDigest::of(&RequestContent {
             method: "POST",
@@ -91,88 +95,92 @@
     (Arc::new(suspects), counts)
 }
 
-// A target ended a while after the callers of its runs had left, and no other request came
-// to it: nothing was laid to anybody.
+// Guards against an exit that is attributed to no request: the target exits some time after the
+// callers of its runs have disconnected, and no other request is sent to it.
 #[tokio::test]
-async fn a_target_that_ends_later_is_found_and_laid_to_all_who_had_left() {
+async fn a_later_exit_is_attributed_to_all_abandoned_runs() {
     let target = Target::start().await;
     let (suspects, counts) = suspects();
 
-    suspects.on_abandoned_run(&target.place(), loss("first"));
-    suspects.on_abandoned_run(&target.place(), loss("second"));
+    suspects.on_abandoned_run(&target.incarnation(), lost_request("first"));
+    suspects.on_abandoned_run(&target.incarnation(), lost_request("second"));
     sleep(Duration::from_millis(300)).await;
-    target.end();
+    target.stop();
 
     let found = async {
-        while counts.ended.load(Ordering::SeqCst) < 2 {
+        while counts.requests_at_exits.load(Ordering::SeqCst) < 2 {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let found = tokio::time::timeout(PATIENCE, found).await;
-    assert!(found.is_ok(), "{:?}", counts.ended);
+    let found = tokio::time::timeout(TEST_TIMEOUT, found).await;
+    assert!(
+        found.is_ok(),
+        "requests at exits: {:?}",
+        counts.requests_at_exits
+    );
 }
 
-// Many callers leave within a moment, as when a group stalls. Each run asked for looks of
-// its own, a few milliseconds after those of the run before.
+// Guards against separate probes for each of many runs that are abandoned within a few
+// milliseconds, as when a group stalls.
 #[tokio::test]
-async fn a_target_that_lives_on_is_looked_at_twice_and_left_in_peace() {
+async fn a_surviving_target_is_probed_at_most_twice() {
     let target = Target::start().await;
     let (suspects, counts) = suspects();
 
     for body in ["first", "second", "third"] {
-        suspects.on_abandoned_run(&target.place(), loss(body));
+        suspects.on_abandoned_run(&target.incarnation(), lost_request(body));
         sleep(Duration::from_millis(3)).await;
     }
     while suspects.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
-    sleep(ALL_LOOKS).await;
+    sleep(ALL_PROBES).await;
 
-    assert_eq!(counts.ended.load(Ordering::SeqCst), 0);
+    assert_eq!(counts.requests_at_exits.load(Ordering::SeqCst), 0);
     let connections = target.connections.load(Ordering::SeqCst);
-    assert!((1..=2).contains(&connections), "{connections}");
+    assert!((1..=2).contains(&connections), "connections: {connections}");
 }
 
-// Many callers leave while many others are served: a connection for each that left would
-// take up the channels that the served ones need.
+// Guards against one connection for each abandoned run while other requests are served, which would
+// use up the connections that these requests need.
 #[tokio::test]
-async fn what_other_sends_show_takes_the_place_of_looks() {
+async fn accepted_connections_of_other_sends_replace_probes() {
     let target = Target::start().await;
     let (suspects, counts) = suspects();
 
-    suspects.on_abandoned_run(&target.place(), loss("first"));
+    suspects.on_abandoned_run(&target.incarnation(), lost_request("first"));
     let much_later_ms = suspects.now_ms() + 2_000;
     suspects.on_connection_accepted("i-1", much_later_ms);
-    sleep(ALL_LOOKS).await;
+    sleep(ALL_PROBES).await;
 
     assert_eq!(target.connections.load(Ordering::SeqCst), 0);
-    assert_eq!(counts.ended.load(Ordering::SeqCst), 0);
+    assert_eq!(counts.requests_at_exits.load(Ordering::SeqCst), 0);
     assert!(!suspects.awaits_probes());
 }
 
-/// The answer of another incarnation at a target's address.
-struct AnotherAnswers;
+/// Replies with the identity of another incarnation at a target's address.
+struct OtherIncarnation;
 
-impl Probe for AnotherAnswers {
+impl Probe for OtherIncarnation {
     fn probe(&self) -> ProbeFuture<'_> {
         Box::pin(async { Listening::Another })
     }
 }
 
-// Guards against an end that goes unnoticed since another incarnation takes the connections.
+// Guards against an exit that is not detected because another incarnation accepts the connections.
 #[tokio::test]
-async fn a_target_whose_address_another_has_taken_is_found_to_have_ended() {
+async fn a_target_whose_address_is_taken_by_another_has_exited() {
     let successor = Target::start().await;
     let (suspects, counts) = suspects();
 
     suspects.on_abandoned_run_with_probe(
-        &successor.place(),
-        loss("first"),
-        Arc::new(AnotherAnswers),
+        &successor.incarnation(),
+        lost_request("first"),
+        Arc::new(OtherIncarnation),
     );
     while suspects.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
 
-    assert_eq!(counts.ended.load(Ordering::SeqCst), 1);
+    assert_eq!(counts.requests_at_exits.load(Ordering::SeqCst), 1);
 }
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Processes that keep what they know of requests under which targets end.
+//! Helpers for tests: processes with a suspect tracker and a replicator.
 
-// Each test file is a program of its own and uses a part of this.
+// Each test file is a separate program and uses only a part of this module.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -14,21 +14,21 @@
     SuspectTracker, UpdateReply, WaitLimits,
 };
 
-pub struct NoGauges;
+pub struct NoMetrics;
 
-impl QuarantineMetrics for NoGauges {
+impl QuarantineMetrics for NoMetrics {
     fn set_request_counts(&self, _suspected: usize, _held: usize) {}
 
     fn add_requests_at_exit(&self, _requests: usize) {}
 }
 
-/// A process without peers.
-pub struct Alone {
-    /// Where its store is.
+/// Cluster access of a process without peers.
+pub struct NoPeers {
+    /// The address of the store.
     pub store: SocketAddr,
 }
 
-impl ClusterAccess for Alone {
+impl ClusterAccess for NoPeers {
     fn name(&self) -> Arc<str> {
         "entry-1".into()
     }
@@ -41,15 +41,15 @@
         Vec::new()
     }
 
-    fn send_update(&self, _peer: SocketAddr, _news: QuarantineUpdate) -> UpdateReply<'_> {
-        Box::pin(async { Err("there is no peer".to_owned()) })
+    fn send_update(&self, _peer: SocketAddr, _update: QuarantineUpdate) -> UpdateReply<'_> {
+        Box::pin(async { Err("there are no peers".to_owned()) })
     }
 }
 
-/// A request to a service.
-pub struct Draft(pub Arc<str>);
+/// A request to the service of this name.
+pub struct DraftRequest(pub Arc<str>);
 
-impl RequestIdentity for Draft {
+impl RequestIdentity for DraftRequest {
     fn digest(&self) -> RequestDigest {
         RequestDigest::of(&RequestContent {
             method: "POST",
@@ -64,21 +64,21 @@
     }
 }
 
-pub const PATIENCE: WaitLimits = WaitLimits {
+pub const WAIT_LIMITS: WaitLimits = WaitLimits {
     lock_wait: Duration::from_millis(1_500),
     response_wait: Duration::from_secs(3),
 };
 
-/// A process whose store is there.
+/// Starts a process with a store at this address.
 pub fn process(store: SocketAddr) -> Arc<SuspectTracker> {
-    let suspects = Arc::new(SuspectTracker::new(Arc::new(NoGauges)));
-    let keeper = Replicator::new(Arc::clone(&suspects), Arc::new(Alone { store }));
-    tokio::spawn(Arc::new(keeper).run());
+    let suspects = Arc::new(SuspectTracker::new(Arc::new(NoMetrics)));
+    let replicator = Replicator::new(Arc::clone(&suspects), Arc::new(NoPeers { store }));
+    tokio::spawn(Arc::new(replicator).run());
     suspects
 }
 
-/// A loss of that request.
-pub fn loss_of(draft: &Draft) -> LostRequest {
+/// A lost response of that request.
+pub fn lost_request_of(draft: &DraftRequest) -> LostRequest {
     LostRequest {
         digest: draft.digest(),
         ran_alone: false,
--- a/crates/quarantine/tests/slow_store.rs
+++ b/crates/quarantine/tests/slow_store.rs
@@ -1,4 +1,4 @@
-//! Suspects while the store answers late.
+//! Suspects while the store replies late.
 
 mod common;
 
@@ -8,51 +8,51 @@
 use berylhook_quarantine::{RunClearance, WaitLimits};
 use berylhook_test_support::KeyValueStandIn;
 
-use crate::common::{Draft, PATIENCE, loss_of, process};
+use crate::common::{DraftRequest, WAIT_LIMITS, lost_request_of, process};
 
-/// Patience of a request with a goal of 400 ms and three seconds to its deadline.
-const USUAL: WaitLimits = WaitLimits {
+/// Limits of a request with a latency objective of 400 ms and three seconds until its deadline.
+const USUAL_LIMITS: WaitLimits = WaitLimits {
     lock_wait: Duration::from_millis(160),
-    ..PATIENCE
+    ..WAIT_LIMITS
 };
 
-// Targets ended one beside the other under one request: each process let it run when the store
-// had not answered in time whether another one did.
+// Guards against targets that exit one after the other because of one request: each process ran it
+// when the store had not replied in time whether another process holds the lock.
 #[tokio::test]
-async fn a_suspect_does_not_run_while_its_lock_is_on_its_way() {
+async fn a_suspect_does_not_run_while_its_lock_is_pending() {
     let store = KeyValueStandIn::start().await;
-    let draft = Draft("drafts".into());
+    let draft = DraftRequest("drafts".into());
     let processes = [process(store.address()), process(store.address())];
     for suspects in &processes {
         suspects.apply_items(&[], Position::default());
-        suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
+        suspects.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
     }
     store.hold_reads_of("berylhook/quarantine-lock/");
 
     let (mut first, mut second) = (RunClearance::default(), RunClearance::default());
     let (first, second) = tokio::join!(
-        processes[0].acquire_clearance(&draft, &mut first, USUAL),
-        processes[1].acquire_clearance(&draft, &mut second, USUAL),
+        processes[0].acquire_clearance(&draft, &mut first, USUAL_LIMITS),
+        processes[1].acquire_clearance(&draft, &mut second, USUAL_LIMITS),
     );
 
-    let why = [first, second].map(|cleared| cleared.err().map(|held| held.reason));
-    assert_eq!(why, [Some("lock-late"); 2]);
+    let reasons = [first, second].map(|cleared| cleared.err().map(|rejection| rejection.reason));
+    assert_eq!(reasons, [Some("lock-late"); 2]);
 }
 
-// A slow store delays a suspect, as another run of it does.
+// A slow store delays a suspect, like another run of the same request does.
 #[tokio::test]
-async fn a_suspect_waits_for_a_lock_that_comes_late() {
+async fn a_suspect_waits_for_a_late_lock() {
     let store = KeyValueStandIn::start().await;
-    let draft = Draft("drafts".into());
+    let draft = DraftRequest("drafts".into());
     let suspects = process(store.address());
     suspects.apply_items(&[], Position::default());
-    suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
+    suspects.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
     store.hold_reads_of("berylhook/quarantine-lock/");
 
     let mut clearance = RunClearance::default();
-    let clearing = suspects.acquire_clearance(&draft, &mut clearance, USUAL);
+    let clearing = suspects.acquire_clearance(&draft, &mut clearance, USUAL_LIMITS);
     let releasing = async {
-        tokio::time::sleep(USUAL.lock_wait * 2).await;
+        tokio::time::sleep(USUAL_LIMITS.lock_wait * 2).await;
         store.release_reads();
     };
     let (cleared, ()) = tokio::join!(clearing, releasing);
--- a/crates/quarantine/tests/store_unavailable.rs
+++ b/crates/quarantine/tests/store_unavailable.rs
@@ -1,4 +1,4 @@
-//! Suspects while the store does not answer.
+//! Suspects while the store does not reply.
 
 mod common;
 
@@ -7,33 +7,36 @@
 
 use berylhook_quarantine::{RunClearance, WaitLimits};
 
-use crate::common::{Draft, PATIENCE, loss_of, process};
+use crate::common::{DraftRequest, WAIT_LIMITS, lost_request_of, process};
 
-/// Nobody listens there.
+/// An address without a listener.
 const NO_STORE: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
-// A request that all callers send was refused for minutes: each process let it run by a lock of
-// its own, and each of these runs counted as the only one of its kind.
+// Guards against rejecting, for minutes, a request that many callers send: each process ran it
+// under a lock of its own, and each of these runs counted as the only one of the request.
 #[tokio::test]
-async fn a_run_under_a_lock_of_this_process_alone_is_not_the_only_one_of_its_kind() {
+async fn a_run_under_a_process_local_lock_does_not_run_alone() {
     let suspects = process(SocketAddr::from(NO_STORE));
-    let draft = Draft("drafts".into());
-    suspects.on_target_exit(&"i-1".into(), &[loss_of(&draft)]);
+    let draft = DraftRequest("drafts".into());
+    suspects.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
 
     let mut clearance = RunClearance::default();
     let cleared = suspects
-        .acquire_clearance(&draft, &mut clearance, PATIENCE)
+        .acquire_clearance(&draft, &mut clearance, WAIT_LIMITS)
         .await;
     let mut other = RunClearance::default();
-    let at_once = WaitLimits {
+    let short_wait = WaitLimits {
         lock_wait: Duration::from_millis(200),
-        ..PATIENCE
+        ..WAIT_LIMITS
     };
     let second = suspects
-        .acquire_clearance(&draft, &mut other, at_once)
+        .acquire_clearance(&draft, &mut other, short_wait)
         .await;
 
-    assert!(cleared.is_ok(), "a suspect runs while the store is away");
-    assert!(second.is_err(), "once at a time in this process");
+    assert!(
+        cleared.is_ok(),
+        "a suspect runs while the store is unavailable"
+    );
+    assert!(second.is_err(), "only one run at a time in this process");
     assert!(!clearance.runs_alone());
 }
