--- a/crates/core/src/quarantine/bounds.rs
+++ b/crates/core/src/quarantine/bounds.rs
@@ -78,12 +78,12 @@
     }
 
     pub(super) fn evict_excess_early_records(&mut self) {
-        let early = self
+        let early_records = self
             .requests
             .values()
             .filter(|request| request.has_only_survived_runs())
             .count();
-        let mut surplus = early.saturating_sub(MAX_EARLY_RECORDS);
+        let mut surplus = early_records.saturating_sub(MAX_EARLY_RECORDS);
         if surplus == 0 {
             return;
         }
--- a/crates/core/src/quarantine/derive.rs
+++ b/crates/core/src/quarantine/derive.rs
@@ -13,8 +13,9 @@
 /// Number of exits after which a request is on trial.
 const TRIAL_THRESHOLD: usize = 2;
 
-/// Number of these exits that must be uncorrelated. One is not enough: it may be caused by the
-/// poison request, while the suspect ran beside it and also at two targets that were killed.
+/// Number of exits that must be uncorrelated for a hold below `CORRELATED_HOLD_THRESHOLD`. One is
+/// not enough: it may be caused by the poison request, while the suspect ran beside it and also at
+/// two targets that were killed.
 const MIN_UNCORRELATED_EXITS: usize = 2;
 
 /// Exits within this time of each other at which the request did not run alone count as one. The
@@ -173,11 +174,11 @@
         };
         let mut others = self.exits.values();
         others.any(|other| {
-            let apart_ms = other
+            let distance_ms = other
                 .at_ms
                 .since(own.at_ms)
                 .max(own.at_ms.since(other.at_ms));
-            apart_ms <= CORRELATION_WINDOW_MS && !other.suspects.contains_key(&digest)
+            distance_ms <= CORRELATION_WINDOW_MS && !other.suspects.contains_key(&digest)
         })
     }
 }
--- a/crates/core/src/quarantine/explain.rs
+++ b/crates/core/src/quarantine/explain.rs
@@ -16,11 +16,12 @@
 /// Which requests explain the exits of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Explanation {
-    /// Only the request itself.
+    /// Only the request itself explains the exits.
     Sole,
-    /// Possibly another request as well, depending on reports that arrive within this time.
+    /// Another request may explain the exits as well, depending on reports that arrive within this
+    /// time.
     Undecided { resolved_in_ms: u64 },
-    /// At least one other request as well.
+    /// At least one other request explains the exits as well.
     Shared,
 }
 
--- a/crates/core/src/quarantine/hold.rs
+++ b/crates/core/src/quarantine/hold.rs
@@ -85,8 +85,8 @@
         newest_ms: MonoMs,
         wall_ms: WallMs,
     ) -> Option<Self> {
-        let is_trial = newest_ms.since(received_ms) > MIN_FAILED_TRIAL_AGE_MS;
-        is_trial.then(|| Self {
+        let is_failed_trial = newest_ms.since(received_ms) > MIN_FAILED_TRIAL_AGE_MS;
+        is_failed_trial.then(|| Self {
             failed_trials: self.failed_trials.saturating_add(1),
             since: wall_ms,
             ..self.clone()
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -86,9 +86,9 @@
 fn requests_at_a_single_exit_are_only_suspects() {
     let quarantine = after_exits(3);
 
-    for neighbour in 100..103 {
+    for other in 100..103 {
         assert_eq!(
-            status_at(&quarantine, neighbour, 20_000),
+            status_at(&quarantine, other, 20_000),
             QuarantineStatus::Suspect
         );
     }
@@ -105,9 +105,9 @@
 }
 
 // Guards against one entry that keeps a cleared request suspected for ten minutes, and puts it on
-// trial after the next exit. The report of the exit arrives after the report of the survived run. A
-// survived run of a request that was not suspected yet used to be dropped, so the order of messages
-// mattered.
+// trial after the next exit. The report of the exit arrives after the report of the survived run.
+// This happens if a survived run of a request that is not suspected yet is dropped, so that the
+// order of messages matters.
 #[test]
 fn a_survived_run_counts_even_if_received_before_the_exit() {
     let mut quarantine = Quarantine::default();
@@ -176,8 +176,8 @@
 }
 
 // Guards against rejecting innocent requests after a rack has lost power three times. Many targets
-// exit at once, callers retry, and this repeats. Each exit used to be attributed to the requests
-// that were there.
+// exit at once, callers retry, and this repeats. This happens if each exit counts fully against the
+// requests that were there.
 #[test]
 fn three_correlated_exits_do_not_hold_a_request() {
     let mut quarantine = Quarantine::default();
@@ -195,7 +195,7 @@
 }
 
 // Guards against a poison request that is never held while targets also fail for other reasons.
-// Correlated exits used not to count at all.
+// This happens if correlated exits do not count at all.
 #[test]
 fn a_request_at_every_exit_is_held_even_if_all_are_correlated() {
     let mut quarantine = Quarantine::default();
@@ -212,7 +212,7 @@
 
 // Guards against rejecting, for minutes, all callers who send the same request. Three targets exit
 // within the duration of one of its runs. The request was at each of them, as at every other
-// target, and each exit used to count against it.
+// target, and this happens if each exit counts against it.
 #[test]
 fn a_request_that_is_always_at_every_target_stays_a_suspect() {
     let mut quarantine = Quarantine::default();
@@ -336,7 +336,8 @@
     ));
 }
 
-// The report of the entry that knows that the request ran alone counts, in either order.
+// A report that the request ran alone takes precedence over the reports of other entries, in any
+// order.
 #[test]
 fn ran_alone_is_kept_when_other_entries_report_the_same_exit() {
     let facts = [
@@ -356,7 +357,7 @@
 
 // Guards against rejecting an innocent request while a poison request stops targets and a rack
 // loses power. The request is at two targets that are killed, and in between beside the poison
-// request. One uncorrelated exit used to suffice for a hold.
+// request. This happens if one uncorrelated exit suffices for a hold.
 #[test]
 fn one_uncorrelated_exit_among_kills_holds_no_request() {
     let mut quarantine = Quarantine::default();
@@ -414,10 +415,10 @@
 #[test]
 fn a_stored_hold_outlives_the_facts() {
     let mut quarantine = after_exits(3);
-    let (held, hold) = quarantine
+    let (held_digest, hold) = quarantine
         .unrecorded_holds(MonoMs(20_000), WALL_MS)
         .remove(0);
-    quarantine.on_hold(held, Some(hold), MonoMs(20_100));
+    quarantine.on_hold(held_digest, Some(hold), MonoMs(20_100));
 
     quarantine.expire_facts(MonoMs(20_000 + FACT_TTL_MS));
 
@@ -437,15 +438,15 @@
 }
 
 // Guards against a request that no engine survives and that stops a target every five minutes
-// forever. A failed trial used to count like any other exit.
+// forever. This happens if a failed trial counts like any other exit.
 #[test]
 fn each_failed_trial_doubles_the_trial_delay_up_to_an_hour() {
     let mut quarantine = after_exits(3);
     let (mut now, mut wall) = (MonoMs(20_000), WALL_MS);
     let mut delays_ms = Vec::new();
     for trial in 0..6 {
-        for (held, hold) in quarantine.unrecorded_holds(now, wall) {
-            quarantine.on_hold(held, Some(hold), now);
+        for (held_digest, hold) in quarantine.unrecorded_holds(now, wall) {
+            quarantine.on_hold(held_digest, Some(hold), now);
         }
         let QuarantineStatus::Held {
             retry_after_ms: Some(retry_after_ms),
@@ -468,8 +469,8 @@
 }
 
 // Guards against a hold whose next trial is delayed by minutes on a fleet with slow gossip. The
-// hold arrives from the store before a peer reports the exit that led to it. Any exit received
-// after the hold used to be taken for a failed trial.
+// hold arrives from the store before a peer reports the exit that led to it. This happens if any
+// exit received after the hold counts as a failed trial.
 #[test]
 fn the_exit_that_led_to_a_hold_is_no_failed_trial() {
     let mut quarantine = Quarantine::default();
@@ -548,8 +549,8 @@
     );
 }
 
-// Guards against a held request that is accepted again, and against an entry that grows. Somebody
-// sends thousands of other requests that each stop a target. Holds and exits used to share one
+// Guards against a held request that is accepted again, and against an entry that grows. A client
+// sends thousands of other requests that each stop a target, and holds and exits share one
 // unbounded table.
 #[test]
 fn a_flood_of_exits_is_bounded_and_evicts_no_hold() {
@@ -652,12 +653,12 @@
     quarantine.on_exit(&exit(2, 5_000, &[1, 4, 5]));
 
     let poison = status_in_group_at(&quarantine, 1, 5_000);
-    let elsewhere = status_at(&quarantine, 1, 5_000);
+    let outside_group = status_at(&quarantine, 1, 5_000);
     let later = status_in_group_at(&quarantine, 1, 5_000 + GROUP_HOLD_MS);
 
     let retry_after_ms = Some(GROUP_HOLD_MS);
     assert_eq!(poison, QuarantineStatus::Held { retry_after_ms });
-    assert_eq!(elsewhere, QuarantineStatus::OnTrial);
+    assert_eq!(outside_group, QuarantineStatus::OnTrial);
     assert_eq!(later, QuarantineStatus::OnTrial);
     assert_eq!(
         status_in_group_at(&quarantine, 4, 5_000),
--- a/crates/core/tests/quarantine_fleet.rs
+++ b/crates/core/tests/quarantine_fleet.rs
@@ -181,10 +181,10 @@
 
     fn deliver_facts(&mut self) {
         let now_ms = self.now_ms;
-        let due = self
+        let due_messages = self
             .in_flight
             .extract_if(.., |(due_ms, ..)| *due_ms <= now_ms);
-        for (_, entry, facts) in due {
+        for (_, entry, facts) in due_messages {
             for exit in &facts.exits {
                 self.entries[entry].on_exit(exit);
             }
@@ -197,11 +197,11 @@
     fn finish_runs(&mut self) {
         let now_ms = self.now_ms;
         for index in 0..TARGETS {
-            let ended: Vec<Run> = self.targets[index]
+            let finished: Vec<Run> = self.targets[index]
                 .runs
                 .extract_if(.., |run| run.finishes_ms <= now_ms)
                 .collect();
-            for run in ended {
+            for run in finished {
                 if run.request == POISON {
                     self.counts.poison_exits += 1;
                     self.targets[index].runs.push(run);
@@ -300,7 +300,8 @@
 
     fn send(&mut self, caller: &Caller) {
         let entries = self.entries.len() as u64;
-        let entry = usize::try_from(self.random.below(entries)).expect("few entries");
+        let entry = usize::try_from(self.random.below(entries))
+            .expect("the number of entries fits into usize");
         let request_digest = digest(caller.request);
         let wall_time = self.wall_time();
         let status = self.entries[entry].status(request_digest, MonoMs(self.now_ms), wall_time);
@@ -344,7 +345,8 @@
     }
 
     fn free_target(&mut self) -> Option<usize> {
-        let first = usize::try_from(self.random.below(TARGETS as u64)).expect("few targets");
+        let first = usize::try_from(self.random.below(TARGETS as u64))
+            .expect("the number of targets fits into usize");
         let target_indexes = (0..TARGETS).map(|offset| (first + offset) % TARGETS);
         let mut target_indexes = target_indexes.filter(|index| {
             let target = &self.targets[*index];
@@ -371,12 +373,12 @@
 #[test]
 fn no_request_is_rejected_after_three_rounds_of_kills() {
     for seed in 0..50 {
-        for apart_ms in [400, 700, 1_200, 2_500] {
+        for interval_ms in [400, 700, 1_200, 2_500] {
             let mut fleet = Fleet::new(6, seed);
             fleet.run_for(5_000, HIGH_LOAD, None);
             for _ in 0..3 {
                 fleet.kill_percent(15);
-                fleet.run_for(apart_ms, HIGH_LOAD, None);
+                fleet.run_for(interval_ms, HIGH_LOAD, None);
             }
             fleet.run_for(12_000, HIGH_LOAD, None);
 
--- a/crates/quarantine/src/abandoned_runs.rs
+++ b/crates/quarantine/src/abandoned_runs.rs
@@ -1,10 +1,10 @@
 //! Runs that were abandoned by their callers, until it is known that the target survived them.
 //!
-//! A target may exit during such a run without a lost response that would show it. The next request
-//! for the target would show it, but there may be none for seconds, and meanwhile the poison
-//! request runs elsewhere and stops another target. So this process probes the target itself. The
-//! results of other sends count as well: at a busy target they suffice, and no connection is made
-//! for probes.
+//! If a target exits during an abandoned run, no response is lost that would show the exit. The
+//! next request for the target would show it, but there may be none for seconds, and meanwhile the
+//! poison request is retried and stops another target. So this process probes the target itself.
+//! The results of other sends count as well: at a busy target they suffice, and no connection is
+//! made for probes.
 //!
 //! The listener at the target's address may be the successor of a target that exited, so a probe
 //! asks for its identity.
--- a/crates/quarantine/src/clearance.rs
+++ b/crates/quarantine/src/clearance.rs
@@ -42,8 +42,8 @@
 /// Retry delay while another run of the suspect is in progress: about the duration of a run.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Retry delay for a caller of a process that has not loaded the quarantine yet. Other processes
-/// have loaded it, and this one usually has within milliseconds.
+/// Retry delay for a caller of a process that has not loaded the quarantine state yet. Other
+/// processes have loaded it, and this one usually has within milliseconds.
 const UNINFORMED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Retry delay if a lock is needed and the store does not reply. Outages last for seconds.
@@ -118,7 +118,7 @@
 
 /// A lock over all processes, or over this process only while the store does not reply.
 struct RunLock {
-    suspects: Arc<SuspectTracker>,
+    tracker: Arc<SuspectTracker>,
     digest: RequestDigest,
     scope: LockScope,
     names: Vec<Arc<str>>,
@@ -130,25 +130,25 @@
     // A request is dropped as soon as its caller disconnects. The next run must not start before
     // the outcome of this one is known and reported.
     fn drop(&mut self) {
-        let suspects = Arc::clone(&self.suspects);
+        let tracker = Arc::clone(&self.tracker);
         let (digest, lease) = (self.digest, self.lease);
         let names = std::mem::take(&mut self.names);
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
         runtime.spawn(async move {
-            let exit_checks_done = suspects.exit_checks_done(digest);
+            let exit_checks_done = tracker.exit_checks_done(digest);
             if timeout(EXIT_CHECK_TIMEOUT, exit_checks_done).await.is_err() {
                 log::warn!(digest:% = digest; "exit check did not finish in time; releasing the lock");
             }
             if let Some(lease) = lease {
-                suspects.send_task(Task::Unlock { lease });
+                tracker.send_task(Task::Unlock { lease });
             }
-            let mut state = suspects.lock();
+            let mut state = tracker.lock();
             for name in &names {
                 state.locks.swap_remove(name);
             }
-            suspects.publish_change(&state);
+            tracker.publish_change(&state);
         });
     }
 }
@@ -277,7 +277,7 @@
             return Ok(RunClearance::default());
         }
         let mut run_lock = RunLock {
-            suspects: Arc::clone(self),
+            tracker: Arc::clone(self),
             digest,
             scope,
             names: names.clone(),
--- a/crates/quarantine/src/follow.rs
+++ b/crates/quarantine/src/follow.rs
@@ -18,12 +18,12 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Applies the quarantine's items of the store until the process exits.
-pub async fn follow_store(suspects: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) {
+pub async fn follow_store(tracker: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) {
     let mut is_unavailable = false;
     loop {
         let mut store = cluster.store();
-        let Err(error) = follow_until_error(&suspects, &mut store, &mut is_unavailable).await;
-        suspects.on_store_failed();
+        let Err(error) = follow_until_error(&tracker, &mut store, &mut is_unavailable).await;
+        tracker.on_store_failed();
         if !is_unavailable {
             log::warn!(reason:% = error; "cannot read the quarantine items in the store");
         }
@@ -35,12 +35,12 @@
 enum Never {}
 
 async fn follow_until_error(
-    suspects: &SuspectTracker,
+    tracker: &SuspectTracker,
     store: &mut Store,
     is_unavailable: &mut bool,
 ) -> Result<Never, StoreError> {
     let (items, mut position) = store.own_items(PREFIX).await?;
-    suspects.apply_items(&items, position);
+    tracker.apply_items(&items, position);
     if std::mem::take(is_unavailable) {
         log::info!("the quarantine items in the store can be read again");
     }
@@ -49,7 +49,7 @@
         let response = store.watch(topic, position, WATCH_WAIT_MS).await?;
         for revised in response.events {
             if let StoreEvent::Own { key, value } = revised.event {
-                suspects.apply_item(&key, value.as_deref(), revised.position);
+                tracker.apply_item(&key, value.as_deref(), revised.position);
             }
         }
         position = response.position;
--- a/crates/quarantine/src/initial_sync.rs
+++ b/crates/quarantine/src/initial_sync.rs
@@ -1,9 +1,9 @@
-//! Whether a process that has just started knows which requests are quarantined.
+//! Whether a process that has just started has loaded the quarantine state.
 //!
-//! A process without this knowledge would send requests that all other processes reject. Only the
-//! store has all of it: peers send facts, which expire, and no holds. A process that follows the
-//! store waits until it has read the store. If a read has failed, facts from a peer that is itself
-//! informed suffice, and after a while the process serves without either.
+//! A process without this state would send requests that all other processes reject. Only the
+//! store has the complete state: peers send facts, which expire, and no holds. A process that follows the
+//! store waits until it has read the store. If a read has failed, facts from a peer that has
+//! loaded the state itself suffice, and after a while the process serves without either.
 
 /// Time to wait for facts from a peer after the store has failed. A request that stops another
 /// target costs the other requests there more than this delay.
@@ -38,8 +38,8 @@
         self.store_failed_at_ms.get_or_insert(uptime_ms);
     }
 
-    /// The source from which this process knows the quarantine, at the given time since its start;
-    /// `None` while it still waits for one.
+    /// The source of the quarantine state of this process, at the given time since its start; `None`
+    /// while the process still waits for one.
     pub(crate) fn source(&self, uptime_ms: u64) -> Option<&'static str> {
         let store_failed_at_ms = self.store_failed_at_ms;
         let since_failure_ms = store_failed_at_ms.map(|at_ms| uptime_ms.saturating_sub(at_ms));
--- a/crates/quarantine/src/items.rs
+++ b/crates/quarantine/src/items.rs
@@ -30,11 +30,11 @@
     pub(crate) fn missing_holds(&self) -> Vec<(RequestDigest, Hold)> {
         let missing = lock_mutex(&self.stored_holds).missing();
         let state = self.lock();
-        let with_holds = missing.into_iter().filter_map(|digest| {
+        let missing_holds = missing.into_iter().filter_map(|digest| {
             let hold = state.quarantine.hold(digest)?;
             Some((digest, hold.clone()))
         });
-        with_holds.collect()
+        missing_holds.collect()
     }
 
     fn known_hold(&self, digest: RequestDigest) -> Option<Hold> {
--- a/crates/quarantine/src/lost_requests.rs
+++ b/crates/quarantine/src/lost_requests.rs
@@ -3,7 +3,7 @@
 //! A connection that closes without a response is not sufficient evidence: the target may have
 //! exited, may have reset the connection, or only one of its peers in a group may be gone. The
 //! distinction is whether a process still listens at its address. A VM that does not reply at all
-//! has lost its power or is unreachable, which is attributed to no request.
+//! has lost its power or is unreachable; neither is attributed to a request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -61,7 +61,8 @@
 struct LostAtTarget {
     incarnation: TargetIncarnation,
     requests: Vec<LostRequest>,
-    /// When a probe found a listener at the address; `None` while the probe is pending.
+    /// The time at which a probe did not find that the target has exited; `None` while a probe is
+    /// pending.
     no_exit_found_ms: Option<MonoMs>,
 }
 
@@ -134,20 +135,21 @@
     ) -> Vec<(Arc<str>, Vec<LostRequest>)> {
         let is_superseded = |lost: &LostAtTarget| {
             let previous = &lost.incarnation;
-            let mut at_address = listed
+            let mut listed_at_address = listed
                 .iter()
                 .filter(|incarnation| incarnation.address == previous.address);
-            at_address.any(|incarnation| incarnation.listed_revision > previous.listed_revision)
+            listed_at_address
+                .any(|incarnation| incarnation.listed_revision > previous.listed_revision)
         };
         let superseded = self
             .by_target
             .iter()
             .filter(|(_, lost)| is_superseded(lost));
         let targets: Vec<_> = superseded.map(|(target, _)| Arc::clone(target)).collect();
-        let with_requests = targets.into_iter().map(|target| {
+        let superseded_requests = targets.into_iter().map(|target| {
             let requests = self.take_target(&target);
             (target, requests)
         });
-        with_requests.collect()
+        superseded_requests.collect()
     }
 }
--- a/crates/quarantine/src/replicator.rs
+++ b/crates/quarantine/src/replicator.rs
@@ -90,19 +90,19 @@
 
 /// Replicates facts and holds to the peers and the store, and manages locks in the store.
 pub struct Replicator {
-    suspects: Arc<SuspectTracker>,
+    tracker: Arc<SuspectTracker>,
     cluster: Arc<dyn ClusterAccess>,
 }
 
 impl Replicator {
-    /// Creates a replicator for the state in `suspects`.
+    /// Creates a replicator for the state in `tracker`.
     #[must_use]
-    pub fn new(suspects: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) -> Self {
-        Self { suspects, cluster }
+    pub fn new(tracker: Arc<SuspectTracker>, cluster: Arc<dyn ClusterAccess>) -> Self {
+        Self { tracker, cluster }
     }
 
-    fn suspects(&self) -> &Arc<SuspectTracker> {
-        &self.suspects
+    fn tracker(&self) -> &Arc<SuspectTracker> {
+        &self.tracker
     }
 
     fn store(&self) -> Store {
@@ -111,7 +111,7 @@
 
     /// Runs the tasks of the tracker until the process exits.
     pub async fn run(self: Arc<Self>) {
-        let task_receiver = &self.suspects().task_receiver;
+        let task_receiver = &self.tracker().task_receiver;
         let Some(mut tasks) = lock_mutex(task_receiver).take() else {
             return;
         };
@@ -176,11 +176,11 @@
     /// them.
     #[must_use]
     pub fn apply_update(&self, update: QuarantineUpdate) -> QuarantineUpdate {
-        let suspects = self.suspects();
+        let tracker = self.tracker();
         let wants_all = update.wants_all;
-        suspects.apply_facts(&update.into_facts(suspects.now_ms()), "peer");
+        tracker.apply_facts(&update.into_facts(tracker.now_ms()), "peer");
         let reply_facts = if wants_all {
-            suspects.facts()
+            tracker.facts()
         } else {
             Facts::default()
         };
@@ -189,12 +189,12 @@
 
     /// Exchanges all facts with a peer.
     async fn exchange_facts(&self, address: SocketAddr) {
-        let suspects = self.suspects();
-        let update = QuarantineUpdate::of(&suspects.facts(), true);
+        let tracker = self.tracker();
+        let update = QuarantineUpdate::of(&tracker.facts(), true);
         match self.send_to_peer(address, update).await {
             Ok(reply) => {
-                suspects.apply_facts(&reply.into_facts(suspects.now_ms()), "peer");
-                suspects.on_peer_report();
+                tracker.apply_facts(&reply.into_facts(tracker.now_ms()), "peer");
+                tracker.on_peer_report();
             }
             Err(reason) => log::debug!(reason:% = reason; "cannot exchange facts with a peer"),
         }
@@ -229,7 +229,7 @@
                 sleep(SEND_RETRY_DELAY).await;
             }
             let facts = Facts {
-                now_ms: self.suspects().now_ms(),
+                now_ms: self.tracker().now_ms(),
                 ..facts.clone()
             };
             let update = QuarantineUpdate::of(&facts, false);
@@ -284,7 +284,7 @@
         survived: &SurvivedRun,
         now_ms: MonoMs,
     ) -> Result<(), StoreError> {
-        let exit_count = self.suspects().exit_count(survived.digest);
+        let exit_count = self.tracker().exit_count(survived.digest);
         if exit_count < MIN_EXITS_TO_STORE_SURVIVED_RUNS {
             return Ok(());
         }
@@ -329,18 +329,18 @@
 
     /// Stores the holds that follow from the facts, and how many of their trials have failed.
     async fn store_holds(&self) {
-        let suspects = self.suspects();
+        let tracker = self.tracker();
         let unrecorded_holds = {
-            let state = suspects.lock();
+            let state = tracker.lock();
             state
                 .quarantine
-                .unrecorded_holds(suspects.now_ms(), WallMs::now())
+                .unrecorded_holds(tracker.now_ms(), WallMs::now())
         };
-        for (digest, hold) in suspects.missing_holds().into_iter().chain(unrecorded_holds) {
+        for (digest, hold) in tracker.missing_holds().into_iter().chain(unrecorded_holds) {
             match self.store_hold(digest, &hold).await {
                 Ok(position) => {
                     log::warn!(digest:% = digest, failed_trials = hold.failed_trials; "hold of a request stored");
-                    suspects.apply_stored_hold(digest, Some(hold), position);
+                    tracker.apply_stored_hold(digest, Some(hold), position);
                 }
                 // Another entry wrote the hold first; the watch delivers its value.
                 Err(StoreError::Conflict) => {}
@@ -355,7 +355,7 @@
         let put = Put {
             key: stored::hold_key(digest),
             value: stored::hold_value(hold),
-            expected: self.suspects().hold_position(digest),
+            expected: self.tracker().hold_position(digest),
             lease: None,
         };
         self.store().commit(&[put]).await
@@ -363,7 +363,7 @@
 
     async fn acquire_lock(&self, names: &[Arc<str>], ttl: Duration) -> LockReply {
         let result = self.try_lock(names, ttl).await;
-        let is_store_unavailable = &self.suspects().is_store_unavailable;
+        let is_store_unavailable = &self.tracker().is_store_unavailable;
         is_store_unavailable.store(result.is_err(), Ordering::Relaxed);
         match result {
             Ok(Some(lease)) => LockReply::Granted { lease },
@@ -405,7 +405,7 @@
         };
         match result {
             Ok((items, position)) => {
-                self.suspects().apply_items(&items, position);
+                self.tracker().apply_items(&items, position);
                 Ok(Some(lease))
             }
             Err(error) => {
@@ -420,7 +420,7 @@
     }
 
     async fn release_lock(&self, lease: Lease) {
-        if self.suspects().is_of_previous_era(lease.era) {
+        if self.tracker().is_of_previous_era(lease.era) {
             return;
         }
         if let Err(error) = self.store().end(lease).await {
@@ -433,17 +433,17 @@
     async fn run_maintenance(self: Arc<Self>) {
         loop {
             sleep(MAINTENANCE_INTERVAL).await;
-            if self.suspects().is_active() {
+            if self.tracker().is_active() {
                 self.maintain().await;
             }
         }
     }
 
     async fn maintain(&self) {
-        self.suspects().expire_facts();
+        self.tracker().expire_facts();
         self.store_holds().await;
         let expired_holds = self
-            .suspects()
+            .tracker()
             .lock()
             .quarantine
             .expired_holds(WallMs::now());
@@ -453,16 +453,16 @@
     }
 
     async fn remove_hold(&self, digest: RequestDigest) {
-        let suspects = self.suspects();
+        let tracker = self.tracker();
         let key = stored::hold_key(digest);
-        let Some(position) = suspects.hold_position(digest) else {
-            suspects.apply_stored_hold(digest, None, Position::default());
+        let Some(position) = tracker.hold_position(digest) else {
+            tracker.apply_stored_hold(digest, None, Position::default());
             return;
         };
         match self.store().remove(&key, position).await {
             Ok(removed_at) => {
                 log::warn!(digest:% = digest; "hold of a request removed");
-                suspects.apply_stored_hold(digest, None, removed_at);
+                tracker.apply_stored_hold(digest, None, removed_at);
             }
             Err(StoreError::Conflict) => {}
             Err(error) => {
--- a/crates/quarantine/src/stored_holds.rs
+++ b/crates/quarantine/src/stored_holds.rs
@@ -15,7 +15,7 @@
 /// The holds in the store, as this process knows them.
 #[derive(Debug, Default)]
 pub(crate) struct StoredHolds {
-    /// The store's era; `None` before the first read.
+    /// The store's era, which increases with each restore from a copy; `None` before the first read.
     era: Option<u64>,
     /// The position at which each hold was last written.
     positions: IndexMap<RequestDigest, Position>,
@@ -90,11 +90,15 @@
         self.removed.insert(digest, hold);
     }
 
-    /// Records that the store has no hold of the request, or an outdated one at the position
-    /// `copy`.
-    pub(crate) fn mark_missing(&mut self, digest: RequestDigest, copy: Option<Position>) {
+    /// Records that the store has no hold of the request, or an outdated one at
+    /// `outdated_position`.
+    pub(crate) fn mark_missing(
+        &mut self,
+        digest: RequestDigest,
+        outdated_position: Option<Position>,
+    ) {
         self.missing.insert(digest);
-        match copy {
+        match outdated_position {
             Some(position) => self.positions.insert(digest, position),
             None => self.positions.swap_remove(&digest),
         };
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -44,7 +44,7 @@
     started: Instant,
     /// What has been received since the start.
     initial_sync: Mutex<InitialSync>,
-    /// Whether the quarantine is known in this process. Never reset.
+    /// Whether the quarantine state has been loaded. Never reset.
     is_synced: AtomicBool,
     /// Whether the store failed to reply to the last request for a lock.
     pub(crate) is_store_unavailable: AtomicBool,
@@ -164,12 +164,12 @@
         self.publish_change(&state);
         drop(state);
         if needs_probe {
-            let suspects = Arc::clone(self);
+            let tracker = Arc::clone(self);
             let incarnation = incarnation.clone();
             tokio::spawn(async move {
                 let has_exited = probe::has_ended(incarnation.address).await
                     || matches!(probe.probe().await, Listening::Refused | Listening::Another);
-                suspects.on_exit_check(&incarnation.target, has_exited);
+                tracker.on_exit_check(&incarnation.target, has_exited);
             });
         }
     }
@@ -440,7 +440,7 @@
         self.update_initial_sync(InitialSync::on_store_read);
     }
 
-    /// Records that a peer that knows the quarantine has sent all its facts.
+    /// Records that a peer that has loaded the quarantine state has sent all its facts.
     pub(crate) fn on_peer_report(&self) {
         self.update_initial_sync(InitialSync::on_peer_report);
     }
@@ -461,8 +461,8 @@
         }
     }
 
-    /// Whether this process does not know the quarantine yet. It should receive no requests until
-    /// then.
+    /// Whether this process has not loaded the quarantine state yet. It should receive no requests
+    /// until then.
     #[must_use]
     pub fn is_uninformed(&self) -> bool {
         if self.is_synced.load(Ordering::Relaxed) {
--- a/crates/quarantine/tests/abandoned_runs.rs
+++ b/crates/quarantine/tests/abandoned_runs.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Longer than a target is probed.
+/// Longer than the time during which a target is probed.
 const ALL_PROBES: Duration = Duration::from_millis(1_500);
 
 /// Long enough on any machine.
@@ -89,10 +89,10 @@
     }
 }
 
-fn suspects() -> (Arc<SuspectTracker>, Arc<Counts>) {
+fn tracker_and_counts() -> (Arc<SuspectTracker>, Arc<Counts>) {
     let counts = Arc::new(Counts::default());
-    let suspects = SuspectTracker::new(Arc::clone(&counts) as Arc<dyn QuarantineMetrics>);
-    (Arc::new(suspects), counts)
+    let tracker = SuspectTracker::new(Arc::clone(&counts) as Arc<dyn QuarantineMetrics>);
+    (Arc::new(tracker), counts)
 }
 
 // Guards against an exit that is attributed to no request: the target exits some time after the
@@ -100,21 +100,21 @@
 #[tokio::test]
 async fn a_later_exit_is_attributed_to_all_abandoned_runs() {
     let target = Target::start().await;
-    let (suspects, counts) = suspects();
+    let (tracker, counts) = tracker_and_counts();
 
-    suspects.on_abandoned_run(&target.incarnation(), lost_request("first"));
-    suspects.on_abandoned_run(&target.incarnation(), lost_request("second"));
+    tracker.on_abandoned_run(&target.incarnation(), lost_request("first"));
+    tracker.on_abandoned_run(&target.incarnation(), lost_request("second"));
     sleep(Duration::from_millis(300)).await;
     target.stop();
 
-    let found = async {
+    let detection = async {
         while counts.requests_at_exits.load(Ordering::SeqCst) < 2 {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let found = tokio::time::timeout(TEST_TIMEOUT, found).await;
+    let detected = tokio::time::timeout(TEST_TIMEOUT, detection).await;
     assert!(
-        found.is_ok(),
+        detected.is_ok(),
         "requests at exits: {:?}",
         counts.requests_at_exits
     );
@@ -125,13 +125,13 @@
 #[tokio::test]
 async fn a_surviving_target_is_probed_at_most_twice() {
     let target = Target::start().await;
-    let (suspects, counts) = suspects();
+    let (tracker, counts) = tracker_and_counts();
 
     for body in ["first", "second", "third"] {
-        suspects.on_abandoned_run(&target.incarnation(), lost_request(body));
+        tracker.on_abandoned_run(&target.incarnation(), lost_request(body));
         sleep(Duration::from_millis(3)).await;
     }
-    while suspects.awaits_probes() {
+    while tracker.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(ALL_PROBES).await;
@@ -146,16 +146,16 @@
 #[tokio::test]
 async fn accepted_connections_of_other_sends_replace_probes() {
     let target = Target::start().await;
-    let (suspects, counts) = suspects();
+    let (tracker, counts) = tracker_and_counts();
 
-    suspects.on_abandoned_run(&target.incarnation(), lost_request("first"));
-    let much_later_ms = suspects.now_ms() + 2_000;
-    suspects.on_connection_accepted("i-1", much_later_ms);
+    tracker.on_abandoned_run(&target.incarnation(), lost_request("first"));
+    let much_later_ms = tracker.now_ms() + 2_000;
+    tracker.on_connection_accepted("i-1", much_later_ms);
     sleep(ALL_PROBES).await;
 
     assert_eq!(target.connections.load(Ordering::SeqCst), 0);
     assert_eq!(counts.requests_at_exits.load(Ordering::SeqCst), 0);
-    assert!(!suspects.awaits_probes());
+    assert!(!tracker.awaits_probes());
 }
 
 /// Replies with the identity of another incarnation at a target's address.
@@ -171,14 +171,14 @@
 #[tokio::test]
 async fn a_target_whose_address_is_taken_by_another_has_exited() {
     let successor = Target::start().await;
-    let (suspects, counts) = suspects();
+    let (tracker, counts) = tracker_and_counts();
 
-    suspects.on_abandoned_run_with_probe(
+    tracker.on_abandoned_run_with_probe(
         &successor.incarnation(),
         lost_request("first"),
         Arc::new(OtherIncarnation),
     );
-    while suspects.awaits_probes() {
+    while tracker.awaits_probes() {
         sleep(Duration::from_millis(20)).await;
     }
 
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -71,10 +71,10 @@
 
 /// Starts a process with a store at this address.
 pub fn process(store: SocketAddr) -> Arc<SuspectTracker> {
-    let suspects = Arc::new(SuspectTracker::new(Arc::new(NoMetrics)));
-    let replicator = Replicator::new(Arc::clone(&suspects), Arc::new(NoPeers { store }));
+    let tracker = Arc::new(SuspectTracker::new(Arc::new(NoMetrics)));
+    let replicator = Replicator::new(Arc::clone(&tracker), Arc::new(NoPeers { store }));
     tokio::spawn(Arc::new(replicator).run());
-    suspects
+    tracker
 }
 
 /// A lost response of that request.
--- a/crates/quarantine/tests/slow_store.rs
+++ b/crates/quarantine/tests/slow_store.rs
@@ -23,9 +23,9 @@
     let store = KeyValueStandIn::start().await;
     let draft = DraftRequest("drafts".into());
     let processes = [process(store.address()), process(store.address())];
-    for suspects in &processes {
-        suspects.apply_items(&[], Position::default());
-        suspects.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
+    for tracker in &processes {
+        tracker.apply_items(&[], Position::default());
+        tracker.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
     }
     store.hold_reads_of("berylhook/quarantine-lock/");
 
@@ -35,7 +35,7 @@
         processes[1].acquire_clearance(&draft, &mut second, USUAL_LIMITS),
     );
 
-    let reasons = [first, second].map(|cleared| cleared.err().map(|rejection| rejection.reason));
+    let reasons = [first, second].map(|result| result.err().map(|rejection| rejection.reason));
     assert_eq!(reasons, [Some("lock-late"); 2]);
 }
 
@@ -44,19 +44,19 @@
 async fn a_suspect_waits_for_a_late_lock() {
     let store = KeyValueStandIn::start().await;
     let draft = DraftRequest("drafts".into());
-    let suspects = process(store.address());
-    suspects.apply_items(&[], Position::default());
-    suspects.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
+    let tracker = process(store.address());
+    tracker.apply_items(&[], Position::default());
+    tracker.on_target_exit(&"i-1".into(), &[lost_request_of(&draft)]);
     store.hold_reads_of("berylhook/quarantine-lock/");
 
     let mut clearance = RunClearance::default();
-    let clearing = suspects.acquire_clearance(&draft, &mut clearance, USUAL_LIMITS);
+    let clearing = tracker.acquire_clearance(&draft, &mut clearance, USUAL_LIMITS);
     let releasing = async {
         tokio::time::sleep(USUAL_LIMITS.lock_wait * 2).await;
         store.release_reads();
     };
-    let (cleared, ()) = tokio::join!(clearing, releasing);
+    let (result, ()) = tokio::join!(clearing, releasing);
 
-    assert!(cleared.is_ok(), "{cleared:?}");
+    assert!(result.is_ok(), "{result:?}");
     assert!(clearance.runs_alone());
 }
