--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stored.rs
@@ -2,12 +2,13 @@
 //!
 //! | Key | Value | Removed |
 //! |---|---|---|
-//! | `berylhook/quarantine/end/TARGET/PROCESS` | an [`ExitDocument`] | when its lease expires, after ten minutes |
+//! | `berylhook/quarantine/end/TARGET/REPORT` | an [`ExitDocument`] | when its lease expires, after ten minutes |
 //! | `berylhook/quarantine/outlived/DIGEST/RUN` | a [`SurvivedRunDocument`] | when its lease expires, after ten minutes |
 //! | `berylhook/quarantine/hold/DIGEST` | a [`HoldDocument`] | when a trial succeeds, or the request is not sent for a long time |
 //! | `berylhook/quarantine-lock/NAME` | the name of the process that holds the lock | when the run ends, or its lease expires |
 //!
-//! Operators' commands write holds in the same form as entries.
+//! `REPORT` is a random id, so that several processes can report the exit of one target. Operators'
+//! commands write holds in the same form as entries.
 
 use std::sync::Arc;
 
