--- a/crates/experts/examples/policies.rs
+++ b/crates/experts/examples/policies.rs
@@ -1,9 +1,9 @@
-//! Measures the rebalancing policy against a static map, a full re-placement
-//! each period, and a greedy that acts on a threshold alone.
+//! Compares the rebalancing policy with a static map, with a new placement from
+//! scratch in each period, and with a greedy policy that only uses a threshold.
 //!
 //!     cargo run --release -p berylhook-experts --example policies
 
-#![allow(clippy::cast_precision_loss)] // a bench's counts are small
+#![allow(clippy::cast_precision_loss)] // the counts are small
 #![allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // quantile positions
 
 use std::time::Instant;
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Workload {
-    MorningDrift,
+    DailyDrift,
     Burst,
     NoiseOnly,
     Straggler,
@@ -33,13 +33,17 @@
     Static,
     FullEachPeriod,
     ThresholdGreedy,
-    Ours,
+    Rebalancing,
 }
 
-/// True popularity at `period`, in tokens for each expert of each layer.
-fn truth(workload: Workload, period: usize, orders: &[Vec<usize>]) -> Vec<Vec<f64>> {
-    let day = period as f64 / PERIODS as f64;
-    orders
+/// True popularity in `period`, as tokens per expert for each layer.
+fn true_loads(
+    workload: Workload,
+    period: usize,
+    popularity_orders: &[Vec<usize>],
+) -> Vec<Vec<f64>> {
+    let progress = period as f64 / PERIODS as f64;
+    popularity_orders
         .iter()
         .map(|order| {
             (0..EXPERTS)
@@ -48,8 +52,10 @@
                     let morning = zipf(order[expert]);
                     let evening = zipf(order[(expert + 17) % EXPERTS]);
                     match workload {
-                        Workload::MorningDrift => morning * (1.0 - day) + evening * day,
-                        Workload::Burst if (0.4..0.7).contains(&day) && order[expert] % 16 == 5 => {
+                        Workload::DailyDrift => morning * (1.0 - progress) + evening * progress,
+                        Workload::Burst
+                            if (0.4..0.7).contains(&progress) && order[expert] % 16 == 5 =>
+                        {
                             morning * 4.0
                         }
                         _ => morning,
@@ -60,113 +66,123 @@
         .collect()
 }
 
-fn shuffled(random: &mut StdRng) -> Vec<usize> {
+fn shuffled_experts(rng: &mut StdRng) -> Vec<usize> {
     let mut order: Vec<usize> = (0..EXPERTS).collect();
     for index in (1..EXPERTS).rev() {
-        order.swap(index, random.random_range(0..=index));
+        order.swap(index, rng.random_range(0..=index));
     }
     order
 }
 
 #[derive(Default)]
-struct Result {
+struct RunResult {
     skews: Vec<f64>,
-    over_bound: Vec<f64>,
-    moved: usize,
+    bound_ratios: Vec<f64>,
+    moved_slots: usize,
     switches: usize,
 }
 
-fn run(policy: Policy, workload: Workload, ranks: usize) -> Result {
+fn run(policy: Policy, workload: Workload, ranks: usize) -> RunResult {
     let shape = LayerShape {
         ranks,
         slots_per_rank: (EXPERTS * 5 / 4).div_ceil(ranks).max(2),
         experts: EXPERTS,
     };
-    let mut random = StdRng::seed_from_u64(7);
-    let orders: Vec<_> = (0..LAYERS).map(|_| shuffled(&mut random)).collect();
-    let usual = vec![1.0; ranks];
-    let mut speeds = usual.clone();
-    let first = truth(workload, 0, &orders);
-    let mut maps: Vec<Placement> = first
+    let mut rng = StdRng::seed_from_u64(7);
+    let popularity_orders: Vec<_> = (0..LAYERS).map(|_| shuffled_experts(&mut rng)).collect();
+    let usual_speeds = vec![1.0; ranks];
+    let mut speeds = usual_speeds.clone();
+    let initial_loads = true_loads(workload, 0, &popularity_orders);
+    let mut maps: Vec<Placement> = initial_loads
         .iter()
         .map(|loads| {
             place_from_scratch(
                 &shape,
                 &LayerLoad {
                     loads,
-                    speeds: &usual,
+                    speeds: &usual_speeds,
                 },
             )
         })
         .collect();
-    let mut ours = Rebalancer::new(shape, PolicyConfig::default(), maps.clone());
-    let mut result = Result::default();
+    let mut rebalancer = Rebalancer::new(shape, PolicyConfig::default(), maps.clone());
+    let mut result = RunResult::default();
     for period in 0..PERIODS {
         if workload == Workload::Straggler && period == PERIODS / 4 {
             speeds[ranks / 2] = 0.6;
         }
-        let loads = truth(workload, period, &orders);
-        let noisy: Vec<Vec<f64>> = loads
+        let loads = true_loads(workload, period, &popularity_orders);
+        let noisy_loads: Vec<Vec<f64>> = loads
             .iter()
             .map(|layer| {
                 layer
                     .iter()
-                    .map(|load| load * random.random_range(0.85..1.15))
+                    .map(|load| load * rng.random_range(0.85..1.15))
                     .collect()
             })
             .collect();
         record(&mut result, &shape, &maps, &loads, &speeds);
-        let rank_times = busy(&shape, &maps, &noisy, &speeds);
-        let next = match policy {
+        let rank_times = busy_times(&shape, &maps, &noisy_loads, &speeds);
+        let next_maps = match policy {
             Policy::Static => None,
-            Policy::FullEachPeriod => Some(full(&shape, &noisy, &usual)),
-            Policy::ThresholdGreedy => Some(greedy(&shape, &maps, &noisy, &usual)),
-            Policy::Ours => {
-                ours.observe(&Measurement {
-                    loads: &noisy,
+            Policy::FullEachPeriod => Some(place_all_layers(&shape, &noisy_loads, &usual_speeds)),
+            Policy::ThresholdGreedy => Some(greedy_placements(
+                &shape,
+                &maps,
+                &noisy_loads,
+                &usual_speeds,
+            )),
+            Policy::Rebalancing => {
+                rebalancer.observe(&Measurement {
+                    loads: &noisy_loads,
                     rank_times: &rank_times,
                 });
-                ours.plan().map(|plan| plan.layers)
+                rebalancer.plan().map(|plan| plan.layers)
             }
         };
-        if let Some(next) = next {
-            let moved: usize = next
+        if let Some(next_maps) = next_maps {
+            let moved_slots: usize = next_maps
                 .iter()
                 .zip(&maps)
-                .map(|(now, then)| now.count_moves_from(then))
+                .map(|(placement, previous)| placement.count_moves_from(previous))
                 .sum();
-            result.moved += moved;
-            result.switches += usize::from(moved > 0);
-            maps = next;
+            result.moved_slots += moved_slots;
+            result.switches += usize::from(moved_slots > 0);
+            maps = next_maps;
         }
     }
     result
 }
 
-fn full(shape: &LayerShape, loads: &[Vec<f64>], speeds: &[f64]) -> Vec<Placement> {
+fn place_all_layers(shape: &LayerShape, loads: &[Vec<f64>], speeds: &[f64]) -> Vec<Placement> {
     loads
         .iter()
         .map(|loads| place_from_scratch(shape, &LayerLoad { loads, speeds }))
         .collect()
 }
 
-fn greedy(
+fn greedy_placements(
     shape: &LayerShape,
     maps: &[Placement],
     loads: &[Vec<f64>],
     speeds: &[f64],
 ) -> Vec<Placement> {
     let planned = maps.iter().zip(loads).map(|(map, loads)| {
-        let demand = LayerLoad { loads, speeds };
-        if map.layer_time(shape, &demand) < GREEDY_THRESHOLD * demand.lower_bound() {
+        let layer_load = LayerLoad { loads, speeds };
+        if map.layer_time(shape, &layer_load) < GREEDY_THRESHOLD * layer_load.lower_bound() {
             return map.clone();
         }
-        improve(shape, map, &demand, GREEDY_MOVES).placement
+        improve(shape, map, &layer_load, GREEDY_MOVES).placement
     });
     planned.collect()
 }
 
-fn busy(shape: &LayerShape, maps: &[Placement], loads: &[Vec<f64>], speeds: &[f64]) -> Vec<f64> {
+fn busy_times(
+    shape: &LayerShape,
+    maps: &[Placement],
+    loads: &[Vec<f64>],
+    speeds: &[f64],
+) -> Vec<f64> {
     let mut sum = vec![0.0; shape.ranks];
     for (map, loads) in maps.iter().zip(loads) {
         for (sum, time) in sum
@@ -179,9 +195,10 @@
     sum
 }
 
-/// Skew of the step: time of the slowest ranks over the mean, all layers.
+/// Records the skew of a step and its ratio to the lower bound. The skew is the time
+/// of the slowest rank divided by the mean time of the ranks, over all layers.
 fn record(
-    result: &mut Result,
+    result: &mut RunResult,
     shape: &LayerShape,
     maps: &[Placement],
     loads: &[Vec<f64>],
@@ -191,24 +208,24 @@
     let mut mean = 0.0;
     let mut bound = 0.0;
     for (map, loads) in maps.iter().zip(loads) {
-        let demand = LayerLoad { loads, speeds };
-        let times = map.rank_times(shape, &demand);
+        let layer_load = LayerLoad { loads, speeds };
+        let times = map.rank_times(shape, &layer_load);
         slowest += times.iter().copied().fold(0.0, f64::max);
         mean += times.iter().sum::<f64>() / times.len() as f64;
-        bound += demand.lower_bound();
+        bound += layer_load.lower_bound();
     }
     result.skews.push(slowest / mean);
-    result.over_bound.push(slowest / bound);
+    result.bound_ratios.push(slowest / bound);
 }
 
-fn quantile(values: &mut [f64], at: f64) -> f64 {
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    values[((values.len() - 1) as f64 * at) as usize]
+    values[((values.len() - 1) as f64 * fraction) as usize]
 }
 
 fn main() {
     let workloads = [
-        ("drift", Workload::MorningDrift),
+        ("drift", Workload::DailyDrift),
         ("burst", Workload::Burst),
         ("noise only", Workload::NoiseOnly),
         ("straggler", Workload::Straggler),
@@ -217,7 +234,7 @@
         ("static", Policy::Static),
         ("full each period", Policy::FullEachPeriod),
         ("threshold greedy", Policy::ThresholdGreedy),
-        ("berylhook", Policy::Ours),
+        ("berylhook", Policy::Rebalancing),
     ];
     println!("{EXPERTS} experts, {LAYERS} layers, {PERIODS} periods, noise 15%");
     println!(
@@ -231,29 +248,29 @@
                 println!(
                     "{ranks:>5}  {workload_name:<10}  {policy_name:<17}  {mean:>9.3}  {:>8.3}  {:>9.3}  {:>8.1}  {:>8}",
                     quantile(&mut result.skews, 0.99),
-                    quantile(&mut result.over_bound, 0.99),
-                    result.moved as f64 * EXPERT_MB / 1_000.0,
+                    quantile(&mut result.bound_ratios, 0.99),
+                    result.moved_slots as f64 * EXPERT_MB / 1_000.0,
                     result.switches,
                 );
             }
         }
     }
-    planning_time();
+    measure_planning_time();
 }
 
-/// Planning time of the largest group, 60 layers, on one core.
-fn planning_time() {
+/// Measures the planning time for the largest group with 60 layers, on one core.
+fn measure_planning_time() {
     let shape = LayerShape {
         ranks: 256,
         slots_per_rank: 2,
         experts: EXPERTS,
     };
-    let mut random = StdRng::seed_from_u64(9);
+    let mut rng = StdRng::seed_from_u64(9);
     let speeds = vec![1.0; shape.ranks];
     let loads: Vec<Vec<f64>> = (0..60)
         .map(|_| {
             (0..EXPERTS)
-                .map(|_| random.random_range(10.0..1_000.0))
+                .map(|_| rng.random_range(10.0..1_000.0))
                 .collect()
         })
         .collect();
@@ -272,15 +289,15 @@
             rank_times: &[],
         });
     }
-    let mut took_ms = Vec::new();
+    let mut plan_times_ms = Vec::new();
     for _ in 0..20 {
         let began = Instant::now();
         let _ = rebalancer.plan();
-        took_ms.push(began.elapsed().as_secs_f64() * 1_000.0);
+        plan_times_ms.push(began.elapsed().as_secs_f64() * 1_000.0);
     }
     println!(
         "planning 256 ranks, 64 experts, 60 layers: p50 {:.1} ms, max {:.1} ms",
-        quantile(&mut took_ms, 0.5),
-        quantile(&mut took_ms, 1.0)
+        quantile(&mut plan_times_ms, 0.5),
+        quantile(&mut plan_times_ms, 1.0)
     );
 }
--- a/crates/experts/src/adapt.rs
+++ b/crates/experts/src/adapt.rs
@@ -1,21 +1,24 @@
-//! Adapting the maps of all sets to a new demand, under the engines' limits.
+//! Adapts the expert map of a group to a new demand, within the limits of its
+//! engines. The layers of a model are divided into layer sets, each of which has
+//! its own placement of experts.
 //!
-//! After a shift of demand the map in use is wrong until the next one is in
-//! force, and copying experts takes most of that time: ranks copy one expert
-//! after the other, all ranks at once. A plan therefore bounds the new experts
-//! of a rank over all sets together, and takes the copies that relieve the
-//! most loaded ranks most, in whichever set they are.
+//! After a shift of demand, the group runs with an outdated map until a new one
+//! is active, and copying experts takes most of that time: all ranks copy at the
+//! same time, each one expert after the other. A plan therefore limits the number
+//! of new experts of a rank over all layer sets together, and chooses the copies
+//! that take the most load off the most loaded ranks, whichever layer sets these
+//! are in.
 //!
-//! A move puts one more copy of an expert on a rank, in a free place or in
-//! place of an expert that stands elsewhere too, or takes an expert from a
-//! rank that stands elsewhere too, which costs nothing. Of all moves the one
-//! is taken that lowers the sum of a high power of the ranks' times most: with
-//! the plain maximum, a tie between two loaded ranks would hide that one was
-//! relieved. Of the plans passed on the way, the one is chosen whose skew plus
-//! the price of its copies is lowest.
+//! A move adds a copy of an expert to a rank, either in a free slot or in place
+//! of an expert that other ranks hold too. Or it removes an expert that other
+//! ranks hold too, which costs nothing. The search takes the move that lowers the
+//! sum of a high power of the ranks' times most. The plain maximum would not
+//! change if two ranks are equally loaded and only one of them gets less load. Of
+//! all the intermediate plans, the one with the lowest sum of skew and cost of
+//! copies is returned.
 //!
-//! A rank whose engine is slow takes longer for the same load. It is given
-//! less, down to nothing.
+//! A rank with a slow engine takes longer for the same load, so it gets less load,
+//! or none.
 
 mod limits;
 mod set_search;
@@ -25,56 +28,59 @@
 use self::set_search::{Candidate, Change, SetSearch};
 use crate::switching::ExpertMap;
 
-/// Moves in one plan, as a bound on the time spent planning. A move costs some
-/// microseconds, and twelve sets of 72 ranks take up to about a thousand.
-const MOST_MOVES: usize = 2_000;
+/// Maximum number of moves in one plan, to bound the planning time. A move takes
+/// some microseconds, and twelve layer sets of 72 ranks need up to about a
+/// thousand.
+const MAX_MOVES: usize = 2_000;
 
-/// The demand that a map is made for.
+/// The demand and the engine speeds for which a map is planned.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupLoad<'a> {
-    /// Share of each set's choices that each expert has.
+    /// For each layer set, the fraction of its routing decisions that go to each
+    /// expert.
     pub demand: &'a [Vec<f64>],
-    /// How slow each rank's engine is; 1 is usual, more is slower.
+    /// Duration of the work of each rank's engine as a multiple of the usual one.
+    /// Above 1 if the engine is slower than usual.
     pub slowdowns: &'a [f64],
 }
 
-/// A map for the demand it was made for.
+/// Result of [`adapt`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdaptedMap {
-    /// The map.
+    /// The new map.
     pub map: ExpertMap,
-    /// Experts to copy, over all ranks and sets.
+    /// Number of experts to copy, over all ranks and layer sets.
     pub copies: usize,
-    /// The most of them that one rank has to copy.
+    /// Number of experts to copy on the rank with the most copies.
     pub max_copies_per_rank: usize,
-    /// Time of the sets' parts of a pass with the map in use, as a multiple of
-    /// what the best spread would take.
+    /// Skew of the map in use for the given load, as defined by [`skew`].
     pub skew_before: f64,
-    /// The same with the new map.
+    /// Skew of the new map for the given load.
     pub skew_after: f64,
 }
 
-/// Adapts `map` to a load.
+/// Plans a new map for `load`, starting from `map`.
 #[must_use]
 pub fn adapt(map: &ExpertMap, load: &GroupLoad<'_>, limits: &CopyLimits) -> AdaptedMap {
     let mut search = Search::new(map, load, limits);
     let skew_before = search.skew();
-    let mut best = Stage {
+    let mut best = Checkpoint {
         moves: 0,
         copies: 0,
         skew: skew_before,
     };
-    let mut best_price = skew_before;
-    while search.moves.len() < MOST_MOVES && search.step() {
-        let stage = search.stage();
-        #[allow(clippy::cast_precision_loss)] // some thousands at most
-        let price = stage.skew + stage.copies as f64 * limits.skew_cost_per_copy * skew_before;
-        if price < best_price {
-            best_price = price;
-            best = stage;
+    let mut lowest_cost = skew_before;
+    while search.moves.len() < MAX_MOVES && search.step() {
+        let checkpoint = search.checkpoint();
+        #[allow(clippy::cast_precision_loss)] // at most `MAX_MOVES`
+        let cost =
+            checkpoint.skew + checkpoint.copies as f64 * limits.skew_cost_per_copy * skew_before;
+        if cost < lowest_cost {
+            lowest_cost = cost;
+            best = checkpoint;
         }
     }
-    let adapted = apply_all(map, &search.moves[..best.moves]);
+    let adapted = apply_moves(map, &search.moves[..best.moves]);
     AdaptedMap {
         copies: best.copies,
         max_copies_per_rank: max_copies_per_rank(map, &adapted),
@@ -84,8 +90,9 @@
     }
 }
 
-/// The skew of a map for a load: the time of the sets' parts as a multiple of
-/// what the best spread would take.
+/// The skew of a map for a load: the time of the slowest rank in a layer set, as
+/// a multiple of its time with a perfectly balanced load. Averaged over all layer
+/// sets.
 #[must_use]
 pub fn skew(map: &ExpertMap, load: &GroupLoad<'_>) -> f64 {
     let limits = CopyLimits {
@@ -97,8 +104,8 @@
     Search::new(map, load, &limits).skew()
 }
 
-/// `map` after some moves, each with the index of its set.
-fn apply_all(map: &ExpertMap, moves: &[(usize, Change)]) -> ExpertMap {
+/// Applies moves to `map`. Each move has the index of its layer set.
+fn apply_moves(map: &ExpertMap, moves: &[(usize, Change)]) -> ExpertMap {
     let mut map = map.clone();
     for (set, change) in moves {
         change.apply_to(&mut map[*set][change.rank]);
@@ -106,19 +113,23 @@
     map
 }
 
-/// The most experts that one rank has in `after` and not in `before`.
+/// Number of experts that a rank holds in `after` and not in `before`, for the
+/// rank with the most.
 fn max_copies_per_rank(before: &ExpertMap, after: &ExpertMap) -> usize {
     let mut copies = vec![0; before.first().map_or(0, Vec::len)];
     for (before, after) in before.iter().zip(after) {
-        for ((copies, held), holds) in copies.iter_mut().zip(before).zip(after) {
-            *copies += holds.iter().filter(|it| !held.contains(it)).count();
+        for ((copies, held_before), held_after) in copies.iter_mut().zip(before).zip(after) {
+            *copies += held_after
+                .iter()
+                .filter(|expert| !held_before.contains(expert))
+                .count();
         }
     }
     copies.into_iter().max().unwrap_or(0)
 }
 
-/// A plan passed on the way: the moves made so far.
-struct Stage {
+/// An intermediate plan, which consists of the first `moves` moves of the search.
+struct Checkpoint {
     moves: usize,
     copies: usize,
     skew: f64,
@@ -127,13 +138,14 @@
 struct Search<'a> {
     limits: &'a CopyLimits,
     sets: Vec<SetSearch<'a>>,
-    /// The best move of each set. A move changes one set, so the others' stay;
-    /// looking through all sets for each move made planning for twelve sets of
-    /// 72 ranks take longer than the demand stays.
+    /// The best move of each layer set. Cached because a move changes only one
+    /// layer set. When every move searched all of them, planning for twelve layer
+    /// sets of 72 ranks took longer than the demand stayed the same.
     candidates: Vec<Option<Candidate>>,
-    /// Ranks that may get one more new expert.
-    open: Vec<bool>,
-    new_on_rank: Vec<usize>,
+    /// For each rank, whether it may get another new expert.
+    accepts_copies: Vec<bool>,
+    /// Number of new experts of each rank, over all layer sets.
+    new_experts_on_rank: Vec<usize>,
     moves: Vec<(usize, Change)>,
     copies: usize,
 }
@@ -145,57 +157,61 @@
         let sets: Vec<SetSearch<'_>> = sets
             .map(|(set, demand)| SetSearch::new(set, demand, load.slowdowns))
             .collect();
-        let open = vec![limits.max_new_per_rank > 0; ranks];
+        let accepts_copies = vec![limits.max_new_per_rank > 0; ranks];
         Self {
             limits,
-            candidates: sets.iter().map(|set| set.best(limits, &open)).collect(),
+            candidates: sets
+                .iter()
+                .map(|set| set.find_best(limits, &accepts_copies))
+                .collect(),
             sets,
-            open,
-            new_on_rank: vec![0; ranks],
+            accepts_copies,
+            new_experts_on_rank: vec![0; ranks],
             moves: Vec::new(),
             copies: 0,
         }
     }
 
-    /// Makes the best move; `false` if none is left.
+    /// Applies the best move. Returns `false` if no move lowers the sum of powers.
     fn step(&mut self) -> bool {
-        let found = self.candidates.iter().enumerate();
-        let found = found.filter_map(|(set, candidate)| Some((set, (*candidate)?)));
-        let best = found.max_by(|a, b| a.1.gain.total_cmp(&b.1.gain));
+        let candidates = self.candidates.iter().enumerate();
+        let candidates = candidates.filter_map(|(set, candidate)| Some((set, (*candidate)?)));
+        let best = candidates.max_by(|a, b| a.1.gain.total_cmp(&b.1.gain));
         let Some((index, Candidate { change, .. })) = best else {
             return false;
         };
-        if self.sets[index].is_copy(change) {
+        if self.sets[index].needs_copy(change) {
             self.count_copy(change.rank);
         }
         self.sets[index].apply(change);
         self.moves.push((index, change));
-        self.candidates[index] = self.sets[index].best(self.limits, &self.open);
+        self.candidates[index] = self.sets[index].find_best(self.limits, &self.accepts_copies);
         true
     }
 
     fn count_copy(&mut self, rank: usize) {
         self.copies += 1;
-        self.new_on_rank[rank] += 1;
-        if self.new_on_rank[rank] < self.limits.max_new_per_rank {
+        self.new_experts_on_rank[rank] += 1;
+        if self.new_experts_on_rank[rank] < self.limits.max_new_per_rank {
             return;
         }
-        self.open[rank] = false;
+        self.accepts_copies[rank] = false;
         for (set, candidate) in self.sets.iter().zip(&mut self.candidates) {
-            if candidate.is_some_and(|it| it.change.rank == rank && it.change.comes.is_some()) {
-                *candidate = set.best(self.limits, &self.open);
+            if candidate.is_some_and(|best| best.change.rank == rank && best.change.added.is_some())
+            {
+                *candidate = set.find_best(self.limits, &self.accepts_copies);
             }
         }
     }
 
-    #[allow(clippy::cast_precision_loss)] // few sets
+    #[allow(clippy::cast_precision_loss)] // few layer sets
     fn skew(&self) -> f64 {
         let sum: f64 = self.sets.iter().map(SetSearch::skew).sum();
         sum / self.sets.len().max(1) as f64
     }
 
-    fn stage(&self) -> Stage {
-        Stage {
+    fn checkpoint(&self) -> Checkpoint {
+        Checkpoint {
             moves: self.moves.len(),
             copies: self.copies,
             skew: self.skew(),
--- a/crates/experts/src/adapt/set_search.rs
+++ b/crates/experts/src/adapt/set_search.rs
@@ -1,56 +1,55 @@
-//! Moves within one set: how loaded its ranks are, and which move lowers that
-//! most.
+//! Searches one layer set for the move that lowers the load imbalance most.
 
 use super::limits::CopyLimits;
 
-/// Power of a rank's time in the sum that a move has to lower.
-const POWER: i32 = 8;
+/// Exponent of a rank's time in the sum that a move has to lower.
+const TIME_EXPONENT: i32 = 8;
 
-/// Least loaded ranks looked at for each move.
+/// Number of the least loaded ranks that are candidates for a copy, per move.
 const LIGHT_RANKS: usize = 6;
 
-/// Experts of the most loaded rank looked at for each move.
+/// Number of the most loaded rank's most loaded experts that are candidates for
+/// a copy, per move.
 const HEAVY_EXPERTS: usize = 3;
 
-/// A move and by how much it lowers its set's sum of powers.
+/// A move, and by how much it lowers the sum of powers of its layer set.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) gain: f64,
     pub(super) change: Change,
 }
 
-/// One expert more or less on one rank.
+/// Adds an expert to a rank, removes one, or replaces one by another.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     pub(super) rank: usize,
-    /// The expert that comes.
-    pub(super) comes: Option<u16>,
-    /// The expert that leaves.
-    leaves: Option<u16>,
+    pub(super) added: Option<u16>,
+    removed: Option<u16>,
 }
 
 impl Change {
     pub(super) fn apply_to(self, experts: &mut Vec<u16>) {
-        experts.retain(|expert| Some(*expert) != self.leaves);
-        experts.extend(self.comes);
+        experts.retain(|expert| Some(*expert) != self.removed);
+        experts.extend(self.added);
     }
 }
 
-/// The search for better moves in one set.
+/// State of the search in one layer set.
 pub(super) struct SetSearch<'a> {
     before: &'a [Vec<u16>],
     demand: &'a [f64],
-    paces: &'a [f64],
+    slowdowns: &'a [f64],
     ranks: Vec<Vec<u16>>,
     /// The ranks that hold each expert.
     holders: Vec<Vec<usize>>,
     times: Vec<f64>,
-    /// Time of every rank if the work were spread by the ranks' speeds.
-    best_time: f64,
+    /// Time of every rank if the load were spread in proportion to the ranks'
+    /// speeds.
+    balanced_time: f64,
 }
 
 impl<'a> SetSearch<'a> {
-    pub(super) fn new(before: &'a [Vec<u16>], demand: &'a [f64], paces: &'a [f64]) -> Self {
+    pub(super) fn new(before: &'a [Vec<u16>], demand: &'a [f64], slowdowns: &'a [f64]) -> Self {
         let mut holders = vec![Vec::new(); demand.len()];
         for (rank, experts) in before.iter().enumerate() {
             for expert in experts {
@@ -58,74 +57,87 @@
             }
         }
         let total: f64 = demand.iter().sum();
-        let speed: f64 = paces.iter().map(|pace| 1.0 / pace.max(0.01)).sum();
+        let speed: f64 = slowdowns
+            .iter()
+            .map(|slowdown| 1.0 / slowdown.max(0.01))
+            .sum();
         let mut search = Self {
             before,
             demand,
-            paces,
+            slowdowns,
             ranks: before.to_vec(),
             holders,
             times: Vec::new(),
-            best_time: (total / speed.max(f64::MIN_POSITIVE)).max(f64::MIN_POSITIVE),
+            balanced_time: (total / speed.max(f64::MIN_POSITIVE)).max(f64::MIN_POSITIVE),
         };
         search.times = search.all_times();
         search
     }
 
     fn all_times(&self) -> Vec<f64> {
-        let time = |(experts, pace): (&Vec<u16>, &f64)| {
+        let time = |(experts, slowdown): (&Vec<u16>, &f64)| {
             let shares = experts.iter().map(|expert| self.share(*expert));
-            shares.sum::<f64>() * pace
+            shares.sum::<f64>() * slowdown
         };
-        self.ranks.iter().zip(self.paces).map(time).collect()
+        self.ranks.iter().zip(self.slowdowns).map(time).collect()
     }
 
     #[allow(clippy::cast_precision_loss)] // few ranks
-    fn copies(&self, expert: u16) -> f64 {
+    fn copy_count(&self, expert: u16) -> f64 {
         self.holders[usize::from(expert)].len() as f64
     }
 
     fn share(&self, expert: u16) -> f64 {
-        self.demand[usize::from(expert)] / self.copies(expert).max(1.0)
+        self.demand[usize::from(expert)] / self.copy_count(expert).max(1.0)
     }
 
-    fn is_spare(&self, expert: u16) -> bool {
+    fn has_other_holders(&self, expert: u16) -> bool {
         self.holders[usize::from(expert)].len() > 1
     }
 
-    /// Whether the change brings an expert that the rank has to copy.
-    pub(super) fn is_copy(&self, change: Change) -> bool {
-        let held = &self.before[change.rank];
-        change.comes.is_some_and(|expert| !held.contains(&expert))
+    /// Whether the rank has to copy an expert for this change.
+    pub(super) fn needs_copy(&self, change: Change) -> bool {
+        let held_before = &self.before[change.rank];
+        change
+            .added
+            .is_some_and(|expert| !held_before.contains(&expert))
     }
 
     pub(super) fn skew(&self) -> f64 {
-        self.times.iter().copied().fold(0.0, f64::max) / self.best_time
-    }
-
-    fn new_count(&self, rank: usize) -> usize {
-        let held = &self.before[rank];
-        let new = self.ranks[rank].iter().filter(|it| !held.contains(it));
-        new.count()
-    }
-
-    pub(super) fn best(&self, limits: &CopyLimits, open: &[bool]) -> Option<Candidate> {
-        let most = self.most_loaded()?;
-        let heavy = self.heavy_experts(most);
-        let light = self.light_ranks(limits, open);
-        let copies = heavy.iter().flat_map(|expert| {
-            let ranks = light
+        self.times.iter().copied().fold(0.0, f64::max) / self.balanced_time
+    }
+
+    fn new_expert_count(&self, rank: usize) -> usize {
+        let held_before = &self.before[rank];
+        let new_experts = self.ranks[rank]
+            .iter()
+            .filter(|expert| !held_before.contains(expert));
+        new_experts.count()
+    }
+
+    pub(super) fn find_best(
+        &self,
+        limits: &CopyLimits,
+        accepts_copies: &[bool],
+    ) -> Option<Candidate> {
+        let most_loaded_rank = self.most_loaded_rank()?;
+        let heavy_experts = self.heavy_experts(most_loaded_rank);
+        let light_ranks = self.light_ranks(limits, accepts_copies);
+        let additions = heavy_experts.iter().flat_map(|expert| {
+            let ranks = light_ranks
                 .iter()
                 .filter(|rank| !self.ranks[**rank].contains(expert));
-            ranks.flat_map(|rank| self.copies_to(*rank, *expert, limits.slots_per_rank))
+            ranks.flat_map(|rank| self.additions_to(*rank, *expert, limits.slots_per_rank))
         });
-        let drops = self.ranks[most].iter().filter(|it| self.is_spare(**it));
-        let drops = drops.map(|expert| Change {
-            rank: most,
-            comes: None,
-            leaves: Some(*expert),
+        let removals = self.ranks[most_loaded_rank]
+            .iter()
+            .filter(|expert| self.has_other_holders(**expert));
+        let removals = removals.map(|expert| Change {
+            rank: most_loaded_rank,
+            added: None,
+            removed: Some(*expert),
         });
-        let moves = copies.chain(drops).map(|change| Candidate {
+        let moves = additions.chain(removals).map(|change| Candidate {
             gain: self.gain(change),
             change,
         });
@@ -134,7 +146,7 @@
             .max_by(|a, b| a.gain.total_cmp(&b.gain))
     }
 
-    fn most_loaded(&self) -> Option<usize> {
+    fn most_loaded_rank(&self) -> Option<usize> {
         let ranks = self.times.iter().enumerate();
         ranks
             .max_by(|a, b| a.1.total_cmp(b.1))
@@ -142,74 +154,80 @@
     }
 
     fn heavy_experts(&self, rank: usize) -> Vec<u16> {
-        let mut heavy = self.ranks[rank].clone();
-        heavy.sort_by(|a, b| self.share(*b).total_cmp(&self.share(*a)));
-        heavy.truncate(HEAVY_EXPERTS);
-        heavy
+        let mut heavy_experts = self.ranks[rank].clone();
+        heavy_experts.sort_by(|a, b| self.share(*b).total_cmp(&self.share(*a)));
+        heavy_experts.truncate(HEAVY_EXPERTS);
+        heavy_experts
     }
 
-    /// The least loaded of the ranks that may get one more expert.
-    fn light_ranks(&self, limits: &CopyLimits, open: &[bool]) -> Vec<usize> {
-        let is_open = |rank: &usize| open[*rank] && self.new_count(*rank) < limits.max_new_per_set;
-        let mut ranks: Vec<usize> = (0..self.ranks.len()).filter(is_open).collect();
+    /// The least loaded of the ranks that may get another new expert.
+    fn light_ranks(&self, limits: &CopyLimits, accepts_copies: &[bool]) -> Vec<usize> {
+        let may_get_copy = |rank: &usize| {
+            accepts_copies[*rank] && self.new_expert_count(*rank) < limits.max_new_per_set
+        };
+        let mut ranks: Vec<usize> = (0..self.ranks.len()).filter(may_get_copy).collect();
         ranks.sort_by(|a, b| self.times[*a].total_cmp(&self.times[*b]));
         ranks.truncate(LIGHT_RANKS);
         ranks
     }
 
-    /// Ways to put the expert on the rank.
-    fn copies_to(&self, rank: usize, expert: u16, slots_per_rank: usize) -> Vec<Change> {
-        let change = |leaves| Change {
+    /// The changes that add the expert to the rank: to a free slot if there is
+    /// one, otherwise in place of an expert that other ranks hold too.
+    fn additions_to(&self, rank: usize, expert: u16, slots_per_rank: usize) -> Vec<Change> {
+        let change = |removed| Change {
             rank,
-            comes: Some(expert),
-            leaves,
+            added: Some(expert),
+            removed,
         };
         if self.ranks[rank].len() < slots_per_rank {
             return vec![change(None)];
         }
-        let spare = self.ranks[rank].iter().filter(|it| self.is_spare(**it));
-        spare.map(|leaves| change(Some(*leaves))).collect()
+        let replaceable = self.ranks[rank]
+            .iter()
+            .filter(|expert| self.has_other_holders(**expert));
+        replaceable.map(|removed| change(Some(*removed))).collect()
     }
 
-    /// By how much the change lowers the sum of powers.
+    /// Reduction of the sum of powers by a change.
     fn gain(&self, change: Change) -> f64 {
         let deltas = self.deltas(change);
-        let lowered = deltas.iter().map(|(rank, delta)| {
+        let reductions = deltas.iter().map(|(rank, delta)| {
             let time = self.times[*rank];
             self.power(time) - self.power(time + delta)
         });
-        lowered.sum()
+        reductions.sum()
     }
 
     fn power(&self, time: f64) -> f64 {
-        (time / self.best_time).powi(POWER)
+        (time / self.balanced_time).powi(TIME_EXPONENT)
     }
 
-    /// What the change adds to the times of the ranks that it touches.
+    /// The ranks affected by a change, and what the change adds to their times.
     fn deltas(&self, change: Change) -> Vec<(usize, f64)> {
         let mut deltas = Vec::new();
-        if let Some(leaves) = change.leaves {
-            let left = self.demand[usize::from(leaves)] / (self.copies(leaves) - 1.0);
-            self.add_to_holders(&mut deltas, leaves, left - self.share(leaves));
-            self.add(&mut deltas, change.rank, -left);
+        if let Some(removed) = change.removed {
+            let remaining_share =
+                self.demand[usize::from(removed)] / (self.copy_count(removed) - 1.0);
+            self.add_to_holders(&mut deltas, removed, remaining_share - self.share(removed));
+            self.add_load(&mut deltas, change.rank, -remaining_share);
         }
-        if let Some(comes) = change.comes {
-            let shared = self.demand[usize::from(comes)] / (self.copies(comes) + 1.0);
-            self.add_to_holders(&mut deltas, comes, shared - self.share(comes));
-            self.add(&mut deltas, change.rank, shared);
+        if let Some(added) = change.added {
+            let new_share = self.demand[usize::from(added)] / (self.copy_count(added) + 1.0);
+            self.add_to_holders(&mut deltas, added, new_share - self.share(added));
+            self.add_load(&mut deltas, change.rank, new_share);
         }
         deltas
     }
 
     fn add_to_holders(&self, deltas: &mut Vec<(usize, f64)>, expert: u16, load: f64) {
         for rank in &self.holders[usize::from(expert)] {
-            self.add(deltas, *rank, load);
+            self.add_load(deltas, *rank, load);
         }
     }
 
-    fn add(&self, deltas: &mut Vec<(usize, f64)>, rank: usize, load: f64) {
-        let time = load * self.paces[rank];
-        match deltas.iter_mut().find(|(of, _)| *of == rank) {
+    fn add_load(&self, deltas: &mut Vec<(usize, f64)>, rank: usize, load: f64) {
+        let time = load * self.slowdowns[rank];
+        match deltas.iter_mut().find(|(other, _)| *other == rank) {
             Some((_, delta)) => *delta += time,
             None => deltas.push((rank, time)),
         }
@@ -220,11 +238,11 @@
             self.times[rank] += delta;
         }
         change.apply_to(&mut self.ranks[change.rank]);
-        if let Some(leaves) = change.leaves {
-            self.holders[usize::from(leaves)].retain(|rank| *rank != change.rank);
+        if let Some(removed) = change.removed {
+            self.holders[usize::from(removed)].retain(|rank| *rank != change.rank);
         }
-        if let Some(comes) = change.comes {
-            self.holders[usize::from(comes)].push(change.rank);
+        if let Some(added) = change.added {
+            self.holders[usize::from(added)].push(change.rank);
         }
     }
 }
--- a/crates/experts/src/demand.rs
+++ b/crates/experts/src/demand.rs
@@ -1,100 +1,107 @@
-//! The demand for experts, from counts that only ever grow.
+//! Estimates the demand for each expert from cumulative counters.
 //!
-//! Each rank counts how often its requests chose each expert since it started.
-//! Differences of two readings give the demand between them. After a shift the
-//! old demand is no guide, so only the newest part counts: an average that
-//! forgets within a few readings follows a shift at once, and the many choices
-//! of each reading keep it steady without longer memory.
+//! Each rank counts how often its requests were routed to each expert since
+//! its engine started. The difference between two polls is the demand between
+//! them.
+//! Older polls do not predict the demand after a shift, so the moving average
+//! gives them little weight and follows a shift at once. Each poll covers
+//! enough routing decisions to keep the average stable without a longer window.
 
 use serde::{Deserialize, Serialize};
 
 use crate::switching::{Epoch, Pass};
 
-/// What one rank has counted since it started.
+/// The counters of one rank since its engine started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankCounts {
-    /// Unix time of the engine's start in milliseconds, if it tells it.
+    /// Unix time of the engine's start in milliseconds, if the engine reports it.
     pub started_unix_ms: Option<u64>,
-    /// The last pass counted.
+    /// The last forward pass included in the counts.
     pub pass: Pass,
-    /// The group's life.
+    /// The epoch of the group in which the counts were taken.
     pub epoch: Epoch,
-    /// Choices by expert, set after set.
+    /// Routing decisions per expert: all experts of the first layer set, then
+    /// those of the next.
     pub counts: Vec<u64>,
 }
 
 impl RankCounts {
-    /// Whether these counts go on from `earlier` ones. An engine that starts
-    /// anew, or a group that forms anew, counts from zero; a difference to
-    /// what was counted before would tell of choices that nobody made.
+    /// Whether these counts continue the `earlier` ones. Counters restart at
+    /// zero when the engine restarts or the group forms again, so a difference
+    /// across such a restart is meaningless.
     #[must_use]
     pub fn is_continuation_of(&self, earlier: &Self) -> bool {
         self.started_unix_ms == earlier.started_unix_ms && self.epoch == earlier.epoch
     }
 }
 
-/// Weight of the newest reading. Readings are a pass or two apart; two of them
-/// make up four fifths of the estimate.
+/// Weight of the newest poll in the moving average. Polls are one or two passes
+/// apart; the last two make up four fifths of the estimate.
 const NEWEST_WEIGHT: f64 = 0.55;
 
-/// A reading of a set that differs in more than this part of its choices is a
-/// shift, and the estimate starts anew from it. Readings between two shifts
-/// differ in a twentieth to a tenth.
+/// Distance between a poll and the estimate, as a fraction of the routing
+/// decisions of a layer set, above which the poll is a shift of demand and
+/// replaces the estimate. Polls between two shifts differ by a twentieth to a
+/// tenth.
 const SHIFT_DISTANCE: f64 = 0.15;
 
-/// Choices in one reading that make it worth looking at; fewer come from a
-/// group that is nearly idle.
-const LEAST_CHOICES: f64 = 500.0;
+/// Routing decisions that a poll must contain to change the estimate. A poll
+/// with fewer comes from a group that is nearly idle.
+const MIN_ROUTING_DECISIONS: f64 = 500.0;
 
-/// The demand of one group.
+/// Estimates the demand of one group.
 #[derive(Clone, Debug)]
 pub struct DemandTracker {
     experts: usize,
-    last: Vec<Option<RankCounts>>,
+    previous: Vec<Option<RankCounts>>,
     demand: Vec<Vec<f64>>,
-    readings: u32,
+    polls_merged: u32,
 }
 
 impl DemandTracker {
-    /// No demand seen yet of a group with that many sets and experts a set.
+    /// Creates a tracker without an estimate, for a group with `sets` layer
+    /// sets of `experts` experts each.
     #[must_use]
     pub fn new(sets: usize, experts: usize) -> Self {
         Self {
             experts,
-            last: Vec::new(),
+            previous: Vec::new(),
             demand: vec![vec![0.0; experts]; sets],
-            readings: 0,
+            polls_merged: 0,
         }
     }
 
-    /// Takes in one reading of all ranks; ranks that could not be read are left
-    /// out.
-    pub fn observe(&mut self, reading: Vec<Option<RankCounts>>) {
-        let mut fresh = vec![0.0; self.demand.len() * self.experts];
-        if self.last.len() < reading.len() {
-            self.last.resize(reading.len(), None);
+    /// Updates the estimate from one poll of all ranks. Ranks that did not
+    /// respond are `None` and are skipped.
+    pub fn observe(&mut self, poll: Vec<Option<RankCounts>>) {
+        let mut added = vec![0.0; self.demand.len() * self.experts];
+        if self.previous.len() < poll.len() {
+            self.previous.resize(poll.len(), None);
         }
-        for (last, now) in self.last.iter_mut().zip(reading) {
-            let Some(now) = now else {
+        for (previous, current) in self.previous.iter_mut().zip(poll) {
+            let Some(current) = current else {
                 continue;
             };
-            if let Some(last) = last.as_ref().filter(|last| now.is_continuation_of(last)) {
-                add_difference(&mut fresh, &last.counts, &now.counts);
+            if let Some(previous) = previous
+                .as_ref()
+                .filter(|previous| current.is_continuation_of(previous))
+            {
+                add_difference(&mut added, &previous.counts, &current.counts);
             }
-            *last = Some(now);
+            *previous = Some(current);
         }
-        self.merge(&fresh);
+        self.merge(&added);
     }
 
-    fn merge(&mut self, fresh: &[f64]) {
-        let is_enough = fresh.iter().sum::<f64>() >= LEAST_CHOICES;
+    fn merge(&mut self, added: &[f64]) {
+        let is_enough = added.iter().sum::<f64>() >= MIN_ROUTING_DECISIONS;
         if !is_enough {
             return;
         }
-        let is_first = self.readings == 0;
-        for (set, fresh) in self.demand.iter_mut().zip(fresh.chunks(self.experts)) {
-            let total: f64 = fresh.iter().sum::<f64>().max(1.0);
-            let shares: Vec<f64> = fresh.iter().map(|count| count / total).collect();
+        let is_first = self.polls_merged == 0;
+        for (set, added) in self.demand.iter_mut().zip(added.chunks(self.experts)) {
+            let total: f64 = added.iter().sum::<f64>().max(1.0);
+            let shares: Vec<f64> = added.iter().map(|count| count / total).collect();
             let is_shift = distance(set, &shares) > SHIFT_DISTANCE;
             let weight = if is_first || is_shift {
                 1.0
@@ -105,27 +112,27 @@
                 *demand += weight * (share - *demand);
             }
         }
-        self.readings += 1;
+        self.polls_merged += 1;
     }
 
-    /// The share of each set's choices that each expert has; `None` before
-    /// anything was seen.
+    /// For each layer set, the fraction of its routing decisions that went to
+    /// each expert. `None` until a poll was large enough to give an estimate.
     #[must_use]
     pub fn demand(&self) -> Option<&[Vec<f64>]> {
-        (self.readings > 0).then_some(&self.demand)
+        (self.polls_merged > 0).then_some(&self.demand)
     }
 }
 
-/// The part of all choices in which two distributions differ.
+/// The total variation distance of two distributions.
 fn distance(a: &[f64], b: &[f64]) -> f64 {
     let sum: f64 = a.iter().zip(b).map(|(a, b)| (a - b).abs()).sum();
     sum / 2.0
 }
 
-#[allow(clippy::cast_precision_loss)] // counts between two readings
-fn add_difference(fresh: &mut [f64], last: &[u64], now: &[u64]) {
-    for ((sum, last), now) in fresh.iter_mut().zip(last).zip(now) {
-        // A rank that started anew counts from zero.
-        *sum += now.checked_sub(*last).unwrap_or(0) as f64;
+#[allow(clippy::cast_precision_loss)] // differences between two polls are small
+fn add_difference(added: &mut [f64], previous: &[u64], current: &[u64]) {
+    for ((sum, previous), current) in added.iter_mut().zip(previous).zip(current) {
+        // A counter that went down was reset by a restart of the rank.
+        *sum += current.checked_sub(*previous).unwrap_or(0) as f64;
     }
 }
--- a/crates/experts/src/placement.rs
+++ b/crates/experts/src/placement.rs
@@ -1,9 +1,9 @@
-//! Experts on slots, and how evenly that loads the ranks.
+//! Placements of experts on the slots of ranks, and the resulting load balance.
 //!
 //! Each rank has a fixed number of expert slots in each layer. An expert may
-//! stand on several ranks; its tokens are then split evenly among them. All
-//! ranks wait for the slowest one in each layer, so a layer takes as long as
-//! its most loaded rank.
+//! have replicas in several slots; its tokens are then split evenly among them.
+//! All ranks wait for the slowest one in each layer, so a layer takes as long
+//! as its slowest rank.
 
 mod full;
 mod incremental;
@@ -11,39 +11,39 @@
 pub use full::place_from_scratch;
 pub use incremental::{Improvement, improve};
 
-/// Size of one layer of a group.
+/// Dimensions of one layer of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LayerShape {
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// Expert slots of one rank.
+    /// Number of expert slots of each rank.
     pub slots_per_rank: usize,
-    /// Experts in the layer.
+    /// Number of experts in the layer.
     pub experts: usize,
 }
 
-/// Which expert stands in each slot of one layer.
+/// The expert in each slot of one layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Slot `i` is on rank `i / slots_per_rank`.
+    /// Expert by slot. Slot `i` is on rank `i / slots_per_rank`.
     pub slots: Vec<u16>,
 }
 
-/// What a layer is planned for.
+/// The load and the rank speeds for which a layer is planned.
 #[derive(Clone, Copy, Debug)]
 pub struct LayerLoad<'a> {
-    /// Tokens for each expert.
+    /// Tokens routed to each expert.
     pub loads: &'a [f64],
-    /// Speed of each rank; 1 is usual, a straggler has less.
+    /// Speed of each rank relative to the usual speed. Below 1 for a straggler.
     pub speeds: &'a [f64],
 }
 
 impl LayerLoad<'_> {
-    /// Time of the layer that no placement can beat: the work spread evenly
-    /// over all speeds.
+    /// Lower bound on the layer time of any placement: the total work divided
+    /// by the total speed.
     ///
-    /// An expert that has to be split over more ranks than there are slots
-    /// would raise it; that is left out, so the bound is a little too low.
+    /// The bound ignores that experts can only be split over as many ranks as
+    /// there are slots, so it is slightly too low.
     #[must_use]
     pub fn lower_bound(&self) -> f64 {
         let work: f64 = self.loads.iter().sum();
@@ -53,7 +53,7 @@
 }
 
 impl LayerShape {
-    /// Slots in the layer.
+    /// Number of slots in the layer.
     #[must_use]
     pub fn slots(&self) -> usize {
         self.ranks * self.slots_per_rank
@@ -67,44 +67,47 @@
 }
 
 impl Placement {
-    /// How often each expert stands.
+    /// Number of slots that hold each expert.
     #[must_use]
     pub fn replica_counts(&self, shape: &LayerShape) -> Vec<u32> {
-        let mut replicas = vec![0; shape.experts];
+        let mut replica_counts = vec![0; shape.experts];
         for expert in &self.slots {
-            replicas[usize::from(*expert)] += 1;
+            replica_counts[usize::from(*expert)] += 1;
         }
-        replicas
+        replica_counts
     }
 
-    /// Time each rank takes for its share.
+    /// Time that each rank takes to process its share of the load.
     #[must_use]
-    pub fn rank_times(&self, shape: &LayerShape, demand: &LayerLoad<'_>) -> Vec<f64> {
-        let replicas = self.replica_counts(shape);
+    pub fn rank_times(&self, shape: &LayerShape, layer_load: &LayerLoad<'_>) -> Vec<f64> {
+        let replica_counts = self.replica_counts(shape);
         let mut times = vec![0.0; shape.ranks];
         for (slot, expert) in self.slots.iter().enumerate() {
             let expert = usize::from(*expert);
             let rank = shape.rank_of(slot);
-            times[rank] += demand.loads[expert] / f64::from(replicas[expert]);
+            times[rank] += layer_load.loads[expert] / f64::from(replica_counts[expert]);
         }
-        for (time, speed) in times.iter_mut().zip(demand.speeds) {
+        for (time, speed) in times.iter_mut().zip(layer_load.speeds) {
             *time /= speed;
         }
         times
     }
 
-    /// Time of the layer: that of its slowest rank.
+    /// Time of the layer, which is the time of its slowest rank.
     #[must_use]
-    pub fn layer_time(&self, shape: &LayerShape, demand: &LayerLoad<'_>) -> f64 {
-        self.rank_times(shape, demand)
+    pub fn layer_time(&self, shape: &LayerShape, layer_load: &LayerLoad<'_>) -> f64 {
+        self.rank_times(shape, layer_load)
             .into_iter()
             .fold(0.0, f64::max)
     }
 
-    /// Slots whose expert differs from `before`: the weights to load.
+    /// Number of slots whose expert differs from `before`, so that its weights
+    /// have to be loaded.
     #[must_use]
     pub fn count_moves_from(&self, before: &Self) -> usize {
         let pairs = self.slots.iter().zip(&before.slots);
-        pairs.filter(|(now, then)| now != then).count()
+        pairs
+            .filter(|(expert, expert_before)| expert != expert_before)
+            .count()
     }
 }
--- a/crates/experts/src/placement/incremental.rs
+++ b/crates/experts/src/placement/incremental.rs
@@ -1,53 +1,57 @@
-//! Improving a placement by few moves.
+//! Improves an existing placement by a small number of moves.
 //!
-//! Each move puts another expert into one slot, in place of one that stands
-//! elsewhere too. The moves tried are those that relieve the slowest rank: one
-//! more copy of its heaviest expert on a fast rank, or a lighter expert in one
-//! of its own slots, which is what helps a rank that is slow. Among them the
-//! one that lowers the sum of high powers of the ranks' times most is taken:
-//! with the plain maximum, a tie between two slow ranks would hide that one
-//! of them was relieved.
+//! Each move replaces the expert in one slot, which must have replicas in other
+//! slots, by another expert. The candidates are the moves that take load off the
+//! slowest rank: one more replica of one of its most loaded experts on a fast
+//! rank, or an expert with little load in one of its own slots, which helps if
+//! the rank itself is slow. The search takes the candidate that lowers the sum
+//! of a high power of the ranks' times most. The plain maximum would not change
+//! if two ranks are equally slow and only one of them gets less load.
 
 use super::{LayerLoad, LayerShape, Placement};
 
-/// Fast ranks looked at for each move.
+/// Number of the ranks with the lowest times that are candidates for another
+/// replica, per move.
 const FAST_RANKS: usize = 6;
 
-/// Experts of the slowest rank looked at for each move.
+/// Number of the slowest rank's most loaded experts that are candidates for
+/// another replica, per move.
 const HEAVY_EXPERTS: usize = 3;
 
-/// Light experts tried in the slowest rank's slots.
+/// Number of the least loaded experts that are candidates for a slot of the
+/// slowest rank, per move.
 const LIGHT_EXPERTS: usize = 4;
 
-/// Power of a rank's time in the sum that a move has to lower.
-const POWER: i32 = 8;
+/// Exponent of a rank's time in the sum that a move has to lower.
+const TIME_EXPONENT: i32 = 8;
 
-/// A better placement.
+/// Result of [`improve`].
 #[derive(Clone, Debug)]
 pub struct Improvement {
-    /// The placement.
+    /// The improved placement.
     pub placement: Placement,
-    /// Slots whose expert changes.
+    /// Number of slots whose expert changes.
     pub moves: usize,
-    /// Time of the layer before.
+    /// Layer time with the original placement.
     pub time_before: f64,
-    /// Time of the layer after.
+    /// Layer time with the improved placement.
     pub time_after: f64,
 }
 
-/// Improves `placement` by at most `max_moves` moves.
+/// Improves `placement` by at most `max_moves` moves. Stops early if no move
+/// lowers the sum of powers of the ranks' times.
 #[must_use]
 pub fn improve(
     shape: &LayerShape,
     placement: &Placement,
-    demand: &LayerLoad<'_>,
+    layer_load: &LayerLoad<'_>,
     max_moves: usize,
 ) -> Improvement {
-    let mut search = Search::new(shape, placement, demand);
+    let mut search = Search::new(shape, placement, layer_load);
     let time_before = search.slowest().time;
     for _ in 0..max_moves {
-        match search.best_move() {
-            Some(chosen) => search.apply(chosen),
+        match search.find_best_move() {
+            Some(selected) => search.apply(selected),
             None => break,
         }
     }
@@ -74,29 +78,30 @@
 
 struct Search<'a> {
     shape: &'a LayerShape,
-    demand: &'a LayerLoad<'a>,
+    layer_load: &'a LayerLoad<'a>,
     placement: Placement,
-    replicas: Vec<u32>,
-    /// Slots of each expert.
-    stands: Vec<Vec<usize>>,
+    replica_counts: Vec<u32>,
+    /// Slots that hold each expert.
+    slots_by_expert: Vec<Vec<usize>>,
     times: Vec<f64>,
-    mean: f64,
+    /// Lower bound on the layer time, to scale the times before the power.
+    min_time: f64,
 }
 
 impl<'a> Search<'a> {
-    fn new(shape: &'a LayerShape, placement: &Placement, demand: &'a LayerLoad<'a>) -> Self {
-        let mut stands = vec![Vec::new(); shape.experts];
+    fn new(shape: &'a LayerShape, placement: &Placement, layer_load: &'a LayerLoad<'a>) -> Self {
+        let mut slots_by_expert = vec![Vec::new(); shape.experts];
         for (slot, expert) in placement.slots.iter().enumerate() {
-            stands[usize::from(*expert)].push(slot);
+            slots_by_expert[usize::from(*expert)].push(slot);
         }
         Self {
-            replicas: placement.replica_counts(shape),
-            times: placement.rank_times(shape, demand),
-            mean: demand.lower_bound().max(f64::MIN_POSITIVE),
+            replica_counts: placement.replica_counts(shape),
+            times: placement.rank_times(shape, layer_load),
+            min_time: layer_load.lower_bound().max(f64::MIN_POSITIVE),
             placement: placement.clone(),
-            stands,
+            slots_by_expert,
             shape,
-            demand,
+            layer_load,
         }
     }
 
@@ -111,49 +116,49 @@
     }
 
     fn share(&self, expert: usize) -> f64 {
-        self.demand.loads[expert] / f64::from(self.replicas[expert])
+        self.layer_load.loads[expert] / f64::from(self.replica_counts[expert])
     }
 
-    fn slots_of(&self, rank: usize) -> std::ops::Range<usize> {
+    fn slots_of_rank(&self, rank: usize) -> std::ops::Range<usize> {
         let first = rank * self.shape.slots_per_rank;
         first..first + self.shape.slots_per_rank
     }
 
-    fn stands_on(&self, expert: usize, rank: usize) -> bool {
-        let range = self.slots_of(rank);
+    fn is_placed_on(&self, expert: usize, rank: usize) -> bool {
+        let range = self.slots_of_rank(rank);
         self.placement.slots[range].contains(&as_u16(expert))
     }
 
-    fn best_move(&self) -> Option<Move> {
+    fn find_best_move(&self) -> Option<Move> {
         let slowest = self.slowest().rank;
         let mut best: Option<(f64, Move)> = None;
         let mut consider = |candidate: Move| {
-            let least = best.map_or(0.0, |(least, _)| least);
-            match self.change_of(candidate) {
-                Some(change) if change < least => best = Some((change, candidate)),
+            let best_change = best.map_or(0.0, |(best_change, _)| best_change);
+            match self.power_sum_change(candidate) {
+                Some(change) if change < best_change => best = Some((change, candidate)),
                 _ => {}
             }
         };
         let fast = self.fast_ranks();
         for expert in self.heavy_experts(slowest) {
             for rank in &fast {
-                if !self.stands_on(expert, *rank) {
-                    self.slots_of(*rank)
+                if !self.is_placed_on(expert, *rank) {
+                    self.slots_of_rank(*rank)
                         .for_each(|slot| consider(Move { slot, expert }));
                 }
             }
         }
         for expert in self.light_experts() {
-            if !self.stands_on(expert, slowest) {
-                self.slots_of(slowest)
+            if !self.is_placed_on(expert, slowest) {
+                self.slots_of_rank(slowest)
                     .for_each(|slot| consider(Move { slot, expert }));
             }
         }
-        best.map(|(_, chosen)| chosen)
+        best.map(|(_, candidate)| candidate)
     }
 
     fn heavy_experts(&self, rank: usize) -> Vec<usize> {
-        let mut heavy: Vec<usize> = self.placement.slots[self.slots_of(rank)]
+        let mut heavy: Vec<usize> = self.placement.slots[self.slots_of_rank(rank)]
             .iter()
             .map(|expert| usize::from(*expert))
             .collect();
@@ -185,69 +190,77 @@
         ranks
     }
 
-    /// How the sum of powers changes; `None` if an expert would stand nowhere.
-    fn change_of(&self, candidate: Move) -> Option<f64> {
-        let leaving = usize::from(self.placement.slots[candidate.slot]);
-        if leaving == candidate.expert || self.replicas[leaving] < 2 {
+    /// Change of the sum of powers. `None` if the slot already holds the expert,
+    /// or holds the last replica of another one.
+    fn power_sum_change(&self, candidate: Move) -> Option<f64> {
+        let replaced = usize::from(self.placement.slots[candidate.slot]);
+        if replaced == candidate.expert || self.replica_counts[replaced] < 2 {
             return None;
         }
         let mut changes: Vec<RankTime> = Vec::new();
-        self.for_each_change(candidate, |rank, by| {
+        self.for_each_change(candidate, |rank, delta| {
             match changes.iter_mut().find(|change| change.rank == rank) {
-                Some(change) => change.time += by,
-                None => changes.push(RankTime { rank, time: by }),
+                Some(change) => change.time += delta,
+                None => changes.push(RankTime { rank, time: delta }),
             }
         });
-        let powered = |time: f64| (time / self.mean).powi(POWER);
+        let power = |time: f64| (time / self.min_time).powi(TIME_EXPONENT);
         let sum = changes
             .iter()
             .map(|change| {
                 let before = self.times[change.rank];
-                powered(before + change.time) - powered(before)
+                power(before + change.time) - power(before)
             })
             .sum();
         Some(sum)
     }
 
-    /// Tells by how much a move changes the time of each rank it touches.
-    fn for_each_change(&self, candidate: Move, mut tell: impl FnMut(usize, f64)) {
-        let leaving = usize::from(self.placement.slots[candidate.slot]);
+    /// Calls `on_change` with each rank that a move affects and the change of
+    /// its time. A rank can be passed more than once.
+    fn for_each_change(&self, candidate: Move, mut on_change: impl FnMut(usize, f64)) {
+        let replaced = usize::from(self.placement.slots[candidate.slot]);
         let rank = self.shape.rank_of(candidate.slot);
-        let speed = |rank: usize| self.demand.speeds[rank];
-        let count = f64::from(self.replicas[candidate.expert]);
-        let load = self.demand.loads[candidate.expert];
-        for slot in &self.stands[candidate.expert] {
-            let on = self.shape.rank_of(*slot);
-            tell(on, (load / (count + 1.0) - load / count) / speed(on));
+        let speed = |rank: usize| self.layer_load.speeds[rank];
+        let count = f64::from(self.replica_counts[candidate.expert]);
+        let load = self.layer_load.loads[candidate.expert];
+        for slot in &self.slots_by_expert[candidate.expert] {
+            let holder = self.shape.rank_of(*slot);
+            on_change(
+                holder,
+                (load / (count + 1.0) - load / count) / speed(holder),
+            );
         }
-        tell(rank, load / (count + 1.0) / speed(rank));
-        let count = f64::from(self.replicas[leaving]);
-        let load = self.demand.loads[leaving];
-        for slot in &self.stands[leaving] {
-            let on = self.shape.rank_of(*slot);
+        on_change(rank, load / (count + 1.0) / speed(rank));
+        let count = f64::from(self.replica_counts[replaced]);
+        let load = self.layer_load.loads[replaced];
+        for slot in &self.slots_by_expert[replaced] {
+            let holder = self.shape.rank_of(*slot);
             if *slot == candidate.slot {
-                tell(on, -load / count / speed(on));
+                on_change(holder, -load / count / speed(holder));
             } else {
-                tell(on, (load / (count - 1.0) - load / count) / speed(on));
+                on_change(
+                    holder,
+                    (load / (count - 1.0) - load / count) / speed(holder),
+                );
             }
         }
     }
 
-    fn apply(&mut self, chosen: Move) {
+    fn apply(&mut self, best: Move) {
         let mut changes = Vec::new();
-        self.for_each_change(chosen, |rank, by| changes.push(RankTime { rank, time: by }));
+        self.for_each_change(best, |rank, by| changes.push(RankTime { rank, time: by }));
         for change in changes {
             self.times[change.rank] += change.time;
         }
-        let leaving = usize::from(self.placement.slots[chosen.slot]);
-        self.stands[leaving].retain(|slot| *slot != chosen.slot);
-        self.stands[chosen.expert].push(chosen.slot);
-        self.replicas[leaving] -= 1;
-        self.replicas[chosen.expert] += 1;
-        self.placement.slots[chosen.slot] = as_u16(chosen.expert);
+        let replaced = usize::from(self.placement.slots[best.slot]);
+        self.slots_by_expert[replaced].retain(|slot| *slot != best.slot);
+        self.slots_by_expert[best.expert].push(best.slot);
+        self.replica_counts[replaced] -= 1;
+        self.replica_counts[best.expert] += 1;
+        self.placement.slots[best.slot] = as_u16(best.expert);
     }
 }
 
 fn as_u16(expert: usize) -> u16 {
-    u16::try_from(expert).expect("experts are few")
+    u16::try_from(expert).expect("expert indices fit in u16")
 }
--- a/crates/experts/src/switching.rs
+++ b/crates/experts/src/switching.rs
@@ -1,217 +1,227 @@
-//! One map in every pass, with engines that keep no promise but their orders.
+//! Switches all ranks of a group to a new expert map at the same forward pass.
 //!
-//! The engines of a group know four orders. *Prepare* copies the experts of a
-//! new map beside those in use. *Hold* keeps the whole group from beginning a
-//! pass. *Arm* makes a rank switch as a pass begins. *Go* ends a hold. An order
-//! may get no answer and be carried out seconds later, after newer ones.
-//! Engines keep no fencing numbers.
+//! Engines execute four commands. *Prepare* copies the experts of a new map next
+//! to those in use. *Pause* keeps the whole group from beginning a given pass.
+//! *Arm* makes a rank switch to the prepared map when a given pass begins.
+//! *Release* ends a pause. A command may get no reply and still be executed
+//! seconds later, after newer commands. Engines do not check fencing tokens.
 //!
-//! The agents beside them do: an agent relays nothing of a leader whose fencing
-//! number is lower than one it has seen. A new leader has its number written to
-//! the store, where an agent that starts reads it, and then asks every agent.
-//! Once all have answered, no order of a former leader begins any more, and
-//! what a former leader had seen before is still to be seen.
+//! The agents beside the engines do: an agent relays nothing from a leader whose
+//! fencing token is lower than the highest it has seen. A new leader writes its
+//! token to the store, from which an agent reads it on startup, and then sends a
+//! request to every agent. Once all agents have replied, no command of a
+//! previous leader can start any more, and any state that a previous leader has
+//! seen in the reports is still visible there.
 //!
-//! A switch goes forward only:
+//! A switch only moves forward:
 //!
-//! 1. Every rank prepares version V. Versions contain the fencing number, so no
-//!    two leaders give one version two contents.
-//! 2. One rank holds before pass S. Nothing is armed until a report shows the
-//!    hold, and V prepared at every rank. No newer version is prepared until the
-//!    hold was seen or S has begun without it.
-//! 3. Every rank is armed with (V, S). Nobody disarms, and nobody releases the
-//!    hold, until reports show every rank armed.
-//! 4. Go.
+//! 1. Every rank prepares version V. Versions contain the fencing token, so two
+//!    leaders never use one version for two different maps.
+//! 2. One rank pauses the group before pass S. No rank is armed until reports
+//!    show the pause, and V prepared at every rank. No newer version is prepared
+//!    until a report has shown the pause, or S has begun without it.
+//! 3. Every rank is armed with (V, S). No rank is disarmed, and the pause is not
+//!    released, until reports show every rank armed.
+//! 4. The pause is released.
 //!
-//! [`next_step`] reads off the reports where a switch stands, so any leader can
-//! go on with it, its own or not, and the store is not needed for it: maps
-//! follow the demand also while the store is down. A hold that is found without
-//! a common prepared map, such as one that was carried out late, is put to use:
-//! a new version is prepared everywhere and armed for its pass. Releasing it
-//! instead would not be safe, since that order may itself come late, when a
-//! successor has begun to arm.
+//! [`next_step`] derives the progress of a switch from the reports alone. Any
+//! leader can therefore continue a switch that another one started, and maps
+//! follow the demand even if the store is unavailable. If the group is paused
+//! but its ranks have no prepared version in common, for example because a pause
+//! command was executed late, a new version is prepared at every rank and armed
+//! for the paused pass. Releasing the pause instead would be unsafe: the release
+//! may itself be executed late, after a successor has begun to arm ranks.
 //!
-//! An order that comes late finds its pass begun, its version not higher, or
-//! its epoch over, and is refused.
+//! Engines refuse a late command because its pass has already begun, its version
+//! is not higher than one they have had, or its epoch is over.
 
 use serde::{Deserialize, Serialize};
 
-/// A version of a group's expert map; only ever grows within an epoch.
+/// Version of a group's expert map. Increases strictly within an epoch.
 pub type MapVersion = u64;
 
-/// A pass of a group, counted from its start.
+/// Number of a forward pass, counted from the start of the group.
 pub type Pass = u64;
 
-/// One life of a group, from its forming to its break.
+/// Number of the period from the formation of a group to its failure. A group
+/// that forms again has a higher epoch.
 pub type Epoch = u64;
 
-/// The experts of each set and rank.
+/// The experts held for each layer set by each rank, as `map[set][rank]`.
 pub type ExpertMap = Vec<Vec<Vec<u16>>>;
 
-/// What a rank is armed with.
+/// The switch that a rank is armed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ArmedSwitch {
-    /// The version it switches to.
+    /// The version to switch to.
     pub version: MapVersion,
-    /// The pass from which on.
+    /// The first pass that uses this version.
     pub pass: Pass,
 }
 
-/// What an engine tells of itself and its rank.
+/// Status report of a model engine and its rank.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankReport {
-    /// Unix time of the engine's start in milliseconds, if it tells it.
+    /// Unix time of the engine's start in milliseconds, if the engine reports it.
     pub started_unix_ms: Option<u64>,
     /// The group's name.
     pub group: String,
-    /// The group's life.
+    /// The current epoch of the group.
     pub epoch: Epoch,
     /// The rank within the group.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// Whether the group runs.
+    /// Whether the group is complete and runs passes.
     #[serde(rename = "is_open")]
     pub is_group_running: bool,
     /// The last pass begun.
     pub pass: Pass,
     /// The version in use.
     pub version: MapVersion,
-    /// The version copied and ready, if any.
+    /// The version whose experts are copied and ready for a switch, if any.
     pub prepared: Option<MapVersion>,
-    /// What the rank is armed with, if anything.
+    /// The switch that the rank is armed for, if any.
     pub armed: Option<ArmedSwitch>,
-    /// The pass that the rank keeps from beginning, if any.
+    /// The pass that the rank keeps the group from beginning, if any.
     #[serde(rename = "held")]
     pub paused_before: Option<Pass>,
-    /// Generations that run.
+    /// Generations in progress.
     pub running: u32,
-    /// Generations that wait.
+    /// Generations queued.
     pub waiting: u32,
-    /// How slow the engine is; over 1 is slower than usual.
+    /// Duration of the engine's work as a multiple of the usual one. Above 1 if the
+    /// engine is slower than usual.
     #[serde(rename = "pace")]
     pub slowdown: f64,
 }
 
-/// An order to a rank. It is refused in any other epoch.
+/// A command to a rank. Engines refuse commands of any other epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RankCommand {
-    /// Copy the experts of a map.
+    /// Copies the experts of a map.
     Prepare {
-        /// The group's life.
+        /// The epoch in which the command is valid.
         epoch: Epoch,
-        /// The new version; higher than any the rank has had.
+        /// The new version. Higher than any that the rank has had.
         version: MapVersion,
-        /// Its content.
+        /// The experts of all layer sets and ranks.
         map: ExpertMap,
     },
-    /// Do not begin the pass.
+    /// Keeps the whole group from beginning a pass.
     #[serde(rename = "Hold")]
     Pause {
-        /// The group's life.
+        /// The epoch in which the command is valid.
         epoch: Epoch,
-        /// The pass.
+        /// The pass that must not begin.
         pass: Pass,
     },
-    /// Switch as the pass begins.
+    /// Makes the rank switch to the prepared map when a pass begins.
     Arm {
-        /// The group's life.
+        /// The epoch in which the command is valid.
         epoch: Epoch,
         /// The version to switch to.
         version: MapVersion,
-        /// The pass.
+        /// The first pass that uses this version.
         pass: Pass,
     },
-    /// The pass may begin.
+    /// Ends a pause, so that the pass may begin.
     #[serde(rename = "Go")]
     Release {
-        /// The group's life.
+        /// The epoch in which the command is valid.
         epoch: Epoch,
-        /// The pass.
+        /// The pass before which the group is paused.
         pass: Pass,
     },
 }
 
 impl RankCommand {
-    /// Whether the order lets a pass begin.
+    /// Whether the command ends a pause.
     #[must_use]
     pub fn is_release(&self) -> bool {
         matches!(self, Self::Release { .. })
     }
 }
 
-/// What became of an order.
+/// Outcome of a command, as known to its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// It has begun, or the state holds already.
+    /// The engine has begun to execute the command, or had already executed it.
     Accepted,
-    /// The engine refused it.
+    /// The engine refused the command.
     Refused,
-    /// No answer came; it may be carried out now, later or never.
+    /// The engine did not reply. It may execute the command now, later or never.
     Unknown,
 }
 
-/// What is to be done about a group, by the reports of its ranks.
+/// The next action of a group's leader, as derived from the reports of its ranks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwitchStep {
-    /// Nothing is under way; all ranks have this version.
+    /// No switch is in progress, and all ranks use the same version.
     Idle {
-        /// The group's life.
+        /// The current epoch of the group.
         epoch: Epoch,
         /// The version in use.
         version: MapVersion,
     },
-    /// Give these orders, by rank, and read the reports again.
+    /// Send these commands, each to the given rank, and read the reports again.
     SendCommands(Vec<(usize, RankCommand)>),
-    /// A hold has no common prepared map: prepare a new version at every rank,
-    /// or the same again if one is on its way.
+    /// The group is paused, but the ranks have no prepared version in common.
+    /// Prepare a new version at every rank, or repeat the prepare command in
+    /// progress.
     PrepareNewVersion {
-        /// The group's life.
+        /// The current epoch of the group.
         epoch: Epoch,
     },
-    /// Read the reports again.
+    /// No action is possible yet. Read the reports again.
     Wait,
 }
 
-/// Where a group stands, by a report of each rank that was read after every
-/// agent had answered this leader. `newest` is the newest version that this
-/// leader has had prepared; 0 for none.
+/// Derives the next action from one report per rank. All reports must have been
+/// read after every agent had replied to this leader. `newest` is the newest
+/// version for which this leader has sent prepare commands, or 0.
 ///
-/// An older version is not armed, though every rank may have it: the newer one
-/// may be on its way to some of them, and a rank that has it can't be armed
-/// with the older one any more.
+/// A version older than `newest` is not armed, even if every rank has prepared
+/// it: the prepare command of the newer one may still arrive at some ranks, and
+/// a rank that has executed it can no longer be armed with the older version.
 #[must_use]
 pub fn next_step(reports: &[Option<RankReport>], newest: MapVersion) -> SwitchStep {
-    let Some(reports) = all_of_one_life(reports) else {
+    let Some(reports) = all_in_one_epoch(reports) else {
         return SwitchStep::Wait;
     };
     let epoch = reports[0].epoch;
     let version = reports[0].version;
-    let held = reports.iter().find_map(|report| report.paused_before);
+    let paused_pass = reports.iter().find_map(|report| report.paused_before);
     let is_armed = |report: &&RankReport| report.armed.is_some();
-    let armed = reports.iter().copied().filter(is_armed).count();
-    match held {
-        None if armed > 0 => SwitchStep::Wait,
+    let armed_ranks = reports.iter().copied().filter(is_armed).count();
+    match paused_pass {
+        None if armed_ranks > 0 => SwitchStep::Wait,
         None if reports.iter().any(|report| report.version != version) => SwitchStep::Wait,
         None => SwitchStep::Idle { epoch, version },
-        Some(pass) => match common_next_version(&reports, pass).filter(|it| *it >= newest) {
-            Some(_) if armed == reports.len() => SwitchStep::SendCommands(go(&reports, epoch)),
-            Some(version) => SwitchStep::SendCommands(arm(&reports, epoch, version, pass)),
-            None => SwitchStep::PrepareNewVersion { epoch },
-        },
+        Some(pass) => {
+            match common_next_version(&reports, pass).filter(|version| *version >= newest) {
+                Some(_) if armed_ranks == reports.len() => {
+                    SwitchStep::SendCommands(release_commands(&reports, epoch))
+                }
+                Some(version) => {
+                    SwitchStep::SendCommands(arm_commands(&reports, epoch, version, pass))
+                }
+                None => SwitchStep::PrepareNewVersion { epoch },
+            }
+        }
     }
 }
 
-/// The reports, if every rank has one and all are of one life of the group.
-fn all_of_one_life(reports: &[Option<RankReport>]) -> Option<Vec<&RankReport>> {
+/// The reports, if every rank has one and all belong to the same running epoch.
+fn all_in_one_epoch(reports: &[Option<RankReport>]) -> Option<Vec<&RankReport>> {
     let reports: Option<Vec<&RankReport>> = reports.iter().map(Option::as_ref).collect();
     let reports = reports.filter(|reports| !reports.is_empty())?;
     let epoch = reports[0].epoch;
-    let is_one = |report: &&RankReport| report.epoch == epoch && report.is_group_running;
-    reports.iter().all(is_one).then_some(reports)
+    let is_in_epoch = |report: &&RankReport| report.epoch == epoch && report.is_group_running;
+    reports.iter().all(is_in_epoch).then_some(reports)
 }
 
-/// The version that every rank has prepared, or is armed with for the pass.
+/// The version that every rank has either prepared or is armed with for `pass`.
 fn common_next_version(reports: &[&RankReport], pass: Pass) -> Option<MapVersion> {
     let next = |report: &RankReport| match report.armed {
         Some(armed) if armed.pass == pass => Some(armed.version),
@@ -223,7 +233,7 @@
     reports.iter().all(is_common).then_some(first)
 }
 
-fn go(reports: &[&RankReport], epoch: Epoch) -> Vec<(usize, RankCommand)> {
+fn release_commands(reports: &[&RankReport], epoch: Epoch) -> Vec<(usize, RankCommand)> {
     let ranks = reports.iter().enumerate();
     ranks
         .filter_map(|(rank, report)| {
@@ -233,13 +243,13 @@
         .collect()
 }
 
-fn arm(
+fn arm_commands(
     reports: &[&RankReport],
     epoch: Epoch,
     version: MapVersion,
     pass: Pass,
 ) -> Vec<(usize, RankCommand)> {
-    let order = RankCommand::Arm {
+    let command = RankCommand::Arm {
         epoch,
         version,
         pass,
@@ -247,12 +257,13 @@
     let ranks = reports.iter().enumerate();
     ranks
         .filter(|(_, report)| report.armed.is_none())
-        .map(|(rank, _)| (rank, order.clone()))
+        .map(|(rank, _)| (rank, command.clone()))
         .collect()
 }
 
-/// Whether every rank is ready for a switch to `version`: prepared, in one
-/// epoch, and with nothing left of an earlier switch.
+/// Whether every rank is ready for a switch to `version`: it has prepared the
+/// version in this epoch, and it is neither armed nor paused by an earlier
+/// switch.
 #[must_use]
 pub fn is_ready_to_switch(
     reports: &[Option<RankReport>],
@@ -270,26 +281,27 @@
     })
 }
 
-/// Bits of a version that count within one controller's term.
-const COUNT_BITS: u32 = 20;
+/// Low bits of a version that count the versions of one leader. The fencing
+/// token is in the bits above.
+const COUNTER_BITS: u32 = 20;
 
-/// The versions of one controller: higher than those of every controller with
-/// a lower fencing number, whatever these still give.
+/// Issues the map versions of one leader. They are higher than all versions of
+/// leaders with a lower fencing token, including those issued later.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionSource {
     next: MapVersion,
 }
 
 impl VersionSource {
-    /// The versions of the controller with that fencing number.
+    /// Creates the source for the leader with the fencing token `fence`.
     #[must_use]
     pub fn new(fence: u64) -> Self {
         Self {
-            next: (fence << COUNT_BITS) + 1,
+            next: (fence << COUNTER_BITS) + 1,
         }
     }
 
-    /// The next version; never the same twice.
+    /// Returns the next version. Never returns the same version twice.
     pub fn issue(&mut self) -> MapVersion {
         let version = self.next;
         self.next += 1;
--- a/crates/experts/tests/policy.rs
+++ b/crates/experts/tests/policy.rs
@@ -1,4 +1,4 @@
-//! When experts are moved, and when they are left alone.
+//! Tests which measurements make the rebalancing policy move experts.
 
 use berylhook_experts::placement::{LayerLoad, LayerShape, Placement, improve, place_from_scratch};
 use berylhook_experts::policy::{Measurement, PolicyConfig, Rebalancer};
@@ -17,7 +17,7 @@
         .collect()
 }
 
-fn placed(loads: &[f64]) -> Placement {
+fn place(loads: &[f64]) -> Placement {
     let speeds = vec![1.0; SHAPE.ranks];
     place_from_scratch(
         &SHAPE,
@@ -28,26 +28,24 @@
     )
 }
 
-fn noisy(random: &mut StdRng, loads: &[f64]) -> Vec<f64> {
-    let noise = loads
-        .iter()
-        .map(|load| load * random.random_range(0.85..1.15));
-    noise.collect()
+fn with_noise(rng: &mut StdRng, loads: &[f64]) -> Vec<f64> {
+    let noisy_loads = loads.iter().map(|load| load * rng.random_range(0.85..1.15));
+    noisy_loads.collect()
 }
 
-/// Symptom: weights are moved all day for nothing.
-/// Sequence: popularity stays the same and only its measurement is noisy.
-/// Cause: acting on one noisy measurement; what noise explains is no gain.
+/// Guards against needless moves all day while popularity stays the same and
+/// only its measurement is noisy. They occur if the policy acts on a single
+/// measurement, or counts a difference that noise can explain as a gain.
 #[test]
-fn noise_alone_moves_nothing() {
+fn noise_alone_causes_no_moves() {
     let loads = zipf_loads();
-    let map = placed(&loads);
+    let map = place(&loads);
     let mut rebalancer = Rebalancer::new(SHAPE, PolicyConfig::default(), vec![map]);
-    let mut random = StdRng::seed_from_u64(3);
+    let mut rng = StdRng::seed_from_u64(3);
 
     let mut plans = 0;
     for _ in 0..500 {
-        let measured = vec![noisy(&mut random, &loads)];
+        let measured = vec![with_noise(&mut rng, &loads)];
         rebalancer.observe(&Measurement {
             loads: &measured,
             rank_times: &[],
@@ -58,12 +56,11 @@
     assert_eq!(plans, 0);
 }
 
-/// Symptom: the owner who fears interruptions more than skew is interrupted
-/// as often as the other.
-/// Sequence: two owners see the same drift.
-/// Cause: one policy, but the catalogue's weights decide what it is worth.
+/// Guards against a policy that ignores the owner's weights from the catalogue:
+/// with the same drift, an owner with a high weight for interruptions would be
+/// interrupted as often as an owner with a high weight for skew.
 #[test]
-fn an_owner_who_weighs_cost_more_moves_less() {
+fn higher_cost_weight_causes_fewer_moves() {
     let loads = zipf_loads();
     let shifted: Vec<f64> = (0..64).map(|expert| loads[(expert + 9) % 64]).collect();
     let moves_with = |skew_weight, cost_weight| {
@@ -72,14 +69,14 @@
             cost_weight,
             ..PolicyConfig::default()
         };
-        let mut rebalancer = Rebalancer::new(SHAPE, config, vec![placed(&loads)]);
-        let mut random = StdRng::seed_from_u64(4);
+        let mut rebalancer = Rebalancer::new(SHAPE, config, vec![place(&loads)]);
+        let mut rng = StdRng::seed_from_u64(4);
         let mut moves = 0;
         for period in 0..200 {
-            let part = f64::from(period) / 200.0;
-            let mix = |(now, then): (&f64, &f64)| now * (1.0 - part) + then * part;
-            let drifted: Vec<f64> = loads.iter().zip(&shifted).map(mix).collect();
-            let measured = vec![noisy(&mut random, &drifted)];
+            let progress = f64::from(period) / 200.0;
+            let interpolate = |(from, to): (&f64, &f64)| from * (1.0 - progress) + to * progress;
+            let drifted: Vec<f64> = loads.iter().zip(&shifted).map(interpolate).collect();
+            let measured = vec![with_noise(&mut rng, &drifted)];
             rebalancer.observe(&Measurement {
                 loads: &measured,
                 rank_times: &[],
@@ -89,21 +86,24 @@
         moves
     };
 
-    let skew_first = moves_with(1.0, 0.2);
-    let cost_first = moves_with(0.05, 20.0);
+    let moves_for_skew = moves_with(1.0, 0.2);
+    let moves_for_cost = moves_with(0.05, 20.0);
 
-    assert!(skew_first > 0);
-    assert!(cost_first < skew_first, "{cost_first} against {skew_first}");
+    assert!(moves_for_skew > 0);
+    assert!(
+        moves_for_cost < moves_for_skew,
+        "{moves_for_cost} against {moves_for_skew}"
+    );
 }
 
-/// Symptom: a slow rank holds the group back although no expert on it is hot.
-/// Sequence: one rank runs at 60% of its speed; the loads stay the same.
-/// Cause: its time is longer than its load explains, which tells a straggler
-/// from an overloaded rank.
+/// Guards against a slow rank that delays the group although none of its experts
+/// is heavily loaded: one rank runs at 60% of its speed while the loads stay the
+/// same. A straggler differs from an overloaded rank in that its time is longer
+/// than its load explains.
 #[test]
-fn a_straggler_is_told_apart_and_relieved() {
+fn straggler_is_detected_and_gets_less_load() {
     let loads = zipf_loads();
-    let map = placed(&loads);
+    let map = place(&loads);
     let mut rebalancer = Rebalancer::new(SHAPE, PolicyConfig::default(), vec![map.clone()]);
     let mut speeds = vec![1.0; SHAPE.ranks];
     speeds[5] = 0.6;
@@ -128,24 +128,27 @@
 }
 
 #[test]
-fn every_expert_keeps_a_slot_whatever_is_moved() {
-    let mut random = StdRng::seed_from_u64(6);
+fn every_expert_keeps_a_slot_after_any_moves() {
+    let mut rng = StdRng::seed_from_u64(6);
     for _ in 0..200 {
-        let loads: Vec<f64> = (0..64).map(|_| random.random_range(0.0..1_000.0)).collect();
-        let speeds: Vec<f64> = (0..16).map(|_| random.random_range(0.3..1.2)).collect();
+        let loads: Vec<f64> = (0..64).map(|_| rng.random_range(0.0..1_000.0)).collect();
+        let speeds: Vec<f64> = (0..16).map(|_| rng.random_range(0.3..1.2)).collect();
         let demand = LayerLoad {
             loads: &loads,
             speeds: &speeds,
         };
-        let start = placed(&zipf_loads());
+        let initial = place(&zipf_loads());
 
-        let improved = improve(&SHAPE, &start, &demand, 20);
+        let improved = improve(&SHAPE, &initial, &demand, 20);
 
         let replicas = improved.placement.replica_counts(&SHAPE);
         assert!(replicas.iter().all(|count| *count > 0));
         assert!(improved.moves <= 20);
-        let told = improved.time_after;
+        let reported = improved.time_after;
         let real = improved.placement.layer_time(&SHAPE, &demand);
-        assert!((told - real).abs() < 1e-6 * real, "{told} against {real}");
+        assert!(
+            (reported - real).abs() < 1e-6 * real,
+            "{reported} against {real}"
+        );
     }
 }
--- a/crates/experts/tests/switching.rs
+++ b/crates/experts/tests/switching.rs
@@ -1,11 +1,11 @@
-//! Exhaustive search: no order of events gives a pass two maps, and no hold is
-//! left that nobody can resolve.
+//! Exhaustive search of the map-switching protocol: in no order of events do the
+//! ranks use different maps in one pass, or does the group stay paused for ever.
 //!
-//! Two ranks with an agent each, two leaders that both believe they lead, and a
-//! network that delivers orders in any order, late, twice or never: what an
-//! agent has relayed once stays on its way for ever and may arrive at any
-//! moment. A leader may be paused between any two steps. Agents may start anew,
-//! and the group may form anew.
+//! The model has two ranks with an agent each, two leaders that both believe they
+//! lead, and a network that delivers commands in any order, late, repeatedly or
+//! never: a command that an agent has relayed stays in flight for ever and may
+//! arrive at any time. A leader may be suspended between any two steps. Agents may
+//! restart, and the group may form again.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,59 +16,60 @@
 
 const RANKS: usize = 2;
 
-/// Versions that one leader prepares at most.
+/// Maximum number of versions that one leader prepares.
 const VERSIONS: u64 = 2;
 
-/// A guard that is left out on purpose.
+/// A deliberate fault in the protocol, which the search has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
-    /// Arms together with the hold, before a report shows it.
-    ArmsWithoutHold,
-    /// Releases the hold together with the arms.
-    GoesWithoutArms,
-    /// Agents relay whatever they are given.
-    AgentsKeepNoFence,
-    /// An agent that starts knows no fencing number.
-    AgentsForget,
-    /// Releases a hold that it did not ask for.
-    ReleasesStrayHolds,
-    /// Engines carry out orders of a former life of the group.
-    IgnoresEpochs,
+enum Mutation {
+    None,
+    /// Leaders send the arm commands together with the pause, before a report shows
+    /// the pause.
+    ArmBeforePauseIsReported,
+    /// Leaders send the release together with the arm commands.
+    ReleaseBeforeAllAreArmed,
+    /// Agents relay the commands of every leader.
+    NoFencing,
+    /// An agent has no fencing token after a restart.
+    FencingTokenLostOnRestart,
+    /// Leaders release a pause that they did not order.
+    ReleaseUnknownPause,
+    /// Engines execute commands of a previous epoch.
+    IgnoreEpochs,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Rank {
+struct RankState {
     version: u64,
     prepared: Option<u64>,
-    highest: u64,
+    highest_version: u64,
     armed: Option<ArmedSwitch>,
-    held: Option<u64>,
-    /// Highest fencing number its agent has seen.
+    paused_before: Option<u64>,
+    /// Highest fencing token that the rank's agent has seen.
     fence: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Phase {
-    /// Does not lead yet.
-    Waiting,
-    /// Asks all agents for the first time.
-    Asking,
-    /// Leads; has ordered copies of this version, if any, and a hold before this
-    /// pass.
+enum LeaderPhase {
+    /// Not elected yet.
+    Candidate,
+    /// Contacting all agents for the first time.
+    ContactingAgents,
+    /// Leading. The fields are the version for which it has sent prepare commands and
+    /// the pass before which it has sent a pause, if any.
     Leading(Option<u64>, Option<u64>),
-    /// Leads no more.
-    Over,
+    /// Deposed by a leader with a higher fencing token.
+    Deposed,
 }
 
-/// What one report said.
-type View = (u64, u64, Rank);
+/// The content of one report: epoch, pass and state of the rank.
+type ReportedState = (u64, u64, RankState);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
-    phase: Phase,
+    phase: LeaderPhase,
     issued: u64,
-    seen: Vec<Option<View>>,
+    reports_read: Vec<Option<ReportedState>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -77,45 +78,45 @@
     last_epoch: u64,
     passes_ahead: u64,
     last_pass: u64,
-    holder: Holder,
+    pausing_rank: PausingRankPolicy,
     restarts: u8,
     pass: u64,
-    ranks: Vec<Rank>,
-    /// The fencing number in the store.
+    ranks: Vec<RankState>,
+    /// Fencing token in the store.
     stored_fence: u64,
     leaders: Vec<Leader>,
-    /// Relayed, on the way to an engine.
-    relayed: BTreeSet<(usize, RankCommand)>,
+    /// Commands that an agent has relayed, with the rank that gets them.
+    commands_in_flight: BTreeSet<(usize, RankCommand)>,
 }
 
-/// Which rank holds.
+/// The rank that is sent the pause command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Holder {
-    /// Always the first.
+enum PausingRankPolicy {
+    /// Always the first rank.
     First,
-    /// By the pass that it holds, so that each hold is another rank's.
+    /// A different rank for each pass.
     ByPass,
 }
 
-impl Holder {
+impl PausingRankPolicy {
     fn rank(self, pass: u64) -> usize {
         match self {
             Self::First => 0,
-            Self::ByPass => usize::try_from(pass).expect("few passes") % RANKS,
+            Self::ByPass => usize::try_from(pass).expect("pass numbers are small") % RANKS,
         }
     }
 }
 
-/// What may happen beside the leaders' own steps. All of it at once is more
-/// states than a test can search.
+/// Events that may occur besides the steps of the leaders. The scopes are searched
+/// separately, as all events together give too many states.
 #[derive(Clone, Copy, Debug)]
 struct Scope {
     last_epoch: u64,
     restarts: u8,
-    /// Passes between the last one begun and the one that a leader holds.
+    /// Distance from the last pass begun to the pass before which a leader pauses.
     passes_ahead: u64,
     last_pass: u64,
-    holder: Holder,
+    pausing_rank: PausingRankPolicy,
 }
 
 const SCOPES: [Scope; 9] = [
@@ -130,48 +131,51 @@
     by_pass(scope(1, 1, 1)),
 ];
 
-/// As many passes as allow two holds, one after the other.
+/// A scope with enough passes for two successive pauses.
 const fn scope(last_epoch: u64, restarts: u8, passes_ahead: u64) -> Scope {
     Scope {
         last_epoch,
         restarts,
         passes_ahead,
         last_pass: passes_ahead + 1,
-        holder: Holder::First,
+        pausing_rank: PausingRankPolicy::First,
     }
 }
 
 const fn by_pass(scope: Scope) -> Scope {
     Scope {
-        holder: Holder::ByPass,
+        pausing_rank: PausingRankPolicy::ByPass,
         ..scope
     }
 }
 
-fn start(scope: Scope) -> State {
+fn initial_state(scope: Scope) -> State {
     let leader = |phase| Leader {
         phase,
         issued: 0,
-        seen: vec![None; RANKS],
+        reports_read: vec![None; RANKS],
     };
     State {
         epoch: 1,
         last_epoch: scope.last_epoch,
         passes_ahead: scope.passes_ahead,
         last_pass: scope.last_pass,
-        holder: scope.holder,
+        pausing_rank: scope.pausing_rank,
         restarts: scope.restarts,
         pass: 0,
         ranks: vec![
-            Rank {
+            RankState {
                 fence: 1,
-                ..Rank::default()
+                ..RankState::default()
             };
             RANKS
         ],
         stored_fence: 1,
-        leaders: vec![leader(Phase::Leading(None, None)), leader(Phase::Waiting)],
-        relayed: BTreeSet::new(),
+        leaders: vec![
+            leader(LeaderPhase::Leading(None, None)),
+            leader(LeaderPhase::Candidate),
+        ],
+        commands_in_flight: BTreeSet::new(),
     }
 }
 
@@ -179,8 +183,8 @@
     leader as u64 + 1
 }
 
-fn report(view: &View, rank: usize) -> RankReport {
-    let (epoch, pass, state) = view;
+fn report(reported_state: &ReportedState, rank: usize) -> RankReport {
+    let (epoch, pass, state) = reported_state;
     RankReport {
         started_unix_ms: None,
         group: "g".to_owned(),
@@ -192,56 +196,62 @@
         version: state.version,
         prepared: state.prepared,
         armed: state.armed,
-        paused_before: state.held,
+        paused_before: state.paused_before,
         running: 0,
         waiting: 0,
         slowdown: 1.0,
     }
 }
 
-/// What an engine does with an order.
-fn execute(state: &mut State, rank: usize, order: &RankCommand, planted: Planted) {
+/// Executes or refuses a command, as an engine does.
+fn execute_command(state: &mut State, rank: usize, command: &RankCommand, mutation: Mutation) {
     let (epoch, pass) = (state.epoch, state.pass);
-    let in_epoch = |of: u64| of == epoch || planted == Planted::IgnoresEpochs;
-    let target = &mut state.ranks[rank];
-    match order {
+    let in_epoch =
+        |command_epoch: u64| command_epoch == epoch || mutation == Mutation::IgnoreEpochs;
+    let rank_state = &mut state.ranks[rank];
+    match command {
         RankCommand::Prepare { epoch, version, .. }
-            if in_epoch(*epoch) && *version > target.highest && target.armed.is_none() =>
+            if in_epoch(*epoch)
+                && *version > rank_state.highest_version
+                && rank_state.armed.is_none() =>
         {
-            target.prepared = Some(*version);
-            target.highest = *version;
+            rank_state.prepared = Some(*version);
+            rank_state.highest_version = *version;
         }
         RankCommand::Pause {
             epoch,
-            pass: wanted,
-        } if in_epoch(*epoch) && pass < *wanted && target.held.is_none() => {
-            target.held = Some(*wanted);
+            pass: command_pass,
+        } if in_epoch(*epoch) && pass < *command_pass && rank_state.paused_before.is_none() => {
+            rank_state.paused_before = Some(*command_pass);
         }
         RankCommand::Arm {
             epoch,
             version,
-            pass: wanted,
-        } if in_epoch(*epoch) && pass < *wanted && target.prepared == Some(*version) => {
-            target.armed = Some(ArmedSwitch {
+            pass: command_pass,
+        } if in_epoch(*epoch) && pass < *command_pass && rank_state.prepared == Some(*version) => {
+            rank_state.armed = Some(ArmedSwitch {
                 version: *version,
-                pass: *wanted,
+                pass: *command_pass,
             });
         }
         RankCommand::Release {
             epoch,
-            pass: wanted,
-        } if in_epoch(*epoch) && target.held == Some(*wanted) => {
-            target.held = None;
+            pass: command_pass,
+        } if in_epoch(*epoch) && rank_state.paused_before == Some(*command_pass) => {
+            rank_state.paused_before = None;
         }
         _ => {}
     }
 }
 
-/// The next pass begins, unless a rank holds it.
+/// Begins the next pass, unless a rank pauses the group before it.
 fn begin_pass(state: &State) -> Option<State> {
     let next = state.pass + 1;
-    let is_held = state.ranks.iter().any(|rank| rank.held == Some(next));
-    if next > state.last_pass || is_held {
+    let is_paused = state
+        .ranks
+        .iter()
+        .any(|rank| rank.paused_before == Some(next));
+    if next > state.last_pass || is_paused {
         return None;
     }
     let mut after = state.clone();
@@ -255,52 +265,53 @@
     Some(after)
 }
 
-/// The group breaks and forms anew.
-fn form_anew(state: &State) -> Option<State> {
+/// The group fails and forms again.
+fn reform_group(state: &State) -> Option<State> {
     if state.epoch == state.last_epoch {
         return None;
     }
     let mut after = state.clone();
     after.epoch += 1;
     for rank in &mut after.ranks {
-        *rank = Rank {
-            highest: rank.highest,
+        *rank = RankState {
+            highest_version: rank.highest_version,
             fence: rank.fence,
-            ..Rank::default()
+            ..RankState::default()
         };
     }
     Some(after)
 }
 
-/// An agent starts anew and learns the fencing number, from the store or, while
-/// that is away, from the agent beside the other rank.
-fn restart_agents(state: &State, planted: Planted) -> Vec<State> {
+/// An agent restarts and learns the fencing token from the store or, if the store
+/// is unavailable, from the agent of the other rank.
+fn restart_agents(state: &State, mutation: Mutation) -> Vec<State> {
     if state.restarts == 0 {
         return Vec::new();
     }
-    let restarted = |rank: usize, number: u64| {
+    let restarted = |rank: usize, fence: u64| {
         let mut after = state.clone();
         after.restarts -= 1;
-        after.ranks[rank].fence = match planted {
-            Planted::AgentsForget => 0,
-            _ => number,
+        after.ranks[rank].fence = match mutation {
+            Mutation::FencingTokenLostOnRestart => 0,
+            _ => fence,
         };
         after
     };
-    let told_by = |rank: usize| state.ranks[(rank + 1) % RANKS].fence;
+    let fence_of_other_agent = |rank: usize| state.ranks[(rank + 1) % RANKS].fence;
     (0..RANKS)
         .flat_map(|rank| {
             [
                 restarted(rank, state.stored_fence),
-                restarted(rank, told_by(rank)),
+                restarted(rank, fence_of_other_agent(rank)),
             ]
         })
         .collect()
 }
 
-/// Whether the agent relays for a leader; it remembers the highest number.
-fn passes_agent(rank: &mut Rank, fence: u64, planted: Planted) -> bool {
-    if planted == Planted::AgentsKeepNoFence {
+/// Whether the agent relays commands of a leader. Records the leader's fencing
+/// token if it does.
+fn agent_accepts_leader(rank: &mut RankState, fence: u64, mutation: Mutation) -> bool {
+    if mutation == Mutation::NoFencing {
         return true;
     }
     if fence < rank.fence {
@@ -311,111 +322,120 @@
 }
 
 /// A leader reads one rank's report through its agent.
-fn look(state: &State, leader: usize, rank: usize, planted: Planted) -> Option<State> {
-    if state.leaders[leader].seen[rank].is_some() {
+fn read_report(state: &State, leader: usize, rank: usize, mutation: Mutation) -> Option<State> {
+    if state.leaders[leader].reports_read[rank].is_some() {
         return None;
     }
     let mut after = state.clone();
-    if !passes_agent(&mut after.ranks[rank], fence_of(leader), planted) {
-        after.leaders[leader].phase = Phase::Over;
-        after.leaders[leader].seen = vec![None; RANKS];
+    if !agent_accepts_leader(&mut after.ranks[rank], fence_of(leader), mutation) {
+        after.leaders[leader].phase = LeaderPhase::Deposed;
+        after.leaders[leader].reports_read = vec![None; RANKS];
         return Some(after);
     }
-    let mut view = after.ranks[rank].clone();
-    // What the agent remembers is not part of a report.
-    view.fence = 0;
-    after.leaders[leader].seen[rank] = Some((after.epoch, after.pass, view));
+    let mut reported_state = after.ranks[rank].clone();
+    // The agent's fencing token is not part of a report.
+    reported_state.fence = 0;
+    after.leaders[leader].reports_read[rank] = Some((after.epoch, after.pass, reported_state));
     Some(after)
 }
 
-/// One decision of a leader, once it has read all ranks.
+/// One decision of a leader that has the reports of all ranks.
 ///
-/// It may read all of them again before the next one, or only those that it
-/// gave an order, and go by what it has seen of the others before.
-fn act(state: &State, leader: usize, planted: Planted) -> Vec<State> {
-    let Some((after, ordered)) = decide(state, leader, planted) else {
+/// Before its next decision, the leader may read all reports again, or only those
+/// of the ranks to which it has sent commands and reuse the others.
+fn leader_steps(state: &State, leader: usize, mutation: Mutation) -> Vec<State> {
+    let Some((after, commanded_ranks)) = leader_decision(state, leader, mutation) else {
         return Vec::new();
     };
-    let mut keeping = after.clone();
-    let seen = &state.leaders[leader].seen;
-    for rank in (0..RANKS).filter(|rank| !ordered.is_empty() && !ordered.contains(rank)) {
-        keeping.leaders[leader].seen[rank].clone_from(&seen[rank]);
+    let mut with_reused_reports = after.clone();
+    let reports_read = &state.leaders[leader].reports_read;
+    for rank in
+        (0..RANKS).filter(|rank| !commanded_ranks.is_empty() && !commanded_ranks.contains(rank))
+    {
+        with_reused_reports.leaders[leader].reports_read[rank].clone_from(&reports_read[rank]);
     }
-    if keeping == after {
+    if with_reused_reports == after {
         vec![after]
     } else {
-        vec![after, keeping]
+        vec![after, with_reused_reports]
     }
 }
 
-/// A leader's decision, and the ranks to which it gave orders that leave the
-/// others as they are.
-fn decide(state: &State, leader: usize, planted: Planted) -> Option<(State, Vec<usize>)> {
-    let seen: Option<Vec<View>> = state.leaders[leader].seen.iter().cloned().collect();
-    let seen = seen?;
-    let ranks = seen.iter().enumerate();
-    let reports: Vec<_> = ranks.map(|(rank, view)| Some(report(view, rank))).collect();
+/// The state after a leader's decision, and the ranks to which it has sent commands
+/// that do not affect the other ranks.
+fn leader_decision(
+    state: &State,
+    leader: usize,
+    mutation: Mutation,
+) -> Option<(State, Vec<usize>)> {
+    let reports_read: Option<Vec<ReportedState>> =
+        state.leaders[leader].reports_read.iter().cloned().collect();
+    let reports_read = reports_read?;
+    let ranks = reports_read.iter().enumerate();
+    let reports: Vec<_> = ranks
+        .map(|(rank, reported_state)| Some(report(reported_state, rank)))
+        .collect();
     let mut after = state.clone();
-    after.leaders[leader].seen = vec![None; RANKS];
-    let (prepared, held) = match after.leaders[leader].phase {
-        Phase::Asking => {
-            after.leaders[leader].phase = Phase::Leading(None, None);
+    after.leaders[leader].reports_read = vec![None; RANKS];
+    let (prepared, paused_before) = match after.leaders[leader].phase {
+        LeaderPhase::ContactingAgents => {
+            after.leaders[leader].phase = LeaderPhase::Leading(None, None);
             return Some((after, Vec::new()));
         }
-        Phase::Leading(prepared, held) => (prepared, held),
-        Phase::Waiting | Phase::Over => return None,
+        LeaderPhase::Leading(prepared, paused_before) => (prepared, paused_before),
+        LeaderPhase::Candidate | LeaderPhase::Deposed => return None,
     };
     let last = reports.iter().flatten().map(|report| report.pass).max()?;
-    let mut ordered = Vec::new();
+    let mut commanded_ranks = Vec::new();
     match next_step(&reports, prepared.unwrap_or(0)) {
-        SwitchStep::SendCommands(orders) => {
-            let releases = orders.iter().any(|(_, order)| order.is_release());
-            let ranks = orders.iter().map(|(rank, _)| *rank);
-            ordered = if releases {
+        SwitchStep::SendCommands(commands) => {
+            let has_release = commands.iter().any(|(_, command)| command.is_release());
+            let ranks = commands.iter().map(|(rank, _)| *rank);
+            commanded_ranks = if has_release {
                 Vec::new()
             } else {
                 ranks.collect()
             };
-            give(&mut after, leader, orders, planted);
+            send_commands(&mut after, leader, commands, mutation);
         }
-        SwitchStep::PrepareNewVersion { epoch } if planted == Planted::ReleasesStrayHolds => {
+        SwitchStep::PrepareNewVersion { epoch } if mutation == Mutation::ReleaseUnknownPause => {
             let pass = reports
                 .iter()
                 .flatten()
                 .find_map(|report| report.paused_before)?;
             for rank in 0..RANKS {
-                let go = RankCommand::Release { epoch, pass };
-                give(&mut after, leader, vec![(rank, go)], planted);
+                let release = RankCommand::Release { epoch, pass };
+                send_commands(&mut after, leader, vec![(rank, release)], mutation);
             }
         }
-        SwitchStep::PrepareNewVersion { epoch } => prepare(&mut after, leader, epoch, planted)?,
-        SwitchStep::Idle { epoch, .. } => match (prepared, held) {
-            (None, _) => prepare(&mut after, leader, epoch, planted)?,
+        SwitchStep::PrepareNewVersion { epoch } => prepare(&mut after, leader, epoch, mutation)?,
+        SwitchStep::Idle { epoch, .. } => match (prepared, paused_before) {
+            (None, _) => prepare(&mut after, leader, epoch, mutation)?,
             (Some(version), _) if !is_ready_to_switch(&reports, epoch, version) => {}
-            (Some(version), held) => {
-                // A hold that is on its way is given again, and no other.
-                let pass = held
+            (Some(version), paused_before) => {
+                // A pause that may still be in flight is sent again, and no other one.
+                let pass = paused_before
                     .filter(|pass| *pass > last)
                     .unwrap_or(last + state.passes_ahead);
-                after.leaders[leader].phase = Phase::Leading(Some(version), Some(pass));
-                let hold = RankCommand::Pause { epoch, pass };
-                let holder = state.holder.rank(pass);
-                give(&mut after, leader, vec![(holder, hold)], planted);
-                ordered = vec![holder];
+                after.leaders[leader].phase = LeaderPhase::Leading(Some(version), Some(pass));
+                let pause = RankCommand::Pause { epoch, pass };
+                let pausing_rank = state.pausing_rank.rank(pass);
+                send_commands(&mut after, leader, vec![(pausing_rank, pause)], mutation);
+                commanded_ranks = vec![pausing_rank];
             }
         },
         SwitchStep::Wait => {}
     }
-    Some((after, ordered))
+    Some((after, commanded_ranks))
 }
 
-/// Has a new version prepared, or the one that is on its way once more.
-fn prepare(state: &mut State, leader: usize, epoch: u64, planted: Planted) -> Option<()> {
-    let is_on_its_way = matches!(
+/// Sends prepare commands for a new version, or again for the one in progress.
+fn prepare(state: &mut State, leader: usize, epoch: u64, mutation: Mutation) -> Option<()> {
+    let is_in_progress = matches!(
         state.leaders[leader].phase,
-        Phase::Leading(Some(version), _) if state.ranks.iter().all(|rank| rank.version != version)
+        LeaderPhase::Leading(Some(version), _) if state.ranks.iter().all(|rank| rank.version != version)
     );
-    if !is_on_its_way {
+    if !is_in_progress {
         if state.leaders[leader].issued == VERSIONS {
             return None;
         }
@@ -425,24 +445,31 @@
     let version = (0..state.leaders[leader].issued)
         .map(|_| versions.issue())
         .last()?;
-    state.leaders[leader].phase = Phase::Leading(Some(version), None);
+    state.leaders[leader].phase = LeaderPhase::Leading(Some(version), None);
     for rank in 0..RANKS {
-        let order = RankCommand::Prepare {
+        let command = RankCommand::Prepare {
             epoch,
             version,
             map: Vec::new(),
         };
-        relay(state, rank, fence_of(leader), order, planted);
+        relay(state, rank, fence_of(leader), command, mutation);
     }
     Some(())
 }
 
-fn give(state: &mut State, leader: usize, orders: Vec<(usize, RankCommand)>, planted: Planted) {
+fn send_commands(
+    state: &mut State,
+    leader: usize,
+    commands: Vec<(usize, RankCommand)>,
+    mutation: Mutation,
+) {
     let fence = fence_of(leader);
-    for (rank, order) in orders {
-        match &order {
-            RankCommand::Pause { epoch, pass } if planted == Planted::ArmsWithoutHold => {
-                let Phase::Leading(Some(version), _) = state.leaders[leader].phase else {
+    for (rank, command) in commands {
+        match &command {
+            RankCommand::Pause { epoch, pass }
+                if mutation == Mutation::ArmBeforePauseIsReported =>
+            {
+                let LeaderPhase::Leading(Some(version), _) = state.leaders[leader].phase else {
                     continue;
                 };
                 let arm = RankCommand::Arm {
@@ -451,168 +478,173 @@
                     pass: *pass,
                 };
                 for rank in 0..RANKS {
-                    relay(state, rank, fence, arm.clone(), planted);
+                    relay(state, rank, fence, arm.clone(), mutation);
                 }
             }
-            RankCommand::Arm { epoch, pass, .. } if planted == Planted::GoesWithoutArms => {
-                let go = RankCommand::Release {
+            RankCommand::Arm { epoch, pass, .. }
+                if mutation == Mutation::ReleaseBeforeAllAreArmed =>
+            {
+                let release = RankCommand::Release {
                     epoch: *epoch,
                     pass: *pass,
                 };
-                relay(state, 0, fence, go, planted);
+                relay(state, 0, fence, release, mutation);
             }
             _ => {}
         }
-        relay(state, rank, fence, order, planted);
+        relay(state, rank, fence, command, mutation);
     }
 }
 
-/// An agent is given an order. That a leader is paused before this, or an order
-/// is on its way to the agent, is the same to it.
-fn relay(state: &mut State, rank: usize, fence: u64, order: RankCommand, planted: Planted) {
-    if passes_agent(&mut state.ranks[rank], fence, planted) {
-        state.relayed.insert((rank, order));
+/// An agent receives a command. Delays before this, because the leader is suspended
+/// or the command is in flight to the agent, make no difference to the agent.
+fn relay(state: &mut State, rank: usize, fence: u64, command: RankCommand, mutation: Mutation) {
+    if agent_accepts_leader(&mut state.ranks[rank], fence, mutation) {
+        state.commands_in_flight.insert((rank, command));
     }
 }
 
-/// The second leader is elected while the first may live on.
-fn take_over(state: &State) -> Option<State> {
-    if state.leaders[1].phase != Phase::Waiting {
+/// The second leader is elected while the first may still be running.
+fn elect_second_leader(state: &State) -> Option<State> {
+    if state.leaders[1].phase != LeaderPhase::Candidate {
         return None;
     }
     let mut after = state.clone();
     after.stored_fence = fence_of(1);
-    after.leaders[1].phase = Phase::Asking;
+    after.leaders[1].phase = LeaderPhase::ContactingAgents;
     Some(after)
 }
 
-fn successors(state: &State, planted: Planted) -> Vec<State> {
+fn next_states(state: &State, mutation: Mutation) -> Vec<State> {
     let mut next = Vec::new();
     next.extend(begin_pass(state));
-    next.extend(form_anew(state));
-    next.extend(take_over(state));
-    next.extend(restart_agents(state, planted));
+    next.extend(reform_group(state));
+    next.extend(elect_second_leader(state));
+    next.extend(restart_agents(state, mutation));
     for leader in 0..state.leaders.len() {
         if matches!(
             state.leaders[leader].phase,
-            Phase::Asking | Phase::Leading(..)
+            LeaderPhase::ContactingAgents | LeaderPhase::Leading(..)
         ) {
-            next.extend((0..RANKS).filter_map(|rank| look(state, leader, rank, planted)));
-            next.extend(act(state, leader, planted));
+            next.extend((0..RANKS).filter_map(|rank| read_report(state, leader, rank, mutation)));
+            next.extend(leader_steps(state, leader, mutation));
         }
     }
-    for (rank, order) in &state.relayed {
+    for (rank, command) in &state.commands_in_flight {
         let mut after = state.clone();
-        execute(&mut after, *rank, order, planted);
+        execute_command(&mut after, *rank, command, mutation);
         next.push(after);
     }
     next
 }
 
-/// What is wrong with a state, if anything.
-fn fault(state: &State) -> Option<&'static str> {
+/// The property that a state violates, if any.
+fn violation(state: &State) -> Option<&'static str> {
     let first = state.ranks[0].version;
     if state.ranks.iter().any(|rank| rank.version != first) {
-        return Some("a pass has two maps");
+        return Some("ranks use different maps in one pass");
     }
     let armed = state.ranks.iter().find_map(|rank| rank.armed)?;
-    let cannot_follow = |rank: &Rank| {
+    let cannot_be_armed = |rank: &RankState| {
         rank.armed != Some(armed)
             && rank.prepared != Some(armed.version)
-            && rank.highest >= armed.version
+            && rank.highest_version >= armed.version
     };
-    let is_stuck = state.ranks.iter().any(cannot_follow);
-    is_stuck.then_some("a hold cannot be resolved")
+    let stays_paused = state.ranks.iter().any(cannot_be_armed);
+    stays_paused.then_some("the group stays paused for ever")
 }
 
-fn fingerprint(state: &State) -> u64 {
+fn state_hash(state: &State) -> u64 {
     let mut hasher = DefaultHasher::new();
     state.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Searches all states; gives the first fault found and how many were seen.
-fn search(planted: Planted, scope: Scope) -> (Option<&'static str>, usize) {
-    // Fingerprints in place of states: millions of these would not fit.
-    let mut seen = HashSet::from([fingerprint(&start(scope))]);
-    let mut open = VecDeque::from([start(scope)]);
-    while let Some(state) = open.pop_front() {
-        if let Some(fault) = fault(&state) {
-            return (Some(fault), seen.len());
+/// Searches all reachable states. Returns the first violation, if any, and the
+/// number of states searched.
+fn search(mutation: Mutation, scope: Scope) -> (Option<&'static str>, usize) {
+    // Stores hashes, as millions of states would not fit in memory.
+    let mut visited = HashSet::from([state_hash(&initial_state(scope))]);
+    let mut queue = VecDeque::from([initial_state(scope)]);
+    while let Some(state) = queue.pop_front() {
+        if let Some(violation) = violation(&state) {
+            return (Some(violation), visited.len());
         }
-        for next in successors(&state, planted) {
-            if seen.insert(fingerprint(&next)) {
-                open.push_back(next);
+        for next in next_states(&state, mutation) {
+            if visited.insert(state_hash(&next)) {
+                queue.push_back(next);
             }
         }
-        assert!(seen.len() < 4_000_000, "the search does not end");
+        assert!(
+            visited.len() < 4_000_000,
+            "the search exceeds 4,000,000 states"
+        );
     }
-    (None, seen.len())
+    (None, visited.len())
 }
 
-fn is_found(planted: Planted) -> bool {
+fn is_detected(mutation: Mutation) -> bool {
     SCOPES
         .iter()
-        .any(|scope| search(planted, *scope).0.is_some())
+        .any(|scope| search(mutation, *scope).0.is_some())
 }
 
 #[test]
-fn no_order_of_events_gives_a_pass_two_maps() {
+fn ranks_use_the_same_map_in_every_pass() {
     for scope in SCOPES {
-        let (fault, states) = search(Planted::Nothing, scope);
+        let (violation, states) = search(Mutation::None, scope);
         println!("{scope:?}: {states} states");
-        assert_eq!(fault, None, "{scope:?}");
+        assert_eq!(violation, None, "{scope:?}");
         assert!(states > 1_000, "only {states} states were searched");
     }
 }
 
-// Symptom: ranks compute a pass with different maps. Sequence: arms go out with
-// the hold, the pass begins before the hold arrives, one arm comes in time.
-// Cause: nothing kept the pass from beginning while ranks were armed.
+// Guards against ranks that use different maps in one pass. This occurs if arm
+// commands are sent together with the pause: the pass begins before the pause
+// arrives, and only one of the arm commands arrives in time.
 #[test]
-fn arming_before_the_hold_is_seen_is_found_out() {
-    assert!(is_found(Planted::ArmsWithoutHold));
+fn arming_before_the_pause_is_reported_is_detected() {
+    assert!(is_detected(Mutation::ArmBeforePauseIsReported));
 }
 
-// Symptom: ranks compute a pass with different maps. Sequence: the hold is
-// released while an arm is still on its way. Cause: release before all armed.
+// Guards against ranks that use different maps in one pass. This occurs if the pause
+// is released before all ranks are armed, while an arm command is still in flight.
 #[test]
-fn releasing_before_all_are_armed_is_found_out() {
-    assert!(is_found(Planted::GoesWithoutArms));
+fn releasing_before_all_ranks_are_armed_is_detected() {
+    assert!(is_detected(Mutation::ReleaseBeforeAllAreArmed));
 }
 
-// Symptom: ranks compute a pass with different maps, or a group is held for
-// ever. Sequence: a paused leader wakes after its successor has begun. Cause:
-// its orders were still relayed.
+// Guards against ranks that use different maps in one pass, or a group that stays
+// paused for ever. This occurs if a suspended leader resumes after its successor has
+// begun, and agents still relay its commands.
 #[test]
-fn agents_without_fencing_numbers_are_found_out() {
-    assert!(is_found(Planted::AgentsKeepNoFence));
+fn missing_fencing_is_detected() {
+    assert!(is_detected(Mutation::NoFencing));
 }
 
-// The same after an agent has started anew. Cause: it knew no fencing number
-// until a leader asked it.
+// Guards against the same failures after an agent has restarted. They occur if the
+// agent has no fencing token until a leader contacts it.
 #[test]
-fn agents_that_forget_their_fencing_number_are_found_out() {
-    assert!(is_found(Planted::AgentsForget));
+fn fencing_token_lost_on_restart_is_detected() {
+    assert!(is_detected(Mutation::FencingTokenLostOnRestart));
 }
 
-// Symptom: an order of a former life of the group takes effect in the next.
-// Sequence: the group forms anew while an arm is on its way. Cause: the order
-// was not bound to its epoch.
+// Guards against a command that takes effect in a later epoch. This occurs if commands
+// are not bound to their epoch, and the group forms again while an arm command is in
+// flight.
 #[test]
-fn orders_that_ignore_epochs_are_found_out() {
-    assert!(is_found(Planted::IgnoresEpochs));
+fn commands_that_ignore_epochs_are_detected() {
+    assert!(is_detected(Mutation::IgnoreEpochs));
 }
 
-// Symptom: one version stands for two maps. Sequence: two leaders issue
-// versions at the same time. Cause: versions that do not contain the fencing
-// number.
+// Guards against one version for two different maps. This occurs if versions do not
+// contain the fencing token, and two leaders issue versions at the same time.
 #[test]
-fn versions_of_two_leaders_never_meet() {
-    let mut former = VersionSource::new(7);
-    let least_of_successor = VersionSource::new(8).issue();
+fn successor_issues_higher_versions() {
+    let mut previous = VersionSource::new(7);
+    let first_of_successor = VersionSource::new(8).issue();
 
     for _ in 0..1_000 {
-        assert!(former.issue() < least_of_successor);
+        assert!(previous.issue() < first_of_successor);
     }
 }
