--- a/crates/groups/src/agent_clients.rs
+++ b/crates/groups/src/agent_clients.rs
@@ -1,7 +1,7 @@
-//! The ways to a group's engines, through the agents beside them.
+//! Clients of the agents beside a group's engines.
 //!
-//! There is no way past the agent: orders given straight to an engine would not
-//! be stopped when another leader has taken over.
+//! All requests to an engine go through its agent. A command sent to the engine directly
+//! would not be rejected after another leader has been elected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,152 +18,156 @@
 
 use crate::counts_window::CountsWindow;
 
-/// Time for an agent's answer. It makes a few calls to the engine beside it,
-/// each of which takes about a millisecond.
+/// Time-out of a request to an agent. The agent makes a few calls to its engine, each of
+/// which takes about a millisecond.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Agents named to one that has no fencing number. One that has read the store is enough;
-/// some may be cut off or have just started too.
+/// Maximum number of peers named to an agent that has no fencing token. One peer that has
+/// read the store is enough, but some may be unreachable or have just started too.
 const MAX_FENCE_PEERS: usize = 3;
 
-/// Agents that are sent a map at once. A map of 192 ranks takes 8 KB, so these take 80
-/// ms of a link of 40 Mbit/s.
-const MAPS_AT_ONCE: usize = 48;
+/// Maximum number of agents that are sent a map at the same time. A map of 192 ranks takes
+/// 8 KB, so this many maps occupy a link of 40 Mbit/s for 80 ms.
+const MAX_CONCURRENT_MAPS: usize = 48;
 
-/// What one reading told of an engine.
-pub(crate) struct Reading {
+/// The result of polling one engine.
+pub(crate) struct PollResult {
     pub(crate) engine: SocketAddr,
-    pub(crate) answer: Answer,
-    /// Whether its counts were asked for and nothing came in time.
+    pub(crate) reply: Answer,
+    /// Whether counts were requested and no reply arrived in time.
     is_late: bool,
     pub(crate) counts: Option<RankCounts>,
 }
 
-/// The agents beside some engines.
-pub(crate) struct Ports {
+/// The clients of the agents beside a set of engines.
+pub(crate) struct AgentClients {
     agent_port: u16,
-    by_engine: IndexMap<SocketAddr, Port>,
-    /// Whose counts are asked for; nobody's where nothing is done with them.
-    counted: Option<CountsWindow>,
+    clients: IndexMap<SocketAddr, AgentClient>,
+    /// Selects the ranks whose counts are requested. `None` if counts are not needed.
+    counts_window: Option<CountsWindow>,
 }
 
-impl Ports {
-    /// No ways yet.
-    pub(crate) fn new(agent_port: u16, counted: Option<CountsWindow>) -> Self {
+impl AgentClients {
+    /// Creates an empty set of clients.
+    pub(crate) fn new(agent_port: u16, counts_window: Option<CountsWindow>) -> Self {
         Self {
             agent_port,
-            counted,
-            by_engine: IndexMap::new(),
+            counts_window,
+            clients: IndexMap::new(),
         }
     }
 
-    /// The ways to these engines, and to no others.
+    /// Adds clients for new engines and removes those of engines not in `engines`.
     pub(crate) fn set(&mut self, engines: &[SocketAddr]) {
-        self.by_engine.retain(|engine, _| engines.contains(engine));
+        self.clients.retain(|engine, _| engines.contains(engine));
         for engine in engines {
-            self.by_engine
+            self.clients
                 .entry(*engine)
-                .or_insert_with(|| Port::new(*engine, self.agent_port));
+                .or_insert_with(|| AgentClient::new(*engine, self.agent_port));
         }
     }
 
-    /// Reads the reports of all engines, and the counts of as many as come in time.
-    pub(crate) async fn read(&mut self, fence: u64) -> Vec<Reading> {
+    /// Polls the reports of all engines, and the counts of those in the counts window.
+    pub(crate) async fn poll(&mut self, fence: u64) -> Vec<PollResult> {
         let fence_peers = self.fence_peers();
-        let ranks = self.by_engine.len();
-        let counted = self.counted;
-        let ports = self.by_engine.iter_mut().enumerate();
-        let readings = ports.map(|(index, (engine, port))| {
+        let ranks = self.clients.len();
+        let counts_window = self.counts_window;
+        let clients = self.clients.iter_mut().enumerate();
+        let results = clients.map(|(index, (engine, client))| {
             let fence_peers = &fence_peers;
-            let with_counts = counted.is_some_and(|counted| counted.includes(index, ranks));
+            let with_counts = counts_window.is_some_and(|window| window.includes(index, ranks));
             async move {
-                let (answer, counts) = port.read(fence, fence_peers, with_counts).await;
-                Reading {
+                let (reply, counts) = client.poll(fence, fence_peers, with_counts).await;
+                PollResult {
                     engine: *engine,
-                    is_late: with_counts && answer.report.is_none(),
-                    answer,
+                    is_late: with_counts && reply.report.is_none(),
+                    reply,
                     counts,
                 }
             }
         });
-        let readings = join_all(readings).await;
-        let late = readings.iter().filter(|reading| reading.is_late).count();
-        if let Some(counted) = &mut self.counted {
-            counted.record_poll(ranks, late);
+        let results = join_all(results).await;
+        let late = results.iter().filter(|result| result.is_late).count();
+        if let Some(counts_window) = &mut self.counts_window {
+            counts_window.record_poll(ranks, late);
         }
-        readings
+        results
     }
 
-    /// Agents that know the fencing number, in random order; none while nobody
-    /// asks for them.
+    /// Agents that know the fencing token, in random order. Empty if no agent lacks the
+    /// token.
     ///
-    /// Agents of one group only: a leader decides nothing in a group before all
-    /// agents of that group have answered it, so each of them that has run since
-    /// knows the number of every leader that acts there. An agent of another
-    /// group may not have heard from the newest leader yet, and one that learnt
-    /// its number there would relay a former leader's orders.
+    /// Only agents of the same group are suitable. A leader makes no decision in a group
+    /// before all its agents have replied, so each agent that has been running since then
+    /// knows the token of every leader that acts in the group. An agent of another group may
+    /// not have received a request of the newest leader yet, and an agent that got its token
+    /// from there would relay commands of a previous leader.
     fn fence_peers(&self) -> Vec<SocketAddr> {
-        let is_asked_for = self.by_engine.values().any(Port::lacks_fence);
-        if !is_asked_for {
+        let is_needed = self.clients.values().any(AgentClient::lacks_fence);
+        if !is_needed {
             return Vec::new();
         }
-        let knowing = self.by_engine.values().filter(|port| !port.lacks_fence());
-        let mut addresses: Vec<SocketAddr> = knowing.map(Port::address).collect();
+        let with_fence = self.clients.values().filter(|client| !client.lacks_fence());
+        let mut addresses: Vec<SocketAddr> = with_fence.map(AgentClient::address).collect();
         addresses.shuffle(&mut rand::rng());
         addresses
     }
 
-    /// Asks the agents of some engines, each its own question.
-    pub(crate) async fn ask(&mut self, questions: Vec<(SocketAddr, Question)>) -> Vec<Answer> {
-        // Each port makes one call at a time, so they are taken out for the
-        // time of the questions.
-        let mut taken: Vec<(SocketAddr, Option<Port>, Question)> = questions
+    /// Sends one request to each of the given agents.
+    pub(crate) async fn request(&mut self, requests: Vec<(SocketAddr, Question)>) -> Vec<Answer> {
+        // A client makes one call at a time, so each is moved out of the map until its
+        // reply arrives.
+        let mut calls: Vec<(SocketAddr, Option<AgentClient>, Question)> = requests
             .into_iter()
-            .map(|(engine, question)| (engine, self.by_engine.swap_remove(&engine), question))
+            .map(|(engine, request)| (engine, self.clients.swap_remove(&engine), request))
             .collect();
-        let carries_maps = taken.iter().any(|(_, _, question)| carries_map(question));
-        let turns = Semaphore::new(if carries_maps {
-            MAPS_AT_ONCE
+        let any_contains_map = calls.iter().any(|(_, _, request)| contains_map(request));
+        let permits = Semaphore::new(if any_contains_map {
+            MAX_CONCURRENT_MAPS
         } else {
             Semaphore::MAX_PERMITS
         });
-        let asked = taken
+        let pending = calls
             .iter_mut()
-            .map(|(_, port, question)| ask_port(port, question, &turns));
-        let answers = join_all(asked).await;
-        for (engine, port, _) in taken {
-            if let Some(port) = port {
-                self.by_engine.insert(engine, port);
+            .map(|(_, client, request)| request_from(client, request, &permits));
+        let replies = join_all(pending).await;
+        for (engine, client, _) in calls {
+            if let Some(client) = client {
+                self.clients.insert(engine, client);
             }
         }
-        answers
+        replies
     }
 }
 
-fn carries_map(question: &Question) -> bool {
-    let mut orders = question.orders.iter();
-    orders.any(|order| matches!(order, RankCommand::Prepare { .. }))
+fn contains_map(request: &Question) -> bool {
+    let mut commands = request.orders.iter();
+    commands.any(|command| matches!(command, RankCommand::Prepare { .. }))
 }
 
-async fn ask_port(port: &mut Option<Port>, question: &Question, turns: &Semaphore) -> Answer {
-    // The turns are never closed, so there is one for each.
-    let _turn = turns.acquire().await;
-    match port {
-        Some(port) => port.ask(question).await,
+async fn request_from(
+    client: &mut Option<AgentClient>,
+    request: &Question,
+    permits: &Semaphore,
+) -> Answer {
+    // The semaphore is never closed, so this cannot fail.
+    let _permit = permits.acquire().await;
+    match client {
+        Some(client) => client.request(request).await,
         None => Answer::default(),
     }
 }
 
-/// The agent beside one engine.
-struct Port {
+/// The client of the agent beside one engine.
+struct AgentClient {
     address: SocketAddr,
     agent: Connection,
     counts: CountsDecoder,
-    /// Whether the agent lacked a fencing number in its last answer.
+    /// Whether the agent had no fencing token when it last replied.
     lacks_fence: bool,
 }
 
-impl Port {
+impl AgentClient {
     fn new(engine: SocketAddr, agent_port: u16) -> Self {
         let address = SocketAddr::new(engine.ip(), agent_port);
         Self {
@@ -174,34 +178,35 @@
         }
     }
 
-    /// Where the agent answers.
+    /// The address of the agent.
     fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether the agent relays no orders for want of a fencing number.
+    /// Whether the agent relays no commands because it has no fencing token.
     fn lacks_fence(&self) -> bool {
         self.lacks_fence
     }
 
-    /// Asks the agent; an answer without a report is none.
-    async fn ask(&mut self, question: &Question) -> Answer {
-        let call = Call::post_compact("/".to_owned(), question, AGENT_TIMEOUT);
+    /// Sends a request to the agent. If the agent does not respond, returns an empty reply,
+    /// which contains no report.
+    async fn request(&mut self, request: &Question) -> Answer {
+        let call = Call::post_compact("/".to_owned(), request, AGENT_TIMEOUT);
         match self.agent.compact::<Answer>(call).await {
-            Ok(answer) => {
-                self.lacks_fence = answer.lacks_fence;
-                answer
+            Ok(reply) => {
+                self.lacks_fence = reply.lacks_fence;
+                reply
             }
             Err(error) => {
-                log::debug!(reason:% = error; "an agent does not answer");
+                log::debug!(reason:% = error; "no reply from an agent");
                 Answer::default()
             }
         }
     }
 
-    /// Asks the agent for the engine's report and counts. `others` are agents
-    /// that may know a fencing number that it lacks.
-    async fn read(
+    /// Requests the engine's report and, if `with_counts` is set, its counts. `others` are
+    /// agents from which the agent can get the fencing token if it has none.
+    async fn poll(
         &mut self,
         fence: u64,
         others: &[SocketAddr],
@@ -209,7 +214,7 @@
     ) -> (Answer, Option<RankCounts>) {
         let is_other = |other: &&SocketAddr| self.lacks_fence && **other != self.address;
         let fence_peers = others.iter().filter(is_other).copied();
-        let question = Question {
+        let request = Question {
             fence,
             counts: if with_counts {
                 self.counts.request()
@@ -219,9 +224,9 @@
             fence_peers: fence_peers.take(MAX_FENCE_PEERS).collect(),
             ..Question::default()
         };
-        let mut answer = self.ask(&question).await;
-        let told = answer.counts.take();
-        let counts = told.and_then(|told| self.counts.decode(told));
-        (answer, counts)
+        let mut reply = self.request(&request).await;
+        let update = reply.counts.take();
+        let counts = update.and_then(|update| self.counts.decode(update));
+        (reply, counts)
     }
 }
--- a/crates/groups/src/candidacy.rs
+++ b/crates/groups/src/candidacy.rs
@@ -1,4 +1,4 @@
-//! Standing for election and leading one service.
+//! Takes part in the elections of one service, and leads its groups whenever elected.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,88 +7,91 @@
 use tokio::time::{sleep, timeout};
 
 use crate::Candidate;
-use crate::election::{Office, Term, stand};
+use crate::election::{LeaderKeys, Term, try_elect};
 use crate::handover::{LeadershipTransfer, TransferResult, transferred_fencing_token};
 use crate::leadership::Leadership;
 use crate::service_loop;
 
-/// Wait before standing for election again while somebody leads; a change of
-/// the leader's key ends it early.
-const STAND_EVERY: Duration = Duration::from_secs(5);
+/// Interval between attempts to be elected while there is another leader. A change of the
+/// leader's key triggers the next attempt earlier.
+const ELECTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait before the store is asked again after it did not answer.
-const STORE_RETRY: Duration = Duration::from_millis(500);
+/// Delay before the next attempt to be elected after the store did not reply.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest wait of a candidate after the leader's key has changed, so that
-/// candidates do not call the store all at once.
-const SPREAD: Duration = Duration::from_millis(100);
+/// Mean of the random delay between a change of the leader's key and a candidate's attempt
+/// to be elected, so that the candidates do not call the store all at once.
+const ELECTION_JITTER: Duration = Duration::from_millis(100);
 
-/// Time for the candidates to get to know each other before the first election.
-/// After all were killed, the former leader's lease has longer to run.
-const MEET_TIME: Duration = Duration::from_millis(400);
+/// Time for the candidates to discover each other before the first election. After a crash
+/// of all candidates, the lease of the previous leader lasts longer than this.
+const DISCOVERY_TIME: Duration = Duration::from_millis(400);
 
-/// Wait of a candidate that knows one with clearly more processor time.
+/// Additional delay of a candidate that knows another one with considerably more processor
+/// time.
 ///
-/// The leader of 72 ranks gets 72 answers at once; on a VM with a sixth of a
-/// processor each round of them took some 20 ms, and a change of maps twice as
-/// long. The wait is longer than a store's answer and the spread of the others.
-const YIELD: Duration = Duration::from_millis(250);
-
-/// Time for which a leader that has made room for a larger one does not do so again.
-/// The larger one may be unable to reach the store, and then somebody has to lead.
-const MAKE_ROOM_EVERY: Duration = Duration::from_secs(20);
-
-/// Wait of a leader that has made room. The larger entry may have started in the same
-/// moment and stands only after [`MEET_TIME`]; a leader that stood again before it would
-/// win, and lead for the rest of [`MAKE_ROOM_EVERY`].
-const ROOM_WAIT: Duration = Duration::from_millis(700);
-
-/// Tries to transfer the leadership, and the wait between two. All that were asked
-/// may be stopping too, while others are only just met; the process lives on for
-/// some three seconds.
-const TRANSFER_TRIES: u32 = 15;
-const TRANSFER_RETRY: Duration = Duration::from_millis(200);
-
-/// Stands for election and leads one service, for as long as the process lives.
-pub(crate) async fn lead(mut candidate: Candidate, service: Arc<str>) {
-    let office = Office {
+/// The leader of a group of 72 ranks receives 72 replies at once. On a VM with a sixth of a
+/// processor, each round of replies took about 20 ms, and a map change took twice as long.
+/// The delay is longer than a call to the store and the jitter of the other candidates.
+const YIELD_DELAY: Duration = Duration::from_millis(250);
+
+/// Minimum time between two resignations in favour of a candidate with more processor time.
+/// If that candidate cannot reach the store, this process has to lead.
+const RESIGNATION_INTERVAL: Duration = Duration::from_secs(20);
+
+/// Delay of a leader's next candidacy after it has resigned. The candidate with more
+/// processor time may have started at the same time, and then takes part only after
+/// [`DISCOVERY_TIME`]. A leader that became a candidate before that would be elected again
+/// and lead for the rest of [`RESIGNATION_INTERVAL`].
+const RESIGNATION_DELAY: Duration = Duration::from_millis(700);
+
+/// Maximum number of attempts to transfer the leadership, and the delay between two. All
+/// candidates known at first may be shutting down too, while others are discovered later.
+/// The process exits about three seconds after it begins to shut down.
+const MAX_TRANSFER_ATTEMPTS: u32 = 15;
+const TRANSFER_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// Takes part in the elections of one service and leads its groups whenever elected, until
+/// the process exits.
+pub(crate) async fn run(mut candidate: Candidate, service: Arc<str>) {
+    let keys = LeaderKeys {
         leader_key: format!("berylhook/leader/{service}").into(),
         service: Arc::clone(&service),
     };
     let mut store = Store::observed(candidate.store, Arc::clone(&candidate.era_observer));
-    let mut served = 0;
-    let mut made_room: Option<Instant> = None;
-    sleep(MEET_TIME).await;
-    yield_to_larger(&candidate).await;
+    let mut last_fence = 0;
+    let mut resigned_at: Option<Instant> = None;
+    sleep(DISCOVERY_TIME).await;
+    yield_to_peer_with_more_cpu(&candidate).await;
     while !*candidate.is_stopping.borrow() {
-        if let Some(fence) = transferred(&mut candidate, &service, served) {
-            served = fence;
-            serve_transferred(&candidate, &service, fence).await;
+        if let Some(fence) = new_transferred_fence(&mut candidate, &service, last_fence) {
+            last_fence = fence;
+            lead_by_transfer(&candidate, &service, fence).await;
             continue;
         }
-        match stand(&mut store, &office, &candidate.name).await {
+        match try_elect(&mut store, &keys, &candidate.name).await {
             Ok(Some(term)) => {
-                served = term.fence;
-                let may_make_room = made_room.is_none_or(|at| at.elapsed() >= MAKE_ROOM_EVERY);
-                serve_term(&candidate, &service, &mut store, term, may_make_room).await;
-                if may_make_room && *candidate.has_peer_with_more_cpu.borrow() {
-                    made_room = Some(Instant::now());
-                    sleep(ROOM_WAIT).await;
+                last_fence = term.fence;
+                let may_resign = resigned_at.is_none_or(|at| at.elapsed() >= RESIGNATION_INTERVAL);
+                lead_term(&candidate, &service, &mut store, term, may_resign).await;
+                if may_resign && *candidate.has_peer_with_more_cpu.borrow() {
+                    resigned_at = Some(Instant::now());
+                    sleep(RESIGNATION_DELAY).await;
                 }
             }
             Ok(None) => {
                 tokio::select! {
-                    _ = timeout(STAND_EVERY, candidate.own_key_changes.changed()) => {
-                        sleep(spread(SPREAD)).await;
-                        yield_to_larger(&candidate).await;
+                    _ = timeout(ELECTION_INTERVAL, candidate.own_key_changes.changed()) => {
+                        sleep(with_jitter(ELECTION_JITTER)).await;
+                        yield_to_peer_with_more_cpu(&candidate).await;
                     }
                     _ = candidate.incoming_transfer.changed() => {}
                 }
             }
             Err(error) => {
-                log::debug!(reason:% = error; "not standing for election");
+                log::debug!(reason:% = error; "election attempt failed; trying again later");
                 tokio::select! {
-                    () = sleep(spread(STORE_RETRY)) => {}
+                    () = sleep(with_jitter(STORE_RETRY_DELAY)) => {}
                     _ = candidate.incoming_transfer.changed() => {}
                 }
             }
@@ -96,50 +99,56 @@
     }
 }
 
-/// The fencing number of a transfer for the service that was not served
-/// yet.
-fn transferred(candidate: &mut Candidate, service: &Arc<str>, served: u64) -> Option<u64> {
+/// The fencing token of a transfer for the service, if this process has not yet led with it.
+fn new_transferred_fence(
+    candidate: &mut Candidate,
+    service: &Arc<str>,
+    last_fence: u64,
+) -> Option<u64> {
     let transfer = candidate.incoming_transfer.borrow_and_update();
-    let for_service = transfer.as_ref().filter(|it| it.service == *service);
-    let fence = for_service.map(|transfer| transfer.fence);
-    fence.filter(|fence| *fence > served)
+    let transfer_of_service = transfer
+        .as_ref()
+        .filter(|transfer| transfer.service == *service);
+    let fence = transfer_of_service.map(|transfer| transfer.fence);
+    fence.filter(|fence| *fence > last_fence)
 }
 
-/// Leads by transfer until a later leader is heard of or the process stops.
-async fn serve_transferred(candidate: &Candidate, service: &Arc<str>, fence: u64) {
+/// Leads by transfer, until an agent reports a later leader or the process shuts down.
+async fn lead_by_transfer(candidate: &Candidate, service: &Arc<str>, fence: u64) {
     let leadership = Leadership::new(candidate, Arc::clone(service), fence);
-    let is_succeeded = run(candidate, leadership, None).await;
+    let is_succeeded = lead(candidate, leadership, None).await;
     if !is_succeeded {
-        hand_over(candidate, service, fence).await;
+        transfer_leadership(candidate, service, fence).await;
     }
 }
 
-/// Transfers the leadership, for want of a store that would elect one.
-async fn hand_over(candidate: &Candidate, service: &Arc<str>, fence: u64) {
+/// Transfers the leadership to another candidate, as the store is unavailable and no leader
+/// can be elected.
+async fn transfer_leadership(candidate: &Candidate, service: &Arc<str>, fence: u64) {
     let Some(next) = transferred_fencing_token(fence) else {
-        log::warn!(service = &**service, fence; "no fencing number is left for a transfer");
+        log::warn!(service = &**service, fence; "leadership not transferred: fencing tokens of this election are used up");
         return;
     };
     let transfer = LeadershipTransfer {
         service: Arc::clone(service),
         fence: next,
     };
-    for _ in 0..TRANSFER_TRIES {
+    for _ in 0..MAX_TRANSFER_ATTEMPTS {
         let result = candidate.successors.transfer(transfer.clone()).await;
-        log::info!(service = &**service, fence, next, result:? = result; "leadership transferred");
+        log::info!(service = &**service, fence, next, result:? = result; "leadership transfer attempted");
         if result != TransferResult::Refused {
             return;
         }
-        sleep(TRANSFER_RETRY).await;
+        sleep(TRANSFER_RETRY_DELAY).await;
     }
 }
 
-/// Leads until a later leader is heard of, the term is over, or the process
-/// stops. Returns whether it was succeeded.
-async fn run(candidate: &Candidate, leadership: Leadership, term: Option<&Term>) -> bool {
+/// Leads until an agent reports a later leader, the term is over, or the process shuts down.
+/// Returns whether there is a later leader.
+async fn lead(candidate: &Candidate, leadership: Leadership, term: Option<&Term>) -> bool {
     let is_elected = term.is_some();
     let fence = leadership.fence;
-    let service = leadership.service();
+    let service = leadership.service_name();
     log::info!(service = &*service, fence, is_elected; "leading the service's groups");
     let leadership = Arc::new(leadership);
     service_loop::run(&leadership, term).await;
@@ -149,37 +158,37 @@
     is_succeeded
 }
 
-async fn yield_to_larger(candidate: &Candidate) {
+async fn yield_to_peer_with_more_cpu(candidate: &Candidate) {
     if *candidate.has_peer_with_more_cpu.borrow() {
-        sleep(YIELD).await;
+        sleep(YIELD_DELAY).await;
     }
 }
 
-/// Leads until the term is over, and gives the office up or on.
-async fn serve_term(
+/// Leads until the term is over, then ends the lease or transfers the leadership.
+async fn lead_term(
     candidate: &Candidate,
     service: &Arc<str>,
     store: &mut Store,
     term: Term,
-    may_make_room: bool,
+    may_resign: bool,
 ) {
     let fence = term.fence;
     let mut leadership = Leadership::new(candidate, Arc::clone(service), fence);
-    leadership.may_make_room = may_make_room;
-    let is_succeeded = run(candidate, leadership, Some(&term)).await;
-    let hands_over = !is_succeeded && !term.is_over();
-    if hands_over && !term.store_answers() {
-        hand_over(candidate, service, fence).await;
-        term.close(store).await;
+    leadership.may_resign = may_resign;
+    let is_succeeded = lead(candidate, leadership, Some(&term)).await;
+    let must_transfer = !is_succeeded && !term.is_over();
+    if must_transfer && !term.is_store_reachable() {
+        transfer_leadership(candidate, service, fence).await;
+        term.end(store).await;
         return;
     }
-    let is_taken_back = term.close(store).await;
-    if hands_over && !is_taken_back {
-        hand_over(candidate, service, fence).await;
+    let is_lease_ended = term.end(store).await;
+    if must_transfer && !is_lease_ended {
+        transfer_leadership(candidate, service, fence).await;
     }
 }
 
-/// Between half and one and a half of `wait`.
-fn spread(wait: Duration) -> Duration {
-    wait.mul_f64(0.5 + rand::random::<f64>())
+/// Returns a random duration between 0.5 and 1.5 times `mean`.
+fn with_jitter(mean: Duration) -> Duration {
+    mean.mul_f64(0.5 + rand::random::<f64>())
 }
--- a/crates/groups/src/counts_window.rs
+++ b/crates/groups/src/counts_window.rs
@@ -1,68 +1,75 @@
-//! Whose counts a leader asks for in one reading.
+//! Chooses the ranks whose counts a leader requests in one poll.
 //!
-//! All ranks', if the leader's link and processor carry the answers; otherwise as many
-//! as come in time, by turns. Counts tell what was chosen since the last time, so a rank
-//! whose turn comes late tells no less, only later.
+//! The leader requests the counts of all ranks if its link and processor can handle the
+//! replies in time, and of as many as possible in rotation otherwise. Counts are
+//! cumulative, so polling a rank less often loses no information.
 
-/// Numbers of counts asked for in a leader's first reading, over all ranks. Whole
-/// counts take a byte or two a number, so this takes some 40 ms of a link of 40
-/// Mbit/s, well within the time for an answer.
+/// Number of counters requested in a leader's first poll, over all ranks. A full set of
+/// counts takes one or two bytes per counter, so this occupies a link of 40 Mbit/s for
+/// about 40 ms, well within the time-out of a reply.
 ///
-/// A leader of 192 ranks that asked all of them at once, each for 3,840 numbers, got
-/// none within that time on such a link, asked for all of them anew, and changed no map
-/// for the twenty seconds that it led.
-const FIRST_NUMBERS: usize = 100_000;
+/// A leader of 192 ranks that requested 3,840 counters from all of them at once received
+/// none in time over such a link, repeated the same request, and changed no map in the
+/// twenty seconds of its term.
+const INITIAL_COUNTERS: usize = 100_000;
 
-/// Fewest ranks whose counts a reading asks for.
-const LEAST_COUNTED: usize = 8;
+/// Minimum number of ranks whose counts a poll requests.
+const MIN_RANKS: usize = 8;
 
-/// Of the ranks asked for counts, the part that may be late without fewer being asked
-/// the next time: an agent that is gone is no sign of a full link.
-const LATE_PART: f64 = 0.1;
+/// Fraction of the requested counts that may be late without shrinking the window. An
+/// agent that has exited does not indicate a saturated link.
+const MAX_LATE_FRACTION: f64 = 0.1;
 
-/// A careful step asks for this part more than the last one: doubling would ask for too
-/// much each second time.
-const CAREFUL_STEPS: usize = 8;
+/// After the first poll with too many late replies, the window grows by its size divided by
+/// this number with each poll. Doubling would request too much in every second poll.
+const GROWTH_DIVISOR: usize = 8;
 
-/// How many ranks a reading asks for their counts.
+/// Window over the ranks whose counts are requested in a poll. It moves on by its size with
+/// each poll, and grows or shrinks with the number of late replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CountsWindow {
-    most: usize,
+    size: usize,
     first: usize,
-    /// Whether a reading has asked for too much; from then on small steps lead up.
-    is_careful: bool,
+    /// Whether the window was too large before. It doubles with each poll until then, and
+    /// grows by a fraction of its size afterwards.
+    has_been_too_large: bool,
 }
 
 impl CountsWindow {
-    /// For counts of that many numbers a rank.
+    /// Creates the window for ranks with this number of counters each.
     #[must_use]
-    pub fn new(numbers: usize) -> Self {
+    pub fn new(counters_per_rank: usize) -> Self {
         Self {
-            most: (FIRST_NUMBERS / numbers.max(1)).max(LEAST_COUNTED),
+            size: (INITIAL_COUNTERS / counters_per_rank.max(1)).max(MIN_RANKS),
             first: 0,
-            is_careful: false,
+            has_been_too_large: false,
         }
     }
 
-    /// Whether the rank's turn is now, as one of `ranks`.
+    /// Whether the next poll requests the counts of `rank`, in a group of `ranks` ranks.
     #[must_use]
     pub fn includes(&self, rank: usize, ranks: usize) -> bool {
-        (rank + ranks - self.first % ranks.max(1)) % ranks.max(1) < self.most
+        (rank + ranks - self.first % ranks.max(1)) % ranks.max(1) < self.size
     }
 
-    /// A reading of `ranks` is over; of those asked for counts, `late` gave none.
+    /// Records the result of a poll of `ranks` ranks, of which `late` did not reply in time
+    /// to the request for counts.
     pub fn record_poll(&mut self, ranks: usize, late: usize) {
-        let asked = self.most.min(ranks);
-        self.first = (self.first + asked) % ranks.max(1);
-        #[allow(clippy::cast_precision_loss)] // hundreds
-        let is_full = late as f64 > asked as f64 * LATE_PART;
-        self.is_careful |= is_full;
-        let step = if self.is_careful {
-            asked.div_ceil(CAREFUL_STEPS)
+        let requested = self.size.min(ranks);
+        self.first = (self.first + requested) % ranks.max(1);
+        #[allow(clippy::cast_precision_loss)] // hundreds of ranks
+        let is_too_large = late as f64 > requested as f64 * MAX_LATE_FRACTION;
+        self.has_been_too_large |= is_too_large;
+        let growth = if self.has_been_too_large {
+            requested.div_ceil(GROWTH_DIVISOR)
         } else {
-            asked
+            requested
         };
-        let most = if is_full { asked / 2 } else { asked + step };
-        self.most = most.clamp(LEAST_COUNTED, ranks.max(LEAST_COUNTED));
+        let size = if is_too_large {
+            requested / 2
+        } else {
+            requested + growth
+        };
+        self.size = size.clamp(MIN_RANKS, ranks.max(MIN_RANKS));
     }
 }
--- a/crates/groups/src/election.rs
+++ b/crates/groups/src/election.rs
@@ -1,9 +1,10 @@
-//! Who leads: the process whose lease holds the leader's key.
+//! Leader election: the leader is the process whose lease is bound to the leader's key in
+//! the store.
 //!
-//! Whoever holds the key takes the next fencing number, which the store keeps: every
-//! leader that is elected later has a higher one, also after the store was restored from
-//! an older copy. A restore ends all leases, so it ends the term too; a leader that has
-//! not heard of it goes on until the agents name its successor.
+//! The process that has written the key takes the next fencing token and writes it to the
+//! store. Every leader that is elected later has a higher token, even after the store was
+//! restored from an older copy. A restore ends all leases and with them the term. A leader
+//! that does not know of the restore continues until an agent reports its successor.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -18,16 +19,17 @@
 
 use crate::handover::elected_fencing_token;
 
-/// Time to live of a leader's lease. Nobody adapts the maps until it has run
-/// out, which on a shift costs every caller; the platform grants no shorter one
-/// than a second. A leader that loses it in a slow moment is elected again.
-const TTL_MS: u64 = 1_200;
+/// Time to live of the leader's lease. After a crash of the leader, maps are not adapted
+/// until the lease has expired, and a shift of demand in this time slows all callers down.
+/// The platform grants no lease shorter than a second. A leader that loses its lease because
+/// of a short delay is elected again.
+const LEASE_TTL_MS: u64 = 1_200;
 
-/// Time between two looks at whether a renewal is due.
-const RENEW_CHECK: Duration = Duration::from_millis(100);
+/// Interval between checks whether the lease has to be renewed.
+const RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Wait after a renewal that the store did not answer.
-const RENEW_RETRY: Duration = Duration::from_millis(400);
+/// Delay before the next attempt to renew the lease after the store did not reply.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// A monotonic clock.
 #[derive(Clone, Copy)]
@@ -43,67 +45,65 @@
     }
 }
 
-/// One term of office.
+/// The term of an elected leader, which lasts as long as its lease.
 pub(crate) struct Term {
-    /// Higher than that of every earlier leader.
+    /// The fencing token. Higher than that of every earlier leader.
     pub(crate) fence: u64,
     lease: Lease,
     is_over: Arc<AtomicBool>,
-    /// Whether the store has answered the last renewal.
-    store_answers: Arc<AtomicBool>,
+    /// Whether the store has replied to the last renewal.
+    is_store_reachable: Arc<AtomicBool>,
     renewal: JoinHandle<()>,
 }
 
 impl Term {
-    /// Whether the store has said that the term is over.
+    /// Whether the store has reported that the lease has ended.
     ///
-    /// A store that says nothing ends no term: nobody else can be elected
-    /// without it, and where it serves others, the agents tell a leader that it
-    /// has been succeeded.
+    /// The term does not end if the store is unreachable. If it is unreachable for all
+    /// candidates, no other leader can be elected. Otherwise an agent reports the successor.
     pub(crate) fn is_over(&self) -> bool {
         self.is_over.load(Ordering::Relaxed)
     }
 
-    /// Whether the store has answered the last renewal.
-    pub(crate) fn store_answers(&self) -> bool {
-        self.store_answers.load(Ordering::Relaxed)
+    /// Whether the store has replied to the last renewal.
+    pub(crate) fn is_store_reachable(&self) -> bool {
+        self.is_store_reachable.load(Ordering::Relaxed)
     }
 
-    /// Ends the term and gives the office up, so that the next leader need not
-    /// wait for the lease to run out. Returns whether the store has taken it
-    /// back.
-    pub(crate) async fn close(self, store: &mut Store) -> bool {
+    /// Ends the term and the lease, so that the next election need not wait until the lease
+    /// has expired. Returns whether the lease has ended in the store.
+    pub(crate) async fn end(self, store: &mut Store) -> bool {
         self.renewal.abort();
         if self.is_over() {
-            // The lease has ended, and its number may be another lease's by now.
+            // The lease has ended, and its id may already be reused by another lease.
             return true;
         }
         let ended = store.end(self.lease).await;
         if let Err(error) = &ended {
-            log::info!(reason:% = error; "the leader's lease runs out by itself");
+            log::info!(reason:% = error; "the leader's lease was not ended; it will expire");
         }
         ended.is_ok()
     }
 }
 
-/// The keys of an office.
-pub(crate) struct Office {
-    /// Who holds it; ends with the holder's lease.
+/// The keys of one service's leader in the store.
+pub(crate) struct LeaderKeys {
+    /// The key that names the leader. Bound to the leader's lease.
     pub(crate) leader_key: Arc<str>,
-    /// The service whose groups its holder leads.
+    /// The service, which determines the key of the fencing token.
     pub(crate) service: Arc<str>,
 }
 
-/// Takes office if nobody holds it; `None` if somebody does.
-pub(crate) async fn stand(
+/// Tries to become the leader. Returns `None` if there is another leader.
+pub(crate) async fn try_elect(
     store: &mut Store,
-    office: &Office,
+    keys: &LeaderKeys,
     name: &str,
 ) -> Result<Option<Term>, StoreError> {
-    let key = &office.leader_key;
+    let key = &keys.leader_key;
     match store.item(key).await? {
-        Some(item) if is_leftover(&item.value, name) => {
-            log::info!(key = &**key; "a key of a candidacy that failed is removed");
+        Some(item) if is_from_failed_candidacy(&item.value, name) => {
+            log::info!(key = &**key; "removing the leader's key of a failed candidacy");
             store.remove(key, item.position).await?;
         }
         Some(_) => return Ok(None),
@@ -111,85 +111,90 @@
     }
     let clock = Clock::start();
     let sent_ms = clock.now_ms();
-    let lease = store.grant(TTL_MS).await?;
-    let token = format!("{name} {:016x} {:016x}", process(), rand::random::<u64>());
+    let lease = store.grant(LEASE_TTL_MS).await?;
+    let key_value = format!(
+        "{name} {:016x} {:016x}",
+        process_id(),
+        rand::random::<u64>()
+    );
     let put = Put {
         key: Arc::clone(key),
-        value: token.clone().into_bytes(),
+        value: key_value.clone().into_bytes(),
         expected: None,
         lease: Some(lease),
     };
     match store.commit(&[put]).await {
         Ok(_) => {}
         Err(StoreError::Conflict) => return Ok(None),
-        // The answer is lost; the key tells who won.
+        // The reply was lost. The key's value tells whether it was written.
         Err(StoreError::Call(_)) => match store.item(key).await? {
-            Some(item) if item.value == token.as_bytes() => {}
+            Some(item) if item.value == key_value.as_bytes() => {}
             _ => return Ok(None),
         },
         Err(error) => return Err(error),
     }
-    let held = HeldLease::granted(lease.ttl_ms, sent_ms);
+    let held_lease = HeldLease::granted(lease.ttl_ms, sent_ms);
     let is_over = Arc::new(AtomicBool::new(false));
-    let store_answers = Arc::new(AtomicBool::new(true));
+    let is_store_reachable = Arc::new(AtomicBool::new(true));
     let renewal = Renewal {
         store: store.another(),
         clock,
         lease,
-        held,
+        held_lease,
         is_over: Arc::clone(&is_over),
-        store_answers: Arc::clone(&store_answers),
+        is_store_reachable: Arc::clone(&is_store_reachable),
     };
     let mut term = Term {
         fence: 0,
         lease,
         is_over,
-        store_answers,
+        is_store_reachable,
         renewal: tokio::spawn(renewal.run()),
     };
-    let taken = take_fence(store, &fence_key(&office.service, lease.era), lease.era).await;
-    match taken {
+    let result = claim_fencing_token(store, &fence_key(&keys.service, lease.era), lease.era).await;
+    match result {
         Ok(Some(fence)) => {
             term.fence = fence;
             Ok(Some(term))
         }
-        taken => {
-            term.close(store).await;
-            taken.map(|_| None)
+        result => {
+            term.end(store).await;
+            result.map(|_| None)
         }
     }
 }
 
-/// Names this process in the tokens of its candidacies, also to one that succeeds it.
-fn process() -> u64 {
-    static PROCESS: OnceLock<u64> = OnceLock::new();
-    *PROCESS.get_or_init(rand::random)
+/// A random id of this process, which is part of the value that it writes to the leader's key.
+fn process_id() -> u64 {
+    static PROCESS_ID: OnceLock<u64> = OnceLock::new();
+    *PROCESS_ID.get_or_init(rand::random)
 }
 
-/// Whether the leader's key was written by a candidacy of this process, which holds no
-/// office.
+/// Whether the leader's key was written by an earlier candidacy of this process, which is not
+/// the leader.
 ///
-/// A write that crosses a restore may be bound to another process's lease, which had its
-/// number given out again; the key would stay for as long as that one is renewed.
-fn is_leftover(token: &[u8], name: &str) -> bool {
-    token.starts_with(format!("{name} {:016x} ", process()).as_bytes())
+/// If the store is restored during a candidacy, the key can be bound to the lease of another
+/// process that got the same lease id after the restore. It would then last for as long as
+/// that process renews its lease.
+fn is_from_failed_candidacy(key_value: &[u8], name: &str) -> bool {
+    key_value.starts_with(format!("{name} {:016x} ", process_id()).as_bytes())
 }
 
-/// Takes the next fencing number and leaves it in the store, for agents that start;
-/// `None` if another leader took it first.
+/// Takes the next fencing token and writes it to the store, from which agents read it on
+/// startup. Returns `None` if another leader took it first.
 ///
 /// # Errors
 ///
-/// If the store did not answer, or was restored since the election; nothing may be ordered
-/// then.
-async fn take_fence(
+/// If the store did not reply, or was restored since the election. The process must not send
+/// commands in this case.
+async fn claim_fencing_token(
     store: &mut Store,
     key: &Arc<str>,
     era: u64,
 ) -> Result<Option<u64>, StoreError> {
     let item = store.item(key).await?;
-    let kept = item.as_ref().map_or(0, |item| fence_number(&item.value));
-    let fence = elected_fencing_token(era, kept);
+    let stored = item.as_ref().map_or(0, |item| fence_number(&item.value));
+    let fence = elected_fencing_token(era, stored);
     let put = Put {
         key: Arc::clone(key),
         value: fence.to_string().into_bytes(),
@@ -204,29 +209,30 @@
     }
 }
 
-/// Renews a lease until it has ended.
+/// Renews the leader's lease until it has ended.
 struct Renewal {
     store: Store,
     clock: Clock,
     lease: Lease,
-    held: HeldLease,
+    held_lease: HeldLease,
     is_over: Arc<AtomicBool>,
-    store_answers: Arc<AtomicBool>,
+    is_store_reachable: Arc<AtomicBool>,
 }
 
 impl Renewal {
     async fn run(mut self) {
         loop {
-            sleep(RENEW_CHECK).await;
+            sleep(RENEWAL_CHECK_INTERVAL).await;
             let sent_ms = self.clock.now_ms();
-            if !self.held.should_renew(sent_ms) {
+            if !self.held_lease.should_renew(sent_ms) {
                 continue;
             }
             let renewed = self.store.renew(self.lease).await;
-            let answers = matches!(renewed, Ok(_) | Err(StoreError::LeaseGone));
-            self.store_answers.store(answers, Ordering::Relaxed);
+            let is_reachable = matches!(renewed, Ok(_) | Err(StoreError::LeaseGone));
+            self.is_store_reachable
+                .store(is_reachable, Ordering::Relaxed);
             match renewed {
-                Ok(_) => self.held.on_renewed(sent_ms),
+                Ok(_) => self.held_lease.on_renewed(sent_ms),
                 Err(StoreError::LeaseGone) => {
                     log::warn!(lease = self.lease.id; "the leader's lease has ended");
                     self.is_over.store(true, Ordering::Relaxed);
@@ -234,7 +240,7 @@
                 }
                 Err(error) => {
                     log::warn!(reason:% = error; "the leader's lease was not renewed");
-                    sleep(RENEW_RETRY).await;
+                    sleep(RENEWAL_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/groups/src/group_loop.rs
+++ b/crates/groups/src/group_loop.rs
@@ -1,5 +1,5 @@
-//! One group's loop: reading its ranks, planning a map, and having it carried
-//! into force.
+//! The loop of one group, which polls the ranks, plans a new map, and switches the group to
+//! it if it reduces the skew enough.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,94 +15,97 @@
 use berylhook_traffic::engine_update::Slowdown;
 use tokio::time::sleep;
 
-use crate::agent_clients::Ports;
+use crate::agent_clients::AgentClients;
 use crate::counts_window::CountsWindow;
 use crate::leadership::Leadership;
 
-/// Time between two readings of the counts: about a pass. A shift of demand is
-/// seen at the first reading after it.
-pub(crate) const READ_EVERY: Duration = Duration::from_millis(60);
+/// Interval between two polls, which is about the duration of a pass. The first poll after a
+/// shift of demand shows the shift.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Time between two log lines about readings that lack ranks.
-const TELL_PARTIAL_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines about polls without a report of every rank.
+const PARTIAL_POLL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of the skew that a new map has to save.
+/// Minimum reduction of the skew by a new map, as a fraction of the present skew.
 ///
-/// Copying makes passes a seventh longer for a tenth of a second; what is
-/// gained lasts for seconds. Smaller gains are lost in the noise of readings.
-const LEAST_GAIN: f64 = 0.12;
+/// Copying experts makes passes a seventh longer for a tenth of a second, while the benefit
+/// lasts for seconds. Smaller reductions cannot be told from noise in the polls.
+const MIN_GAIN: f64 = 0.12;
 
-/// Longest time that copies are taken to need, whatever an operator's
-/// description of the engines makes of it.
-const MOST_COPY_MS: f64 = 1_000.0;
+/// Upper limit on the estimated copy time, in case the operator's configuration of the
+/// engines leads to an unrealistic value.
+const MAX_COPY_MS: f64 = 1_000.0;
 
-/// A pace that differs by less from the usual one is left out.
-const USUAL_PACE: f64 = 1.15;
+/// Slowdown up to which an engine counts as having the usual speed. It is not published.
+const MAX_USUAL_SLOWDOWN: f64 = 1.15;
 
-/// A rank's engine.
+/// The engine of a rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RankEngine {
     address: SocketAddr,
-    pace: Slowdown,
+    slowdown: Slowdown,
 }
 
-/// What is known of a group's present life, from its forming to its break.
+/// What the leader knows of the group in its current epoch.
 #[derive(Default)]
-pub(crate) struct Life {
-    /// The map in use, and its epoch and version.
+pub(crate) struct EpochState {
+    /// The map in use, with its epoch and version.
     pub(crate) map: Option<(Epoch, MapVersion, ExpertMap)>,
-    /// The newest version that this leader has had prepared; 0 for none.
+    /// The newest version for which this leader has sent prepare commands, or 0.
     pub(crate) newest: MapVersion,
-    /// A hold that was ordered and not seen yet.
-    pub(crate) pending_hold: Option<PendingHold>,
+    /// A pause command that no report has confirmed yet.
+    pub(crate) pending_pause: Option<PendingPause>,
 }
 
-/// A hold that may still arrive.
+/// A pause command that may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct PendingHold {
+pub(crate) struct PendingPause {
     pub(crate) epoch: Epoch,
     pub(crate) pass: Pass,
-    /// The rank that it was ordered of.
+    /// The rank to which the command was sent.
     pub(crate) rank: usize,
 }
 
-/// A group as its leader sees it.
+/// The state of one group at its leader.
 pub(crate) struct GroupLoop {
     pub(crate) leadership: Arc<Leadership>,
     pub(crate) name: Arc<str>,
-    pub(crate) life: Life,
-    ports: Ports,
-    /// The ranks' engines, once all have been seen.
+    pub(crate) epoch_state: EpochState,
+    clients: AgentClients,
+    /// The engine of each rank. Empty until all have been polled.
     ranks: Vec<RankEngine>,
     tracker: Option<DemandTracker>,
-    /// Whether every agent has answered this leader: what was read before may
-    /// have been changed by a former one since.
+    /// Whether every agent has replied to this leader. Before that, a previous leader may
+    /// still change the state that this one has polled.
     has_all_agents: bool,
-    /// When a reading that lacked ranks was last logged.
-    told_partial: Option<Instant>,
-    /// When a switch was last put off, since orders went unanswered.
-    pub(crate) orders_failed: Option<Instant>,
+    /// When a poll without a report of every rank was last logged.
+    partial_poll_logged_at: Option<Instant>,
+    /// When a switch was last cancelled because ranks did not reply to commands.
+    pub(crate) commands_unanswered_at: Option<Instant>,
 }
 
 impl GroupLoop {
     pub(crate) fn new(leadership: Arc<Leadership>, name: Arc<str>) -> Self {
-        let model = leadership.members().map(|members| members.model);
-        let numbers = model.map_or(0, |model| model.layer_sets * model.experts);
-        let ports = Ports::new(leadership.agent_port(), Some(CountsWindow::new(numbers)));
+        let model = leadership.expert_service().map(|service| service.model);
+        let counters_per_rank = model.map_or(0, |model| model.layer_sets * model.experts);
+        let clients = AgentClients::new(
+            leadership.agent_port(),
+            Some(CountsWindow::new(counters_per_rank)),
+        );
         Self {
             leadership,
             name,
-            life: Life::default(),
-            ports,
+            epoch_state: EpochState::default(),
+            clients,
             ranks: Vec::new(),
             tracker: None,
             has_all_agents: false,
-            told_partial: None,
-            orders_failed: None,
+            partial_poll_logged_at: None,
+            commands_unanswered_at: None,
         }
     }
 
-    /// Runs until the group has no engines any more.
+    /// Runs until the group has no engines left.
     pub(crate) async fn run(mut self) {
         loop {
             let began = Instant::now();
@@ -110,36 +113,36 @@
             if engines.is_empty() {
                 break;
             }
-            if let Some(members) = self.leadership.members() {
-                self.ports.set(&engines);
-                let reports = self.read(&members.model).await;
-                self.balance(&reports, &members.model).await;
+            if let Some(service) = self.leadership.expert_service() {
+                self.clients.set(&engines);
+                let reports = self.poll(&service.model).await;
+                self.balance(&reports, &service.model).await;
             }
-            sleep(READ_EVERY.saturating_sub(began.elapsed())).await;
+            sleep(POLL_INTERVAL.saturating_sub(began.elapsed())).await;
         }
-        log::info!(group = &*self.name; "the group has no engines any more");
-        self.leadership.forget_group(&self.name);
+        log::info!(group = &*self.name; "the group has no engines left");
+        self.leadership.remove_group(&self.name);
     }
 
-    /// Ranks of the group, once all have been seen.
+    /// Number of ranks in the group, or 0 until all have been polled.
     pub(crate) fn rank_count(&self) -> usize {
         self.ranks.len()
     }
 
-    /// Reads all engines; gives the reports by rank.
-    async fn read(&mut self, model: &ExpertModel) -> Vec<Option<RankReport>> {
-        let readings = self.ports.read(self.leadership.fence).await;
-        let answers = readings.iter().map(|reading| &reading.answer);
-        self.leadership.heed_fences(answers);
+    /// Polls all engines. Returns the reports by rank.
+    async fn poll(&mut self, model: &ExpertModel) -> Vec<Option<RankReport>> {
+        let results = self.clients.poll(self.leadership.fence).await;
+        let replies = results.iter().map(|result| &result.reply);
+        self.leadership.check_fences(replies);
         let mut reports: Vec<Option<RankReport>> = Vec::new();
         let mut counts: Vec<Option<RankCounts>> = Vec::new();
         let mut ranks: Vec<Option<RankEngine>> = Vec::new();
-        for reading in readings {
-            let Some(report) = reading.answer.report else {
+        for result in results {
+            let Some(report) = result.reply.report else {
                 continue;
             };
             if report.group != *self.name {
-                self.leadership.assign(reading.engine, &report.group);
+                self.leadership.assign(result.engine, &report.group);
                 continue;
             }
             let (rank, size) = (report.rank, report.size);
@@ -148,16 +151,16 @@
                 counts.resize(size, None);
                 ranks.resize(size, None);
             }
-            ranks[rank] = Some(rank_engine(reading.engine, &report));
+            ranks[rank] = Some(rank_engine(result.engine, &report));
             reports[rank] = Some(report);
-            counts[rank] = reading.counts;
+            counts[rank] = result.counts;
         }
         let mut answered = reports.iter().flatten().peekable();
         if answered.peek().is_some() {
-            let is_open = answered.all(|report| report.is_group_running);
-            self.leadership.publish_group(&self.name, is_open);
+            let is_running = answered.all(|report| report.is_group_running);
+            self.leadership.publish_group(&self.name, is_running);
         }
-        self.take_ranks(ranks);
+        self.update_ranks(ranks);
         let tracker = self
             .tracker
             .get_or_insert_with(|| DemandTracker::new(model.layer_sets, model.experts));
@@ -165,148 +168,157 @@
         reports
     }
 
-    /// Takes in who is which rank. An engine that has started anew ends the
-    /// group's life: it holds no map, and no hold that was ordered before.
-    fn take_ranks(&mut self, ranks: Vec<Option<RankEngine>>) {
-        let whole: Option<Vec<RankEngine>> = ranks.into_iter().collect();
-        let Some(ranks) = whole.filter(|ranks| !ranks.is_empty()) else {
+    /// Updates the engine of each rank. A restart of an engine ends the epoch of the group,
+    /// as the engine has lost its map and any pause.
+    fn update_ranks(&mut self, ranks: Vec<Option<RankEngine>>) {
+        let complete: Option<Vec<RankEngine>> = ranks.into_iter().collect();
+        let Some(ranks) = complete.filter(|ranks| !ranks.is_empty()) else {
             return;
         };
-        let starts = |ranks: &[RankEngine]| -> Vec<Option<u64>> {
-            ranks.iter().map(|rank| rank.pace.started_unix_ms).collect()
+        let start_times = |ranks: &[RankEngine]| -> Vec<Option<u64>> {
+            ranks
+                .iter()
+                .map(|rank| rank.slowdown.started_unix_ms)
+                .collect()
         };
-        if starts(&ranks) != starts(&self.ranks) {
-            self.life = Life {
-                newest: self.life.newest,
-                ..Life::default()
+        if start_times(&ranks) != start_times(&self.ranks) {
+            self.epoch_state = EpochState {
+                newest: self.epoch_state.newest,
+                ..EpochState::default()
             };
         }
-        let slow = ranks.iter().filter(|rank| rank.pace.factor > USUAL_PACE);
-        let slow = slow.map(|rank| (rank.address, rank.pace)).collect();
-        self.leadership.publish_paces(&self.name, slow);
+        let slow_engines = ranks
+            .iter()
+            .filter(|rank| rank.slowdown.factor > MAX_USUAL_SLOWDOWN);
+        let slow_engines = slow_engines
+            .map(|rank| (rank.address, rank.slowdown))
+            .collect();
+        self.leadership
+            .publish_slow_engines(&self.name, slow_engines);
         self.ranks = ranks;
     }
 
-    /// Asks the agents of some ranks; `question` says what by rank.
-    pub(crate) async fn ask(
+    /// Sends requests to the agents of some ranks. `request` returns the request for a rank.
+    pub(crate) async fn request(
         &mut self,
         ranks: &[usize],
-        question: impl Fn(usize) -> Question,
+        request: impl Fn(usize) -> Question,
     ) -> Vec<Answer> {
         let fence = self.leadership.fence;
-        let questions = ranks.iter().map(|rank| {
-            let question = Question {
+        let requests = ranks.iter().map(|rank| {
+            let request = Question {
                 fence,
-                ..question(*rank)
+                ..request(*rank)
             };
-            (self.ranks[*rank].address, question)
+            (self.ranks[*rank].address, request)
         });
-        let questions = questions.collect();
-        let answers = self.ports.ask(questions).await;
-        self.leadership.heed_fences(answers.iter());
-        answers
+        let requests = requests.collect();
+        let replies = self.clients.request(requests).await;
+        self.leadership.check_fences(replies.iter());
+        replies
     }
 
-    /// Asks the agents of all ranks.
-    pub(crate) async fn ask_all(&mut self, question: impl Fn(usize) -> Question) -> Vec<Answer> {
+    /// Sends requests to the agents of all ranks.
+    pub(crate) async fn request_all(&mut self, request: impl Fn(usize) -> Question) -> Vec<Answer> {
         let all: Vec<usize> = (0..self.rank_count()).collect();
-        self.ask(&all, question).await
+        self.request(&all, request).await
     }
 
-    /// Goes on with what is under way, or changes the map if a better one pays.
+    /// Continues a switch in progress, or starts one if a new map reduces the skew enough.
     async fn balance(&mut self, reports: &[Option<RankReport>], model: &ExpertModel) {
-        let is_whole = !reports.is_empty() && reports.iter().all(Option::is_some);
-        if !is_whole {
-            self.tell_partial(reports);
+        let is_complete = !reports.is_empty() && reports.iter().all(Option::is_some);
+        if !is_complete {
+            self.log_partial_poll(reports);
         }
         if !self.has_all_agents {
-            self.has_all_agents = is_whole;
+            self.has_all_agents = is_complete;
             return;
         }
-        match next_step(reports, self.life.newest) {
+        match next_step(reports, self.epoch_state.newest) {
             SwitchStep::Wait => {}
             SwitchStep::SendCommands(_) | SwitchStep::PrepareNewVersion { .. } => {
-                self.resolve(None).await;
+                self.advance_switch(None).await;
             }
-            SwitchStep::Idle { epoch, .. } if self.awaits_hold(epoch, reports) => {
-                self.finish_hold().await;
+            SwitchStep::Idle { epoch, .. } if self.is_pause_pending(epoch, reports) => {
+                self.resume_pending_pause().await;
             }
-            SwitchStep::Idle { .. } if self.have_orders_failed() => {}
+            SwitchStep::Idle { .. } if self.were_commands_unanswered() => {}
             SwitchStep::Idle { epoch, version } => {
-                let state = (epoch, version);
-                if !self.knows_map(state) && !self.learn_map(state).await {
+                let version_in_use = (epoch, version);
+                if !self.is_map_known(version_in_use) && !self.fetch_map(version_in_use).await {
                     return;
                 }
-                if let Some(adapted) = self.plan(model) {
+                if let Some(adapted) = self.plan_map(model) {
                     self.switch(epoch, adapted).await;
                 }
             }
         }
     }
 
-    /// Logs that ranks are missing from a reading: no map of the group changes before
-    /// all of them answer.
-    fn tell_partial(&mut self, reports: &[Option<RankReport>]) {
+    /// Logs that reports are missing from a poll. The map of the group does not change until
+    /// all ranks reply.
+    fn log_partial_poll(&mut self, reports: &[Option<RankReport>]) {
         let is_due = self
-            .told_partial
-            .is_none_or(|at| at.elapsed() >= TELL_PARTIAL_EVERY);
+            .partial_poll_logged_at
+            .is_none_or(|at| at.elapsed() >= PARTIAL_POLL_LOG_INTERVAL);
         if !is_due {
             return;
         }
-        self.told_partial = Some(Instant::now());
+        self.partial_poll_logged_at = Some(Instant::now());
         let answered = reports.iter().flatten().count();
         let ranks = reports.len();
-        log::warn!(group = &*self.name, answered, ranks; "not all ranks were read");
+        log::warn!(group = &*self.name, answered, ranks; "poll incomplete: not all ranks replied");
     }
 
-    fn knows_map(&self, state: (Epoch, MapVersion)) -> bool {
-        let known = self.life.map.as_ref();
-        known.is_some_and(|(epoch, version, _)| (*epoch, *version) == state)
+    fn is_map_known(&self, version_in_use: (Epoch, MapVersion)) -> bool {
+        let known = self.epoch_state.map.as_ref();
+        known.is_some_and(|(epoch, version, _)| (*epoch, *version) == version_in_use)
     }
 
-    /// Learns the map of a group in which nothing is under way; returns whether
-    /// it is known now.
-    async fn learn_map(&mut self, state: (Epoch, MapVersion)) -> bool {
+    /// Reads the map of a group without a switch in progress. Returns whether the map is
+    /// known afterwards.
+    async fn fetch_map(&mut self, version_in_use: (Epoch, MapVersion)) -> bool {
         let (map, reports) = self.read_map().await;
-        let (epoch, version) = state;
-        // A switch between the two readings would mix two maps.
-        let is_same = next_step(&reports, 0) == SwitchStep::Idle { epoch, version };
+        let (epoch, version) = version_in_use;
+        // A switch while the ranks are read would give a mixture of two maps.
+        let is_unchanged = next_step(&reports, 0) == SwitchStep::Idle { epoch, version };
         match map {
-            Some(map) if is_same => {
-                self.life.map = Some((epoch, version, map));
+            Some(map) if is_unchanged => {
+                self.epoch_state.map = Some((epoch, version, map));
                 true
             }
             _ => false,
         }
     }
 
-    /// Learns the map of a group in which something is under way. The experts
-    /// that a rank holds do not change before the held pass begins.
-    pub(crate) async fn learn_held_map(&mut self, epoch: Epoch) {
+    /// Reads the map of a paused group. The experts of the ranks do not change before the
+    /// paused pass begins.
+    pub(crate) async fn fetch_map_of_paused_group(&mut self, epoch: Epoch) {
         let (map, reports) = self.read_map().await;
         let version = reports.iter().flatten().map(|report| report.version).next();
         if let (Some(map), Some(version)) = (map, version) {
-            log::info!(group = &*self.name, version; "the map of a held group is known");
-            self.life.map = Some((epoch, version, map));
+            log::info!(group = &*self.name, version; "read the map of a paused group");
+            self.epoch_state.map = Some((epoch, version, map));
         }
     }
 
-    /// Reads which experts each rank holds, and a report of each after it.
+    /// Reads the experts of each rank, and a report of each rank taken before its experts.
     async fn read_map(&mut self) -> (Option<ExpertMap>, Vec<Option<RankReport>>) {
-        let question = |_| Question {
+        let request = |_| Question {
             wants_experts: true,
             ..Question::default()
         };
-        let answers = self.ask_all(question).await;
-        let ranks: Option<Vec<Vec<Vec<u16>>>> = answers
-            .iter()
-            .map(|answer| answer.experts.clone())
-            .collect();
-        (ranks.map(|ranks| by_set(&ranks)), reports(answers))
+        let replies = self.request_all(request).await;
+        let ranks: Option<Vec<Vec<Vec<u16>>>> =
+            replies.iter().map(|reply| reply.experts.clone()).collect();
+        (
+            ranks.map(|ranks| map_from_ranks(&ranks)),
+            reports_from(replies),
+        )
     }
 
-    fn plan(&self, model: &ExpertModel) -> Option<AdaptedMap> {
-        let (_, _, map) = self.life.map.as_ref()?;
+    fn plan_map(&self, model: &ExpertModel) -> Option<AdaptedMap> {
+        let (_, _, map) = self.epoch_state.map.as_ref()?;
         let demand = self.tracker.as_ref()?.demand()?;
         let cost = CopyCost {
             expert_mb: model.expert_mb,
@@ -318,48 +330,51 @@
             cost,
             self.ranks.len(),
         );
-        let paces: Vec<f64> = self.ranks.iter().map(|rank| rank.pace.factor).collect();
+        let slowdowns: Vec<f64> = self.ranks.iter().map(|rank| rank.slowdown.factor).collect();
         let load = GroupLoad {
             demand,
-            slowdowns: &paces,
+            slowdowns: &slowdowns,
         };
         let adapted = adapt(map, &load, &limits);
         let gain = 1.0 - adapted.skew_after / adapted.skew_before.max(f64::MIN_POSITIVE);
-        (gain >= LEAST_GAIN).then_some(adapted)
+        (gain >= MIN_GAIN).then_some(adapted)
     }
 
-    /// The time that a rank takes to copy that many experts.
+    /// The estimated time that a rank takes to copy this number of experts.
     pub(crate) fn copy_time(&self, experts: usize) -> Duration {
-        let model = self.leadership.members().map(|members| members.model);
+        let model = self
+            .leadership
+            .expert_service()
+            .map(|service| service.model);
         let copy_ms = model.map_or(0.0, |model| model.copy_ms());
         #[allow(clippy::cast_precision_loss)] // a few dozen
         let total_ms = copy_ms * experts as f64;
-        Duration::from_secs_f64(total_ms.min(MOST_COPY_MS) / 1_000.0)
+        Duration::from_secs_f64(total_ms.min(MAX_COPY_MS) / 1_000.0)
     }
 
-    /// The pace of the group's slowest engine, for the logs.
-    pub(crate) fn slowest(&self) -> f64 {
-        let paces = self.ranks.iter().map(|rank| rank.pace.factor);
-        paces.fold(1.0, f64::max)
+    /// The slowdown of the group's slowest engine, for the logs.
+    pub(crate) fn max_slowdown(&self) -> f64 {
+        let slowdowns = self.ranks.iter().map(|rank| rank.slowdown.factor);
+        slowdowns.fold(1.0, f64::max)
     }
 }
 
 fn rank_engine(address: SocketAddr, report: &RankReport) -> RankEngine {
     RankEngine {
         address,
-        pace: Slowdown {
+        slowdown: Slowdown {
             factor: report.slowdown,
             started_unix_ms: report.started_unix_ms,
         },
     }
 }
 
-pub(crate) fn reports(answers: Vec<Answer>) -> Vec<Option<RankReport>> {
-    answers.into_iter().map(|answer| answer.report).collect()
+pub(crate) fn reports_from(replies: Vec<Answer>) -> Vec<Option<RankReport>> {
+    replies.into_iter().map(|reply| reply.report).collect()
 }
 
-/// Turns the ranks' experts by set into sets of ranks.
-fn by_set(ranks: &[Vec<Vec<u16>>]) -> ExpertMap {
+/// Converts experts by rank and layer set into a map by layer set and rank.
+fn map_from_ranks(ranks: &[Vec<Vec<u16>>]) -> ExpertMap {
     let sets = ranks.first().map_or(0, Vec::len);
     let set = |index: usize| {
         let of_rank = |rank: &Vec<Vec<u16>>| rank.get(index).cloned().unwrap_or_default();
--- a/crates/groups/src/handover.rs
+++ b/crates/groups/src/handover.rs
@@ -1,21 +1,21 @@
-//! Handing a service's groups over while the store is away.
+//! Transfers the leadership of a service's groups while the store is unavailable.
 //!
-//! A leader that dies is followed by one that the store elects. While the store
-//! does not answer nobody can be elected, and a leader that is stopped as planned
-//! would leave the maps as they are until it does: six seconds of passes two and
-//! three times as long were seen. So it transfers its leadership instead.
+//! When a leader crashes, a new one is elected through the store. While the store does not
+//! reply, no leader can be elected, and the maps would not change after a planned shutdown
+//! of the leader. Passes of two and three times the usual length were observed for six
+//! seconds in this case. A leader that shuts down therefore transfers its leadership to
+//! another candidate.
 //!
-//! The store's word stays the last one. An elected leader's fencing number lies above
-//! all that the store has had; its successor's by transfer is the next above
-//! that of its predecessor, below any that is elected later. When the store is
-//! back the former leader's key lapses, a leader is elected, and the agents tell
-//! the one before that it has been succeeded.
+//! Elections take precedence over transfers. The fencing token of an elected leader is
+//! higher than all tokens that the store has held. A transfer increments the token of the
+//! previous leader by one, and the result is lower than the token of any later election. When
+//! the store is available again, the key of the last elected leader expires, a leader is
+//! elected, and the agents notify the leader by transfer that it has been succeeded.
 //!
-//! No number is used twice: whoever transfers gives no order any more, and transfers
-//! to one candidate at most. Where it is not known whether that one has accepted,
-//! nobody else is asked. An agent that starts meanwhile relays nothing before it
-//! has read the store, and can't hear of its predecessor's leader again, since
-//! that one opens no connection any more.
+//! No token is used twice. A leader that transfers its leadership sends no more commands, and
+//! transfers it to at most one candidate: if the outcome of a request is unknown, it asks no
+//! other candidate. An agent that restarts in the meantime relays nothing before it has read
+//! the store, and the previous leader cannot reach it, as it opens no more connections.
 
 use std::sync::Arc;
 
@@ -23,23 +23,23 @@
 use futures_util::future::BoxFuture;
 use serde::{Deserialize, Serialize};
 
-/// Binary digits of a fencing number that count transfers after one election.
+/// Low bits of a fencing token that count the transfers after one election.
 const TRANSFER_BITS: u32 = 6;
 
-/// The fencing number of a leader elected in that era of the store, where `kept` is the
-/// highest that the store keeps of it.
+/// Returns the fencing token of a leader that is elected in era `era` of the store.
+/// `stored` is the highest token of this era in the store.
 ///
-/// A store restored from an older copy keeps a former one, and would give the numbers of
-/// lost elections out again; two leaders with one number could have two maps in force in one
-/// pass. So the era goes first.
+/// The era is in the highest bits. A store that was restored from an older copy holds an
+/// older token and would otherwise issue the tokens of the lost elections again. Two leaders
+/// with the same token could make ranks use different maps in one pass.
 #[must_use]
-pub fn elected_fencing_token(era: u64, kept: u64) -> u64 {
-    let next_election = (kept >> TRANSFER_BITS) + 1;
+pub fn elected_fencing_token(era: u64, stored: u64) -> u64 {
+    let next_election = (stored >> TRANSFER_BITS) + 1;
     era_floor(era).max(next_election << TRANSFER_BITS)
 }
 
-/// The fencing number of the successor by transfer of a leader with that number; `None`
-/// once all that belong to one election are used up.
+/// Returns the fencing token of the leader to which a leader with the token `fence` transfers
+/// its leadership. `None` if all tokens for transfers after one election are used up.
 #[must_use]
 pub fn transferred_fencing_token(fence: u64) -> Option<u64> {
     let next = fence + 1;
@@ -47,28 +47,29 @@
     (!is_of_next_election).then_some(next)
 }
 
-/// Makes a candidate the leader of a service's groups.
+/// Request to a candidate to become the leader of a service's groups.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipTransfer {
-    /// The service.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// The new leader's fencing number.
+    /// The fencing token of the new leader.
     pub fence: u64,
 }
 
-/// What became of a transfer.
+/// Outcome of a leadership transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferResult {
-    /// A candidate leads now.
+    /// A candidate has accepted and leads now.
     Accepted,
-    /// Nobody has accepted, and nobody will.
+    /// No candidate has accepted, and none will accept later.
     Refused,
-    /// Somebody may have accepted.
+    /// A candidate may have accepted.
     Unknown,
 }
 
-/// The other candidates.
+/// The other candidates, to which a leader can transfer its leadership.
 pub trait Successors: Send + Sync {
-    /// Asks one after the other until one accepts or may have.
+    /// Sends the request to one candidate after the other, until one accepts or may have
+    /// accepted.
     fn transfer(&self, transfer: LeadershipTransfer) -> BoxFuture<'_, TransferResult>;
 }
--- a/crates/groups/src/leadership.rs
+++ b/crates/groups/src/leadership.rs
@@ -1,5 +1,5 @@
-//! What the loops of one leader share: its fencing number, its versions, which
-//! engine belongs to which group, and the engines' paces.
+//! State that the tasks of one leader share: its fencing token, the source of map versions,
+//! the group of each engine, and the state of each group as published to all entries.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,60 +12,63 @@
 
 use crate::{Candidate, ExpertService};
 
-/// What is told of one group.
+/// The state of one group that is published to all entries.
 #[derive(Clone, Debug, PartialEq)]
-struct ToldGroup {
-    slow: Slowdowns,
+struct PublishedGroup {
+    slow_engines: Slowdowns,
     engines: Vec<SocketAddr>,
     is_open: bool,
 }
 
-/// One leader's term, seen by all its loops.
+/// One leader's state, shared by all its tasks.
 pub(crate) struct Leadership {
     candidate: Candidate,
-    service: Arc<str>,
-    /// The leader's fencing number.
+    service_name: Arc<str>,
+    /// The leader's fencing token.
     pub(crate) fence: u64,
-    /// Whether it leaves the office to an entry that would lead better.
-    pub(crate) may_make_room: bool,
+    /// Whether the leader may resign in favour of an entry with more processor time.
+    pub(crate) may_resign: bool,
     is_succeeded: AtomicBool,
     versions: Mutex<VersionSource>,
     /// The group that each engine was last seen in.
-    group_of: Mutex<IndexMap<SocketAddr, Arc<str>>>,
-    /// What is told of each group.
-    told: Mutex<IndexMap<Arc<str>, ToldGroup>>,
+    group_by_engine: Mutex<IndexMap<SocketAddr, Arc<str>>>,
+    /// The last published state of each group.
+    published: Mutex<IndexMap<Arc<str>, PublishedGroup>>,
 }
 
 impl Leadership {
-    pub(crate) fn new(candidate: &Candidate, service: Arc<str>, fence: u64) -> Self {
+    pub(crate) fn new(candidate: &Candidate, service_name: Arc<str>, fence: u64) -> Self {
         Self {
             candidate: candidate.clone(),
-            service,
+            service_name,
             fence,
-            may_make_room: false,
+            may_resign: false,
             is_succeeded: AtomicBool::new(false),
             versions: Mutex::new(VersionSource::new(fence)),
-            group_of: Mutex::new(IndexMap::new()),
-            told: Mutex::new(IndexMap::new()),
+            group_by_engine: Mutex::new(IndexMap::new()),
+            published: Mutex::new(IndexMap::new()),
         }
     }
 
-    /// The service whose groups it leads.
-    pub(crate) fn service(&self) -> Arc<str> {
-        Arc::clone(&self.service)
+    /// The name of the service whose groups it leads.
+    pub(crate) fn service_name(&self) -> Arc<str> {
+        Arc::clone(&self.service_name)
     }
 
-    /// The service's engines, once it is known.
-    pub(crate) fn members(&self) -> Option<ExpertService> {
-        let members = self.candidate.services.borrow();
-        members.iter().find(|it| it.name == self.service).cloned()
+    /// The service with its engines, or `None` if the service is not configured.
+    pub(crate) fn expert_service(&self) -> Option<ExpertService> {
+        let services = self.candidate.services.borrow();
+        services
+            .iter()
+            .find(|service| service.name == self.service_name)
+            .cloned()
     }
 
     pub(crate) fn agent_port(&self) -> u16 {
         self.candidate.agent_port
     }
 
-    /// Whether this leader has to stop giving orders.
+    /// Whether there is a later leader, so that this one must not send any more commands.
     pub(crate) fn is_succeeded(&self) -> bool {
         self.is_succeeded.load(Ordering::Relaxed)
     }
@@ -74,117 +77,145 @@
         *self.candidate.is_stopping.borrow()
     }
 
-    /// Whether this leader has met an entry that would lead better, and may leave the
-    /// office to it.
+    /// Whether this leader may resign, and knows an entry with more processor time.
     ///
-    /// Entries that start together, as after a loss of power, stand for election before
-    /// they know each other, and a VM with a fifth of the others' link may be elected. The
-    /// counts and maps of 192 ranks take such a link a quarter of a second each.
-    pub(crate) fn makes_room(&self) -> bool {
-        self.may_make_room && *self.candidate.has_peer_with_more_cpu.borrow()
-    }
-
-    /// Notes whether an agent has named a later leader.
-    pub(crate) fn heed_fences<'a>(&self, mut answers: impl Iterator<Item = &'a Answer>) {
-        if let Some(later) = answers.find_map(|answer| answer.fenced_by) {
-            log::info!(fence = self.fence, later; "an agent has heard of a later leader");
+    /// Entries that start at the same time, for example after a power failure, hold the
+    /// election before they have discovered each other, so a VM with a fifth of the others'
+    /// bandwidth may be elected. Transferring the counts of 192 ranks takes a quarter of a
+    /// second on such a link, and so do their maps.
+    pub(crate) fn should_resign(&self) -> bool {
+        self.may_resign && *self.candidate.has_peer_with_more_cpu.borrow()
+    }
+
+    /// Checks replies of agents for a later leader, and marks this one as succeeded if there
+    /// is one.
+    pub(crate) fn check_fences<'a>(&self, mut replies: impl Iterator<Item = &'a Answer>) {
+        if let Some(later) = replies.find_map(|reply| reply.fenced_by) {
+            log::info!(fence = self.fence, later; "an agent reports a later leader");
             self.is_succeeded.store(true, Ordering::Relaxed);
         }
     }
 
-    /// A new version, the same for no two groups: an engine that moves from one
-    /// to another takes only versions higher than all that it has had.
+    /// Issues a new map version. Versions are unique over all groups, as an engine that moves
+    /// to another group accepts only versions higher than all that it has had.
     pub(crate) fn issue_version(&self) -> MapVersion {
-        self.versions.lock().expect("no holder panics").issue()
+        self.versions
+            .lock()
+            .expect("no panic while the lock is held")
+            .issue()
     }
 
-    /// An engine was seen in a group.
+    /// Records the group that an engine has reported.
     pub(crate) fn assign(&self, engine: SocketAddr, group: &str) {
-        let mut group_of = self.group_of.lock().expect("no holder panics");
-        let known = group_of.get(&engine);
-        if known.is_none_or(|known| **known != *group) {
-            log::info!(engine:% = engine, group; "engine belongs to a group");
-            group_of.insert(engine, group.into());
+        let mut group_by_engine = self
+            .group_by_engine
+            .lock()
+            .expect("no panic while the lock is held");
+        let known_group = group_by_engine.get(&engine);
+        if known_group.is_none_or(|known| **known != *group) {
+            log::info!(engine:% = engine, group; "engine assigned to a group");
+            group_by_engine.insert(engine, group.into());
         }
     }
 
-    /// Forgets the groups of engines that are gone.
+    /// Removes all engines that are not in `engines`.
     pub(crate) fn retain_engines(&self, engines: &[SocketAddr]) {
-        let mut group_of = self.group_of.lock().expect("no holder panics");
-        group_of.retain(|engine, _| engines.contains(engine));
+        let mut group_by_engine = self
+            .group_by_engine
+            .lock()
+            .expect("no panic while the lock is held");
+        group_by_engine.retain(|engine, _| engines.contains(engine));
     }
 
-    /// Whether the engine's group is known.
+    /// Whether the group of an engine is known.
     pub(crate) fn is_assigned(&self, engine: &SocketAddr) -> bool {
-        let group_of = self.group_of.lock().expect("no holder panics");
-        group_of.contains_key(engine)
+        let group_by_engine = self
+            .group_by_engine
+            .lock()
+            .expect("no panic while the lock is held");
+        group_by_engine.contains_key(engine)
     }
 
-    /// The engines last seen in a group.
+    /// The engines that last reported this group.
     pub(crate) fn engines_of(&self, group: &str) -> Vec<SocketAddr> {
-        let group_of = self.group_of.lock().expect("no holder panics");
-        let of_group = group_of.iter().filter(|(_, of)| ***of == *group);
-        of_group.map(|(engine, _)| *engine).collect()
+        let group_by_engine = self
+            .group_by_engine
+            .lock()
+            .expect("no panic while the lock is held");
+        let engines_of_group = group_by_engine
+            .iter()
+            .filter(|(_, assigned)| ***assigned == *group);
+        engines_of_group.map(|(engine, _)| *engine).collect()
     }
 
-    /// All groups that engines were seen in.
+    /// All groups that engines have reported.
     pub(crate) fn groups(&self) -> IndexSet<Arc<str>> {
-        let group_of = self.group_of.lock().expect("no holder panics");
-        group_of.values().cloned().collect()
+        let group_by_engine = self
+            .group_by_engine
+            .lock()
+            .expect("no panic while the lock is held");
+        group_by_engine.values().cloned().collect()
     }
 
-    /// Tells this entry and, through it, its peers which engines of a group are
-    /// slow.
-    pub(crate) fn publish_paces(&self, group: &Arc<str>, slow: Slowdowns) {
-        self.publish(group, |told| told.slow = slow);
+    /// Publishes the slow engines of a group to this entry and, through it, to its peers.
+    pub(crate) fn publish_slow_engines(&self, group: &Arc<str>, slow_engines: Slowdowns) {
+        self.update_group(group, |published| published.slow_engines = slow_engines);
     }
 
-    /// Tells them which engines form the group, and whether it runs.
+    /// Publishes the engines of a group, and whether it runs.
     pub(crate) fn publish_group(&self, group: &Arc<str>, is_open: bool) {
         let engines = self.engines_of(group);
-        self.publish(group, |told| {
-            told.engines = engines;
-            told.is_open = is_open;
+        self.update_group(group, |published| {
+            published.engines = engines;
+            published.is_open = is_open;
         });
     }
 
-    fn publish(&self, group: &Arc<str>, change: impl FnOnce(&mut ToldGroup)) {
-        let mut told = self.told.lock().expect("no holder panics");
-        let before = told.get(group).cloned();
-        let mut now = before.clone().unwrap_or_else(|| ToldGroup {
-            slow: Slowdowns::new(),
+    fn update_group(&self, group: &Arc<str>, change: impl FnOnce(&mut PublishedGroup)) {
+        let mut published = self
+            .published
+            .lock()
+            .expect("no panic while the lock is held");
+        let before = published.get(group).cloned();
+        let mut after = before.clone().unwrap_or_else(|| PublishedGroup {
+            slow_engines: Slowdowns::new(),
             engines: Vec::new(),
             is_open: true,
         });
-        change(&mut now);
-        if before.as_ref() != Some(&now) {
-            told.insert(Arc::clone(group), now);
-            self.tell(&told);
+        change(&mut after);
+        if before.as_ref() != Some(&after) {
+            published.insert(Arc::clone(group), after);
+            self.send_update(&published);
         }
     }
 
-    /// Forgets a group that has no engines any more.
-    pub(crate) fn forget_group(&self, group: &str) {
-        let mut told = self.told.lock().expect("no holder panics");
-        if told.shift_remove(group).is_some() {
-            self.tell(&told);
+    /// Removes a group without engines.
+    pub(crate) fn remove_group(&self, group: &str) {
+        let mut published = self
+            .published
+            .lock()
+            .expect("no panic while the lock is held");
+        if published.shift_remove(group).is_some() {
+            self.send_update(&published);
         }
     }
 
-    fn tell(&self, told: &IndexMap<Arc<str>, ToldGroup>) {
-        let slow = told.values().flat_map(|group| &group.slow);
-        let groups = told.iter().map(|(name, group)| GroupUpdate {
+    fn send_update(&self, published: &IndexMap<Arc<str>, PublishedGroup>) {
+        let slow_engines = published.values().flat_map(|group| &group.slow_engines);
+        let groups = published.iter().map(|(name, group)| GroupUpdate {
             name: Arc::clone(name),
             engines: group.engines.clone(),
             is_open: group.is_open,
         });
-        let news = EngineUpdate {
-            slowdowns: slow.map(|(at, pace)| (*at, *pace)).collect(),
+        let update = EngineUpdate {
+            slowdowns: slow_engines
+                .map(|(engine, slowdown)| (*engine, *slowdown))
+                .collect(),
             groups: groups.collect(),
         };
         self.candidate.engine_updates.send_if_modified(|current| {
-            let is_changed = current.as_ref() != Some(&news);
-            *current = Some(news);
+            let is_changed = current.as_ref() != Some(&update);
+            *current = Some(update);
             is_changed
         });
     }
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -1,13 +1,14 @@
-//! Keeps expert-parallel groups balanced while popularity shifts.
+//! Keeps the load of expert-parallel groups balanced while the popularity of experts
+//! shifts.
 //!
-//! One process at a time leads the groups of a service, by a lease at the
-//! platform's store. The leader reads the ranks' counts through the agents
-//! beside them, plans a better map when one pays, and carries it into force.
-//! What may be switched when is decided by `berylhook_experts::switching`; a
-//! leader that was paused and still believes that it leads can do no harm.
-//! Switches need no call to the store, so maps follow the demand while it is
-//! away, and a leader that is stopped then transfers its leadership; one that dies
-//! is followed by the next that the store elects.
+//! One process at a time leads the groups of a service. It is elected by a lease in the
+//! platform's store. The leader polls the ranks' counts through the agents beside the
+//! engines, plans a better map if its benefit exceeds its cost, and activates it.
+//! `berylhook_experts::switching` defines the protocol of a switch, by which a leader that
+//! was suspended and still believes that it leads can do no harm. A switch does not use the
+//! store, so maps follow the demand while the store is unavailable. A leader that shuts down
+//! during this time transfers its leadership to another candidate. A leader that crashes is
+//! replaced by the next election.
 
 mod agent_clients;
 mod candidacy;
@@ -29,56 +30,57 @@
 
 use crate::handover::{LeadershipTransfer, Successors};
 
-/// The engines of one service.
+/// A service with expert-parallel groups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpertService {
-    /// The service.
+    /// The name of the service.
     pub name: Arc<str>,
-    /// Its experts.
+    /// The experts of its model and the engines' limits for them.
     pub model: ExpertModel,
-    /// Its engines, those that are leaving included: they stay ranks of their
-    /// groups until they are gone.
+    /// Its engines, including those that are draining: they remain ranks of their groups
+    /// until they exit.
     pub engines: Vec<SocketAddr>,
 }
 
-/// What a candidate has to know.
+/// The configuration and channels of a process that takes part in elections.
 #[derive(Clone)]
 pub struct Candidate {
-    /// The process's name, for the logs and the store.
+    /// The name of the process, for the logs and the store.
     pub name: Arc<str>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Hears of the store's eras.
+    /// Is notified of the store's era with each reply of the store.
     pub era_observer: Arc<dyn EraObserver>,
     /// Port of the agents beside the engines.
     pub agent_port: u16,
     /// The services with expert-parallel groups.
     pub services: watch::Receiver<Vec<ExpertService>>,
-    /// What the leader learns of the engines; `None` where this process
-    /// does not lead.
+    /// The state of the engines and groups, as polled by the leader. `None` if this
+    /// process does not lead.
     pub engine_updates: watch::Sender<Option<EngineUpdate>>,
-    /// Whether the process is about to end.
+    /// Whether the process is shutting down.
     pub is_stopping: watch::Receiver<bool>,
-    /// Rises whenever a key of this project's own changes in the store.
+    /// Increases whenever one of the load balancer's own keys changes in the store.
     pub own_key_changes: watch::Receiver<u64>,
-    /// Whether another candidate has clearly more processor time.
+    /// Whether another candidate has considerably more processor time.
     pub has_peer_with_more_cpu: watch::Receiver<bool>,
-    /// The other candidates, for a leader that stops while the store is away.
+    /// The other candidates, for a leader that shuts down while the store is unavailable.
     pub successors: Arc<dyn Successors>,
-    /// The last transfer of this candidate by a leader that stopped.
+    /// The last transfer of leadership to this candidate.
     pub incoming_transfer: watch::Receiver<Option<LeadershipTransfer>>,
 }
 
-/// Stands for election and leads, for as long as the process lives.
+/// Takes part in the elections of all services, and leads the groups of a service whenever
+/// elected, until the process exits.
 pub async fn run(mut candidate: Candidate) {
-    // One task for each service that is ever seen.
+    // One task per service. Tasks of removed services keep running.
     let mut started: Vec<Arc<str>> = Vec::new();
     loop {
-        let members = candidate.services.borrow_and_update().clone();
-        for service in members.into_iter().map(|members| members.name) {
+        let services = candidate.services.borrow_and_update().clone();
+        for service in services.into_iter().map(|service| service.name) {
             if !started.contains(&service) {
                 started.push(Arc::clone(&service));
-                tokio::spawn(candidacy::lead(candidate.clone(), service));
+                tokio::spawn(candidacy::run(candidate.clone(), service));
             }
         }
         if candidate.services.changed().await.is_err() {
--- a/crates/groups/src/service_loop.rs
+++ b/crates/groups/src/service_loop.rs
@@ -1,9 +1,10 @@
-//! Leading a service: finding its groups, and one loop for each.
+//! The loop of a service's leader, which finds the groups of the service and runs one task
+//! for each.
 //!
-//! The loops share nothing but [`Leadership`], so a group that is being changed,
-//! that hangs or that has lost a rank delays no other. With one loop for three
-//! groups of 24 ranks, each change of 0.2 s waited for those of the others, and
-//! nobody read the demand meanwhile.
+//! The tasks share nothing but [`Leadership`], so a group whose map is being switched, that
+//! hangs or that has lost a rank does not delay the others. When one task handled three
+//! groups of 24 ranks, each map change of 0.2 s waited for those of the other groups, and the
+//! demand was not polled in the meantime.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,67 +15,72 @@
 use tokio::time::sleep;
 
 use crate::ExpertService;
-use crate::agent_clients::{Ports, Reading};
+use crate::agent_clients::{AgentClients, PollResult};
 use crate::election::Term;
-use crate::group_loop::{GroupLoop, READ_EVERY};
+use crate::group_loop::{GroupLoop, POLL_INTERVAL};
 use crate::leadership::Leadership;
 
-/// Leads until the term is over, a later leader is heard of, or the process
-/// stops. A leader by transfer has no term of its own.
+/// Leads until the term is over, an agent reports a later leader, the leader resigns, or the
+/// process shuts down. `term` is `None` for a leader by transfer.
 pub(crate) async fn run(leadership: &Arc<Leadership>, term: Option<&Term>) {
-    let mut loops = Loops::default();
-    let mut unassigned = Ports::new(leadership.agent_port(), None);
+    let mut tasks = GroupTasks::default();
+    let mut unassigned_clients = AgentClients::new(leadership.agent_port(), None);
     while !term.is_some_and(Term::is_over)
         && !leadership.is_succeeded()
         && !leadership.is_stopping()
-        && !makes_room(leadership, term)
+        && !should_resign(leadership, term)
     {
         let began = Instant::now();
-        if let Some(members) = leadership.members() {
-            leadership.retain_engines(&members.engines);
-            find_groups(leadership, &mut unassigned, &members).await;
-            loops.follow(leadership);
+        if let Some(service) = leadership.expert_service() {
+            leadership.retain_engines(&service.engines);
+            assign_engines(leadership, &mut unassigned_clients, &service).await;
+            tasks.start_missing(leadership);
         }
-        sleep(READ_EVERY.saturating_sub(began.elapsed())).await;
+        sleep(POLL_INTERVAL.saturating_sub(began.elapsed())).await;
     }
-    loops.close();
+    tasks.abort();
 }
 
-/// Whether an entry that would lead better can be elected now.
-fn makes_room(leadership: &Leadership, term: Option<&Term>) -> bool {
-    term.is_some_and(Term::store_answers) && leadership.makes_room()
+/// Whether to resign in favour of an entry with more processor time. Only if the store is
+/// reachable, so that the other entry can be elected.
+fn should_resign(leadership: &Leadership, term: Option<&Term>) -> bool {
+    term.is_some_and(Term::is_store_reachable) && leadership.should_resign()
 }
 
-/// Asks engines whose group is not known which one it is.
-async fn find_groups(leadership: &Leadership, ports: &mut Ports, members: &ExpertService) {
-    let engines = members.engines.iter().copied();
+/// Polls the engines whose group is not yet known.
+async fn assign_engines(
+    leadership: &Leadership,
+    clients: &mut AgentClients,
+    service: &ExpertService,
+) {
+    let engines = service.engines.iter().copied();
     let unassigned: Vec<SocketAddr> = engines
         .filter(|engine| !leadership.is_assigned(engine))
         .collect();
-    ports.set(&unassigned);
+    clients.set(&unassigned);
     if unassigned.is_empty() {
         return;
     }
-    let readings = ports.read(leadership.fence).await;
-    leadership.heed_fences(readings.iter().map(|reading| &reading.answer));
-    for Reading { engine, answer, .. } in readings {
-        if let Some(report) = answer.report {
+    let results = clients.poll(leadership.fence).await;
+    leadership.check_fences(results.iter().map(|result| &result.reply));
+    for PollResult { engine, reply, .. } in results {
+        if let Some(report) = reply.report {
             leadership.assign(engine, &report.group);
         }
     }
 }
 
-/// The loops of the groups.
+/// The tasks of the groups.
 #[derive(Default)]
-struct Loops {
+struct GroupTasks {
     by_group: IndexMap<Arc<str>, JoinHandle<()>>,
 }
 
-impl Loops {
-    /// Starts a loop for each group that has none. Loops of groups without
-    /// engines end by themselves.
-    fn follow(&mut self, leadership: &Arc<Leadership>) {
-        self.by_group.retain(|_, running| !running.is_finished());
+impl GroupTasks {
+    /// Starts a task for each group that has none. A task exits when its group has no engines
+    /// left.
+    fn start_missing(&mut self, leadership: &Arc<Leadership>) {
+        self.by_group.retain(|_, task| !task.is_finished());
         for group in leadership.groups() {
             self.by_group.entry(group).or_insert_with_key(|group| {
                 let group_loop = GroupLoop::new(Arc::clone(leadership), Arc::clone(group));
@@ -83,22 +89,21 @@
         }
     }
 
-    /// Ends all loops. An order that is cut off is one without an answer, which
-    /// whoever leads next has to expect of any order.
-    fn close(mut self) {
+    /// Aborts all tasks. A command in progress is then a command without a reply, which the
+    /// next leader has to handle anyway.
+    fn abort(mut self) {
         self.abort_all();
     }
 
     fn abort_all(&mut self) {
-        for (_, running) in self.by_group.drain(..) {
-            running.abort();
+        for (_, task) in self.by_group.drain(..) {
+            task.abort();
         }
     }
 }
 
-impl Drop for Loops {
-    // A leader whose own task is dropped must not leave loops behind that give
-    // orders in its name.
+impl Drop for GroupTasks {
+    // If the task of the leader is dropped, no task of a group may continue to send commands.
     fn drop(&mut self) {
         self.abort_all();
     }
--- a/crates/groups/src/switch.rs
+++ b/crates/groups/src/switch.rs
@@ -1,7 +1,7 @@
-//! Carrying a map into force: prepare, hold, arm, go.
+//! Switches a group to a new map: prepare, pause, arm, release.
 //!
-//! `berylhook_experts::switching` says why this order, and what is to be done
-//! about whatever the reports show. Here is what it takes in time and repeats.
+//! `berylhook_experts::switching` explains the protocol and derives the next command from
+//! the reports. This module adds the time-outs and retries.
 
 use std::time::{Duration, Instant};
 
@@ -13,71 +13,75 @@
 use berylhook_relay::{Answer, Question};
 use tokio::time::sleep;
 
-use crate::group_loop::{GroupLoop, PendingHold, reports};
+use crate::group_loop::{GroupLoop, PendingPause, reports_from};
 
-/// Time between two looks at whether all ranks have copied their experts.
-const COPY_CHECK: Duration = Duration::from_millis(15);
+/// Interval between checks whether all ranks have copied their experts.
+const COPY_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Longest wait for the copies. One expert takes about a tenth of a second.
+/// Time-out of the copies of one switch. Copying one expert takes about a tenth of a second.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A prepare order without an answer is given again after this long. The agent
-/// has waited for the answer already, a repeat does no harm, and all ranks wait
-/// for the one that has not begun to copy.
-const REPEAT_AFTER: Duration = Duration::from_millis(15);
+/// Delay before a prepare command without a reply is sent again. The agent has already
+/// waited for a reply of the engine, a repeated command does no harm, and all ranks wait for
+/// the one that has not begun to copy.
+const PREPARE_RETRY_DELAY: Duration = Duration::from_millis(15);
 
-/// Longest wait for orders to be answered again before a switch.
-const PROBE_TIME: Duration = Duration::from_millis(300);
+/// Time-out of the check, before a switch, whether ranks reply to commands.
+const COMMAND_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a switch after orders went unanswered. Each try copies experts, which makes
-/// passes longer.
-const PAUSE_AFTER_FAILED_ORDERS: Duration = Duration::from_secs(1);
+/// Time without a switch after ranks did not reply to commands. Each attempt copies experts,
+/// which makes passes longer.
+const UNANSWERED_COMMANDS_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Ranks of which one may leave an order unanswered as a switch begins: two rounds of orders
-/// reach all of them then.
-const RANKS_FOR_ONE_UNANSWERED: usize = 16;
+/// After an unanswered prepare command, a switch begins only if at most one in this number of
+/// ranks does not reply. Two rounds of commands are then enough to reach all ranks.
+const RANKS_PER_MISSING_REPLY: usize = 16;
 
-/// Passes between the last one begun and the one that switches.
+/// Distance from the last pass begun to the pass that switches.
 ///
-/// The hold has to arrive before its pass begins. It takes a few milliseconds
-/// and a pass some dozens, so the very next pass is mostly reached; where it is
-/// not, nothing has happened and the one after it is tried. Waiting for one
-/// pass more on the safe side cost every change a pass with the old map, and
-/// after a shift of demand that one is twice as long as usual.
+/// The pause has to arrive before its pass begins. This takes a few milliseconds, and a pass
+/// takes several tens of milliseconds, so the pause usually arrives in time for the next
+/// pass. If it does not, it has no effect, and the following pass is tried. With a distance of
+/// two, each map change cost one more pass with the old map, which takes twice as long as
+/// usual after a shift of demand.
 const PASSES_AHEAD: u64 = 1;
 
-/// Passes tried for one change before it is given up.
-const HOLD_TRIES: usize = 4;
+/// Maximum number of passes tried for one map change.
+const MAX_PAUSE_ATTEMPTS: usize = 4;
 
-/// Pause between two looks at a switch that makes no progress.
-const STALLED_CHECK: Duration = Duration::from_millis(10);
+/// Interval between polls of a switch that makes no progress.
+const STALLED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time that a switch gets before all ranks are read anew: one of them may have
-/// been replaced. What is under way is found again.
-const TURN: Duration = Duration::from_millis(500);
+/// Time-out of a step of a switch, after which all engines are polled again, as one of them
+/// may have been replaced. The switch is then continued from the new reports.
+const STEP_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl GroupLoop {
-    /// Carries a map into force.
+    /// Switches the group to a new map.
     pub(crate) async fn switch(&mut self, epoch: Epoch, adapted: AdaptedMap) {
         let began = Instant::now();
-        let version = self.issue();
-        let order = RankCommand::Prepare {
+        let version = self.issue_version();
+        let command = RankCommand::Prepare {
             epoch,
             version,
             map: adapted.map.clone(),
         };
-        let prepared = self.prepare(&order, adapted.max_copies_per_rank).await;
+        let prepared = self.prepare(&command, adapted.max_copies_per_rank).await;
         let copied_ms = elapsed_ms(began);
-        let held = match prepared {
-            Some(prepared) if prepared.is_in_doubt && !self.do_orders_pass(&order).await => None,
-            Some(prepared) => self.hold(epoch, prepared.reports).await,
+        let paused = match prepared {
+            Some(prepared)
+                if prepared.had_unanswered_command && !self.do_ranks_reply(&command).await =>
+            {
+                None
+            }
+            Some(prepared) => self.pause(epoch, prepared.reports).await,
             None => None,
         };
-        let pass = held.as_ref().map(|(pass, _)| *pass);
-        let is_switched = match held {
+        let pass = paused.as_ref().map(|(pass, _)| *pass);
+        let is_switched = match paused {
             Some((_, reports)) => {
-                self.resolve(Some(reports)).await;
-                self.has_version(version).await
+                self.advance_switch(Some(reports)).await;
+                self.has_switched_to(version).await
             }
             None => false,
         };
@@ -88,271 +92,285 @@
             copies = adapted.copies,
             skew_before = adapted.skew_before,
             skew_after = adapted.skew_after,
-            slowest = self.slowest(),
+            slowest = self.max_slowdown(),
             copied_ms,
             after_ms = elapsed_ms(began),
             is_switched;
             "map changed"
         );
         if is_switched {
-            self.life.map = Some((epoch, version, adapted.map));
+            self.epoch_state.map = Some((epoch, version, adapted.map));
         }
     }
 
-    /// Whether most ranks answer orders at present.
+    /// Whether most ranks currently reply to commands.
     ///
-    /// A group that is held stands still until the last rank is armed, so no switch begins
-    /// while orders have to be given again and again. What is asked for here has been carried
-    /// out already, and giving it once more does nothing.
-    async fn do_orders_pass(&mut self, prepared: &RankCommand) -> bool {
+    /// A paused group is stalled until the last rank is armed, so no switch begins while
+    /// commands have to be repeated. The check repeats the prepare command, which the ranks
+    /// have already executed, so it has no effect.
+    async fn do_ranks_reply(&mut self, prepared: &RankCommand) -> bool {
         let began = Instant::now();
-        while began.elapsed() < PROBE_TIME && !self.leadership.is_succeeded() {
-            let question = |_| Question {
+        while began.elapsed() < COMMAND_CHECK_TIMEOUT && !self.leadership.is_succeeded() {
+            let request = |_| Question {
                 orders: vec![prepared.clone()],
                 ..Question::default()
             };
-            let answers = self.ask_all(question).await;
-            let unanswered = answers.iter().filter(|answer| !has_answered(answer));
-            if unanswered.count() * RANKS_FOR_ONE_UNANSWERED <= answers.len() {
+            let replies = self.request_all(request).await;
+            let unanswered = replies.iter().filter(|reply| !has_replied(reply));
+            if unanswered.count() * RANKS_PER_MISSING_REPLY <= replies.len() {
                 return true;
             }
-            sleep(COPY_CHECK).await;
+            sleep(COPY_POLL_INTERVAL).await;
         }
-        log::info!(group = &*self.name; "no switch begins while orders go unanswered");
-        self.orders_failed = Some(Instant::now());
+        log::info!(group = &*self.name; "map switch cancelled: too many ranks did not reply to commands");
+        self.commands_unanswered_at = Some(Instant::now());
         false
     }
 
-    /// Whether orders went unanswered a short while ago.
-    pub(crate) fn have_orders_failed(&self) -> bool {
-        let failed = self.orders_failed;
-        failed.is_some_and(|at| at.elapsed() < PAUSE_AFTER_FAILED_ORDERS)
+    /// Whether a switch was recently cancelled because ranks did not reply to commands.
+    pub(crate) fn were_commands_unanswered(&self) -> bool {
+        let cancelled = self.commands_unanswered_at;
+        cancelled.is_some_and(|at| at.elapsed() < UNANSWERED_COMMANDS_BACKOFF)
     }
 
-    /// A new version, remembered as the newest of its group.
-    fn issue(&mut self) -> MapVersion {
-        self.life.newest = self.leadership.issue_version();
-        self.life.newest
+    /// Issues a new map version and records it as the newest of the group.
+    fn issue_version(&mut self) -> MapVersion {
+        self.epoch_state.newest = self.leadership.issue_version();
+        self.epoch_state.newest
     }
 
-    /// Has all ranks copy the experts of a map; gives their reports once all
-    /// are ready. The most that a rank has to copy is `copies` experts.
+    /// Makes all ranks copy the experts of a map, at most `copies` per rank. Returns their
+    /// reports once all are ready, or `None` if a rank refuses, the epoch changes or the time-out
+    /// expires.
     ///
-    /// A leader of 72 ranks that asked all of them every few milliseconds was
-    /// kept so busy by the answers that a change took 0.1 s longer. So a rank
-    /// that has accepted the order is left alone for the time that its copies
-    /// take, and one that was seen ready is not asked again: it stays so until
-    /// this leader orders something else.
-    async fn prepare(&mut self, order: &RankCommand, copies: usize) -> Option<Prepared> {
-        let RankCommand::Prepare { epoch, version, .. } = *order else {
+    /// When a leader polled 72 ranks every few milliseconds, processing the replies made a map
+    /// change 0.1 s longer. A rank that has accepted the command is therefore not polled until
+    /// its copies should be done, and a rank that has reported that it is ready is not polled
+    /// again: it stays ready until this leader sends another command.
+    async fn prepare(&mut self, command: &RankCommand, copies: usize) -> Option<PreparedRanks> {
+        let RankCommand::Prepare { epoch, version, .. } = *command else {
             return None;
         };
         let ranks = self.rank_count();
         let began = Instant::now();
         let copied_at = began + self.copy_time(copies);
-        let mut given = vec![Given::Not; ranks];
-        let mut seen: Vec<Option<RankReport>> = vec![None; ranks];
-        let mut is_in_doubt = false;
+        let mut tries = vec![Attempt::Unsent; ranks];
+        let mut latest_reports: Vec<Option<RankReport>> = vec![None; ranks];
+        let mut had_unanswered_command = false;
         while began.elapsed() < COPY_TIMEOUT && !self.leadership.is_succeeded() {
             let is_copied = Instant::now() >= copied_at;
-            let is_unready =
-                |rank: &usize| !is_ready_to_switch(&seen[*rank..=*rank], epoch, version);
-            let asked: Vec<usize> = (0..ranks)
-                .filter(is_unready)
-                .filter(|rank| is_copied || given[*rank].is_due())
+            let is_not_ready =
+                |rank: &usize| !is_ready_to_switch(&latest_reports[*rank..=*rank], epoch, version);
+            let ranks_to_poll: Vec<usize> = (0..ranks)
+                .filter(is_not_ready)
+                .filter(|rank| is_copied || tries[*rank].is_due())
                 .collect();
-            let question = |rank: usize| Question {
-                orders: given[rank]
+            let request = |rank: usize| Question {
+                orders: tries[rank]
                     .is_due()
-                    .then(|| order.clone())
+                    .then(|| command.clone())
                     .into_iter()
                     .collect(),
                 ..Question::default()
             };
-            let answers = self.ask(&asked, question).await;
-            for (rank, answer) in asked.into_iter().zip(answers) {
-                match answer.orders.first() {
-                    Some(CommandOutcome::Accepted) => given[rank] = Given::Accepted,
-                    // Refused after an order without an answer, it may have
-                    // been accepted before.
-                    Some(CommandOutcome::Refused) if given[rank] == Given::Not => return None,
+            let replies = self.request(&ranks_to_poll, request).await;
+            for (rank, reply) in ranks_to_poll.into_iter().zip(replies) {
+                match reply.orders.first() {
+                    Some(CommandOutcome::Accepted) => tries[rank] = Attempt::Accepted,
+                    // If an earlier command got no reply, the rank may have accepted that
+                    // one and refuse the repeated command.
+                    Some(CommandOutcome::Refused) if tries[rank] == Attempt::Unsent => return None,
                     Some(_) => {
-                        given[rank] = Given::At(Instant::now());
-                        is_in_doubt = true;
+                        tries[rank] = Attempt::SentAt(Instant::now());
+                        had_unanswered_command = true;
                     }
                     None => {}
                 }
-                seen[rank] = answer.report;
+                latest_reports[rank] = reply.report;
             }
-            if is_ready_to_switch(&seen, epoch, version) {
-                return Some(Prepared {
-                    reports: seen,
-                    is_in_doubt,
+            if is_ready_to_switch(&latest_reports, epoch, version) {
+                return Some(PreparedRanks {
+                    reports: latest_reports,
+                    had_unanswered_command,
                 });
             }
-            if seen.iter().flatten().any(|report| report.epoch != epoch) {
+            if latest_reports
+                .iter()
+                .flatten()
+                .any(|report| report.epoch != epoch)
+            {
                 return None;
             }
-            sleep(COPY_CHECK).await;
+            sleep(COPY_POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Has a rank hold; gives the pass once a report shows the hold, and the
-    /// ranks' reports with it.
+    /// Makes one rank pause the group. Returns the paused pass and the ranks' reports, once a
+    /// report shows the pause.
     ///
-    /// No newer version may be prepared before the hold is seen or its pass has
-    /// begun without it, so it is remembered until then.
-    async fn hold(
+    /// No newer version may be prepared until a report shows the pause, or its pass has begun
+    /// without it. The pause is recorded as pending until then.
+    async fn pause(
         &mut self,
         epoch: Epoch,
-        mut ready: Vec<Option<RankReport>>,
+        mut reports: Vec<Option<RankReport>>,
     ) -> Option<(Pass, Vec<Option<RankReport>>)> {
-        let mut last = ready.iter().flatten().map(|report| report.pass).max()?;
-        let rank = holder(&ready)?;
-        for _ in 0..HOLD_TRIES {
+        let mut last = reports.iter().flatten().map(|report| report.pass).max()?;
+        let rank = pausing_rank(&reports)?;
+        for _ in 0..MAX_PAUSE_ATTEMPTS {
             let pass = last + PASSES_AHEAD;
-            let hold = PendingHold { epoch, pass, rank };
-            self.life.pending_hold = Some(hold);
-            match self.see_hold(hold).await {
-                HoldSeen::Holds => {
-                    ready[rank].as_mut()?.paused_before = Some(pass);
-                    return Some((pass, ready));
+            let pause = PendingPause { epoch, pass, rank };
+            self.epoch_state.pending_pause = Some(pause);
+            match self.send_pause(pause).await {
+                PauseStatus::Paused => {
+                    reports[rank].as_mut()?.paused_before = Some(pass);
+                    return Some((pass, reports));
                 }
-                HoldSeen::Missed { begun } => last = begun,
-                HoldSeen::Unknown => return None,
+                PauseStatus::Missed { last_pass } => last = last_pass,
+                PauseStatus::Unknown => return None,
             }
         }
         None
     }
 
-    /// Whether a hold that was ordered may still arrive.
-    pub(crate) fn awaits_hold(&self, epoch: Epoch, reports: &[Option<RankReport>]) -> bool {
-        let pending = self.life.pending_hold;
+    /// Whether a pause command may still be executed that no report has shown yet.
+    pub(crate) fn is_pause_pending(&self, epoch: Epoch, reports: &[Option<RankReport>]) -> bool {
+        let pending = self.epoch_state.pending_pause;
         let has_begun = |pass: Pass| reports.iter().flatten().any(|report| report.pass >= pass);
-        pending.is_some_and(|hold| hold.epoch == epoch && !has_begun(hold.pass))
+        pending.is_some_and(|pause| pause.epoch == epoch && !has_begun(pause.pass))
     }
 
-    /// Goes on with a hold that was ordered and not seen.
-    pub(crate) async fn finish_hold(&mut self) {
-        let Some(hold) = self.life.pending_hold else {
+    /// Resends the pending pause command, and continues the switch if the group is paused.
+    pub(crate) async fn resume_pending_pause(&mut self) {
+        let Some(pause) = self.epoch_state.pending_pause else {
             return;
         };
-        if self.see_hold(hold).await == HoldSeen::Holds {
-            self.resolve(None).await;
+        if self.send_pause(pause).await == PauseStatus::Paused {
+            self.advance_switch(None).await;
         }
     }
 
-    /// Orders the hold until a report shows it or its pass has begun, for a turn.
-    async fn see_hold(&mut self, hold: PendingHold) -> HoldSeen {
-        let PendingHold { epoch, pass, rank } = hold;
+    /// Sends the pause command repeatedly, until a report shows the pause, its pass has begun,
+    /// or the time-out expires.
+    async fn send_pause(&mut self, pause: PendingPause) -> PauseStatus {
+        let PendingPause { epoch, pass, rank } = pause;
         let began = Instant::now();
-        let order = RankCommand::Pause { epoch, pass };
-        while began.elapsed() < TURN && !self.leadership.is_succeeded() {
-            let question = |_| Question {
-                orders: vec![order.clone()],
+        let command = RankCommand::Pause { epoch, pass };
+        while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
+            let request = |_| Question {
+                orders: vec![command.clone()],
                 ..Question::default()
             };
-            let answers = self.ask(&[rank], question).await;
-            let report = answers.into_iter().find_map(|answer| answer.report);
-            match report.map(|report| seen_in(&report, epoch, pass)) {
-                Some(HoldSeen::Unknown) => {}
-                Some(seen) => {
-                    self.life.pending_hold = None;
-                    return seen;
+            let replies = self.request(&[rank], request).await;
+            let report = replies.into_iter().find_map(|reply| reply.report);
+            match report.map(|report| pause_status(&report, epoch, pass)) {
+                Some(PauseStatus::Unknown) => {}
+                Some(status) => {
+                    self.epoch_state.pending_pause = None;
+                    return status;
                 }
-                None => sleep(STALLED_CHECK).await,
+                None => sleep(STALLED_POLL_INTERVAL).await,
             }
         }
-        HoldSeen::Unknown
+        PauseStatus::Unknown
     }
 
-    /// Goes on with whatever is under way until nothing is, or for a turn.
+    /// Continues the switch in progress until it is complete or the time-out expires.
     ///
-    /// `known` are reports read since this leader's last order; without them all
-    /// ranks are read first. Only ranks that get an order are asked: what the
-    /// others have shown stays so while a rank holds.
-    pub(crate) async fn resolve(&mut self, mut known: Option<Vec<Option<RankReport>>>) {
+    /// `known` are reports that were read after this leader's last command. Without them, all
+    /// ranks are polled first. Afterwards only the ranks that get a command are polled, as the
+    /// reports of the others do not change while the group is paused.
+    pub(crate) async fn advance_switch(&mut self, mut known: Option<Vec<Option<RankReport>>>) {
         let began = Instant::now();
-        let newest = self.life.newest;
-        while began.elapsed() < TURN && !self.leadership.is_succeeded() {
-            let mut seen = match known.take() {
-                Some(seen) => seen,
-                None => reports(self.ask_all(|_| Question::default()).await),
+        let newest = self.epoch_state.newest;
+        while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
+            let mut latest_reports = match known.take() {
+                Some(latest_reports) => latest_reports,
+                None => reports_from(self.request_all(|_| Question::default()).await),
             };
-            match next_step(&seen, newest) {
+            match next_step(&latest_reports, newest) {
                 SwitchStep::Idle { .. } => return,
-                SwitchStep::SendCommands(orders) => {
-                    let is_last = orders.iter().all(|(_, order)| order.is_release());
-                    self.give(orders, &mut seen).await;
-                    // A pass that has begun has changed every rank.
-                    known = (!is_last).then_some(seen);
+                SwitchStep::SendCommands(commands) => {
+                    let is_last = commands.iter().all(|(_, command)| command.is_release());
+                    self.send_commands(commands, &mut latest_reports).await;
+                    // After the release, the pass begins and all reports change.
+                    known = (!is_last).then_some(latest_reports);
                 }
-                SwitchStep::PrepareNewVersion { epoch } => return self.renew(epoch).await,
-                SwitchStep::Wait => sleep(STALLED_CHECK).await,
+                SwitchStep::PrepareNewVersion { epoch } => return self.prepare_again(epoch).await,
+                SwitchStep::Wait => sleep(STALLED_POLL_INTERVAL).await,
             }
         }
-        log::warn!(group = &*self.name, after_ms = elapsed_ms(began); "a switch is still under way");
+        log::warn!(group = &*self.name, after_ms = elapsed_ms(began); "map switch not completed yet");
     }
 
-    /// Gives orders by rank and takes in the reports of these ranks.
-    async fn give(&mut self, orders: Vec<(usize, RankCommand)>, seen: &mut [Option<RankReport>]) {
-        let ranks: Vec<usize> = orders.iter().map(|(rank, _)| *rank).collect();
-        let question = |rank: usize| Question {
-            orders: orders_of(&orders, rank),
+    /// Sends commands to ranks and stores the new reports of these ranks in `latest_reports`.
+    async fn send_commands(
+        &mut self,
+        commands: Vec<(usize, RankCommand)>,
+        latest_reports: &mut [Option<RankReport>],
+    ) {
+        let ranks: Vec<usize> = commands.iter().map(|(rank, _)| *rank).collect();
+        let request = |rank: usize| Question {
+            orders: commands_for(&commands, rank),
             ..Question::default()
         };
-        let answers = self.ask(&ranks, question).await;
-        for (rank, answer) in ranks.into_iter().zip(answers) {
-            seen[rank] = answer.report;
+        let replies = self.request(&ranks, request).await;
+        for (rank, reply) in ranks.into_iter().zip(replies) {
+            latest_reports[rank] = reply.report;
         }
     }
 
-    /// Puts a hold without a common prepared map to use: the map in use is
-    /// prepared as a new version, which copies nothing, and armed at the next
-    /// turn.
-    async fn renew(&mut self, epoch: Epoch) {
-        let map = self.life.map.clone();
+    /// Prepares the map in use again as a new version, for a paused group whose ranks have no
+    /// prepared version in common. This requires no copies. The version is armed in the next
+    /// step.
+    async fn prepare_again(&mut self, epoch: Epoch) {
+        let map = self.epoch_state.map.clone();
         let Some((_, _, map)) = map.filter(|(known, _, _)| *known == epoch) else {
-            return self.learn_held_map(epoch).await;
+            return self.fetch_map_of_paused_group(epoch).await;
         };
-        let version = self.issue();
-        log::warn!(group = &*self.name, version; "a hold without a common map is put to use");
-        self.prepare_held(epoch, version, &map).await;
+        let version = self.issue_version();
+        log::warn!(group = &*self.name, version; "group is paused without a common prepared map; preparing the map in use");
+        self.prepare_in_paused_group(epoch, version, &map).await;
     }
 
-    /// Prepares at ranks of which one holds; [`prepare`](Self::prepare) waits
-    /// for ranks that do not.
-    async fn prepare_held(&mut self, epoch: Epoch, version: MapVersion, map: &ExpertMap) {
+    /// Sends prepare commands to a paused group until all ranks have prepared the version.
+    /// [`prepare`](Self::prepare) cannot be used, as it only accepts ranks without a pause.
+    async fn prepare_in_paused_group(
+        &mut self,
+        epoch: Epoch,
+        version: MapVersion,
+        map: &ExpertMap,
+    ) {
         let began = Instant::now();
-        let order = RankCommand::Prepare {
+        let command = RankCommand::Prepare {
             epoch,
             version,
             map: map.clone(),
         };
-        while began.elapsed() < TURN && !self.leadership.is_succeeded() {
-            let question = |_| Question {
-                orders: vec![order.clone()],
+        while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
+            let request = |_| Question {
+                orders: vec![command.clone()],
                 ..Question::default()
             };
-            let reports = reports(self.ask_all(question).await);
-            let has_it = |report: &Option<RankReport>| {
+            let reports = reports_from(self.request_all(request).await);
+            let is_prepared = |report: &Option<RankReport>| {
                 report
                     .as_ref()
-                    .is_some_and(|it| it.prepared == Some(version))
+                    .is_some_and(|report| report.prepared == Some(version))
             };
-            if reports.iter().all(has_it) {
+            if reports.iter().all(is_prepared) {
                 return;
             }
-            sleep(COPY_CHECK).await;
+            sleep(COPY_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether the group has begun a pass with the version. All ranks begin a
-    /// pass together, so one of them tells.
-    async fn has_version(&mut self, version: MapVersion) -> bool {
-        let answers = self.ask(&[0], |_| Question::default()).await;
-        let reports = reports(answers);
+    /// Whether the group has begun a pass with the version. All ranks begin a pass together,
+    /// so one rank's report is enough.
+    async fn has_switched_to(&mut self, version: MapVersion) -> bool {
+        let replies = self.request(&[0], |_| Question::default()).await;
+        let reports = reports_from(replies);
         reports
             .iter()
             .flatten()
@@ -360,79 +378,79 @@
     }
 }
 
-/// The rank that is to hold: the one with the least work.
+/// Selects the rank that pauses the group: the one with the least work.
 ///
-/// Any rank may hold, but where its VM freezes before the hold is over, what it has cannot be
-/// taken from it while the whole group stands still.
-fn holder(reports: &[Option<RankReport>]) -> Option<usize> {
+/// Any rank could. But if its VM freezes before the release, its requests cannot be moved to
+/// another engine while the whole group is stalled.
+fn pausing_rank(reports: &[Option<RankReport>]) -> Option<usize> {
     let ranks = reports.iter().enumerate();
     let known = ranks.filter_map(|(rank, report)| Some((rank, report.as_ref()?)));
-    let least = known.min_by_key(|(_, report)| (report.waiting, report.running));
-    least.map(|(rank, _)| rank)
+    let least_loaded = known.min_by_key(|(_, report)| (report.waiting, report.running));
+    least_loaded.map(|(rank, _)| rank)
 }
 
-/// Ranks that have copied the experts of a map.
-struct Prepared {
-    /// Their reports.
+/// Result of a successful [`prepare`](GroupLoop::prepare).
+struct PreparedRanks {
+    /// The reports of the ranks, all of which are ready.
     reports: Vec<Option<RankReport>>,
-    /// Whether an order went unanswered on the way.
-    is_in_doubt: bool,
+    /// Whether a command got no reply or a repeated command was refused.
+    had_unanswered_command: bool,
 }
 
-fn has_answered(answer: &Answer) -> bool {
-    let order = answer.orders.first();
-    answer.report.is_some() && order.is_some_and(|it| *it != CommandOutcome::Unknown)
+fn has_replied(reply: &Answer) -> bool {
+    let outcome = reply.orders.first();
+    reply.report.is_some() && outcome.is_some_and(|outcome| *outcome != CommandOutcome::Unknown)
 }
 
-/// What a report shows of a hold that was ordered.
+/// State of a pause command, as derived from a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HoldSeen {
-    /// The rank holds.
-    Holds,
-    /// The pass has begun, or the group has formed anew: the hold can't arrive
-    /// any more.
+enum PauseStatus {
+    /// The rank pauses the group.
+    Paused,
+    /// The pass has begun, or the group has formed again, so the command can no longer be
+    /// executed.
     Missed {
         /// The last pass begun.
-        begun: Pass,
+        last_pass: Pass,
     },
-    /// It may still arrive.
+    /// The command may still be executed.
     Unknown,
 }
 
-fn seen_in(report: &RankReport, epoch: Epoch, pass: Pass) -> HoldSeen {
+fn pause_status(report: &RankReport, epoch: Epoch, pass: Pass) -> PauseStatus {
     match report.paused_before {
-        _ if report.epoch != epoch || report.pass >= pass => {
-            HoldSeen::Missed { begun: report.pass }
-        }
-        Some(held) if held == pass => HoldSeen::Holds,
-        _ => HoldSeen::Unknown,
+        _ if report.epoch != epoch || report.pass >= pass => PauseStatus::Missed {
+            last_pass: report.pass,
+        },
+        Some(paused) if paused == pass => PauseStatus::Paused,
+        _ => PauseStatus::Unknown,
     }
 }
 
-/// What became of an order that may have to be given again.
+/// The last attempt to send the prepare command to one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Given {
-    /// It was not given yet.
-    Not,
-    /// It was given then, and not answered.
-    At(Instant),
-    /// It was accepted.
+enum Attempt {
+    /// Not sent yet.
+    Unsent,
+    /// Sent at this time, and not accepted.
+    SentAt(Instant),
+    /// Accepted by the engine.
     Accepted,
 }
 
-impl Given {
+impl Attempt {
     fn is_due(&self) -> bool {
         match self {
-            Self::Not => true,
-            Self::At(at) => at.elapsed() >= REPEAT_AFTER,
+            Self::Unsent => true,
+            Self::SentAt(at) => at.elapsed() >= PREPARE_RETRY_DELAY,
             Self::Accepted => false,
         }
     }
 }
 
-fn orders_of(orders: &[(usize, RankCommand)], rank: usize) -> Vec<RankCommand> {
-    let of_rank = orders.iter().filter(|(to, _)| *to == rank);
-    of_rank.map(|(_, order)| order.clone()).collect()
+fn commands_for(commands: &[(usize, RankCommand)], rank: usize) -> Vec<RankCommand> {
+    let for_rank = commands.iter().filter(|(to, _)| *to == rank);
+    for_rank.map(|(_, command)| command.clone()).collect()
 }
 
 fn elapsed_ms(since: Instant) -> u64 {
--- a/crates/groups/tests/counts_window.rs
+++ b/crates/groups/tests/counts_window.rs
@@ -1,73 +1,70 @@
-//! Whose counts a leader reads.
+//! Tests which ranks a leader polls for their counts on links of different speeds.
 
 use berylhook_groups::counts_window::CountsWindow;
 
 const RANKS: usize = 192;
-const NUMBERS: usize = 3_840;
+const COUNTERS_PER_RANK: usize = 3_840;
 
-/// A link over which the answers of that many ranks come in time.
+/// A link on which the replies of at most `max_replies` ranks arrive in time.
 struct Link {
-    carries_ranks: usize,
+    max_replies: usize,
 }
 
-/// Reads `readings` times; gives how often each rank's counts came. Beyond what the link
-/// carries everything is late, as the answers share it.
-fn read(link: &Link, readings: usize) -> Vec<usize> {
-    let mut counted = CountsWindow::new(NUMBERS);
-    let mut came = vec![0; RANKS];
-    for _ in 0..readings {
-        let asked: Vec<usize> = (0..RANKS)
-            .filter(|rank| counted.includes(*rank, RANKS))
+/// Polls a group `polls` times and returns how often the counts of each rank arrived. All
+/// replies are late if there are more than the link can carry, as they share it.
+fn poll_group(link: &Link, polls: usize) -> Vec<usize> {
+    let mut window = CountsWindow::new(COUNTERS_PER_RANK);
+    let mut received = vec![0; RANKS];
+    for _ in 0..polls {
+        let requested: Vec<usize> = (0..RANKS)
+            .filter(|rank| window.includes(*rank, RANKS))
             .collect();
-        let is_in_time = asked.len() <= link.carries_ranks;
+        let is_in_time = requested.len() <= link.max_replies;
         if is_in_time {
-            for rank in &asked {
-                came[*rank] += 1;
+            for rank in &requested {
+                received[*rank] += 1;
             }
         }
-        counted.record_poll(RANKS, if is_in_time { 0 } else { asked.len() });
+        window.record_poll(RANKS, if is_in_time { 0 } else { requested.len() });
     }
-    came
+    received
 }
 
-// Symptom: after a loss of power no map of a group of 192 ranks changes any more, and
-// passes stay four times as long. Sequence: the entry that is elected has a link of 40
-// Mbit/s; it asks all agents at once for whole counts; none of the answers is there in
-// time; it asks for the whole of all of them again. Cause: nothing made the leader ask
-// for less than its link carries.
+// Guards against a group of 192 ranks whose map never changes after a power failure, so
+// that passes stay four times as long. This occurs if the elected entry has a link of 40
+// Mbit/s and requests full counts from all agents at once: no reply arrives in time, and
+// it repeats the same request instead of requesting less.
 #[test]
-fn a_leader_on_a_narrow_link_reads_by_turns() {
-    let narrow = Link { carries_ranks: 40 };
+fn slow_link_polls_all_ranks_in_rotation() {
+    let slow_link = Link { max_replies: 40 };
 
-    let came = read(&narrow, 40);
+    let received = poll_group(&slow_link, 40);
 
-    assert!(came.iter().all(|times| *times >= 2), "{came:?}");
+    assert!(received.iter().all(|times| *times >= 2), "{received:?}");
 }
 
 #[test]
-fn a_leader_on_a_wide_link_soon_reads_all_ranks_each_time() {
-    let wide = Link {
-        carries_ranks: RANKS,
-    };
+fn fast_link_soon_polls_all_ranks_each_time() {
+    let fast_link = Link { max_replies: RANKS };
 
-    let came = read(&wide, 8);
+    let received = poll_group(&fast_link, 8);
 
-    assert!(came.iter().all(|times| *times >= 4), "{came:?}");
+    assert!(received.iter().all(|times| *times >= 4), "{received:?}");
 }
 
 #[test]
-fn a_small_group_is_read_whole_from_the_first_time_on() {
-    let counted = CountsWindow::new(1_536);
+fn first_poll_of_a_small_group_includes_all_ranks() {
+    let window = CountsWindow::new(1_536);
 
-    assert!((0..24).all(|rank| counted.includes(rank, 24)));
+    assert!((0..24).all(|rank| window.includes(rank, 24)));
 }
 
 #[test]
-fn an_agent_that_is_gone_does_not_slow_the_others() {
-    let mut counted = CountsWindow::new(NUMBERS);
+fn one_missing_agent_does_not_shrink_the_window() {
+    let mut window = CountsWindow::new(COUNTERS_PER_RANK);
     for _ in 0..6 {
-        counted.record_poll(RANKS, 1);
+        window.record_poll(RANKS, 1);
     }
 
-    assert!((0..RANKS).all(|rank| counted.includes(rank, RANKS)));
+    assert!((0..RANKS).all(|rank| window.includes(rank, RANKS)));
 }
--- a/crates/groups/tests/restored_elections.rs
+++ b/crates/groups/tests/restored_elections.rs
@@ -1,8 +1,10 @@
-//! Elections over a store that is restored from older copies, in many random orders.
+//! Simulates elections with a store that is restored from older copies, in many random orders
+//! of events.
 //!
-//! Candidates take each step of an election by itself, so restores, lapses of leases, other
-//! elections and restarts of agents fall between any two. A leader acts once every agent
-//! has taken its number; from then on no agent may relay for a leader elected before it.
+//! Each candidate takes the steps of an election one at a time, so restores, expired leases,
+//! other elections and restarts of agents can occur between any two steps. A leader acts once
+//! every agent has accepted its fencing token. From then on, no agent may relay commands of a
+//! leader that was elected before.
 
 use berylhook_groups::handover::{elected_fencing_token, transferred_fencing_token};
 use berylhook_relay::Fence;
@@ -12,17 +14,18 @@
 const AGENTS: usize = 2;
 const STEPS: u64 = 120;
 
-/// Random orders played by a usual test run.
-const PLAYS: u64 = 100_000;
+/// Default number of simulated runs, each with its own seed.
+const RUNS: u64 = 100_000;
 
-/// Names another number of plays, such as `BERYLHOOK_PLAYS=3000000`.
-const PLAYS_VARIABLE: &str = "BERYLHOOK_PLAYS";
+/// Environment variable that sets another number of runs, for example
+/// `BERYLHOOK_PLAYS=3000000`.
+const RUNS_VARIABLE: &str = "BERYLHOOK_PLAYS";
 
-/// Numbers that look random: the finalizer of splitmix64 over a counter.
+/// Pseudorandom numbers: the finalizer of splitmix64 over a counter.
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
+    fn next_below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -30,18 +33,18 @@
         (mixed ^ (mixed >> 31)) % bound
     }
 
-    fn pick(&mut self, count: usize) -> usize {
-        usize::try_from(self.below(count as u64)).expect("it is small")
+    fn pick_index(&mut self, count: usize) -> usize {
+        usize::try_from(self.next_below(count as u64)).expect("the number is less than `count`")
     }
 }
 
-/// What is in the store, and in each copy of it.
+/// The content of the store, or of a copy of it.
 #[derive(Clone, Default)]
 struct Contents {
     revision: u64,
     /// The candidate that holds the leader's key.
     leader: Option<usize>,
-    /// The fencing number kept in each era, and the revision that wrote it.
+    /// The fencing token of each era, and the revision that wrote it.
     fences: IndexMap<u64, (u64, u64)>,
 }
 
@@ -54,52 +57,57 @@
 #[derive(Default)]
 struct Store {
     era: u64,
-    now: Contents,
+    current: Contents,
     copies: Vec<Contents>,
 }
 
 impl Store {
     fn write(&mut self, change: impl FnOnce(&mut Contents)) {
-        self.now.revision += 1;
-        change(&mut self.now);
+        self.current.revision += 1;
+        change(&mut self.current);
     }
 
     fn restore(&mut self, random: &mut Random) {
-        self.copies.push(self.now.clone());
-        let copy = self.copies[random.pick(self.copies.len())].clone();
-        // A copy that is restored is older than all that is written from then on.
-        self.copies.retain(|it| it.revision <= copy.revision);
-        self.now = copy;
+        self.copies.push(self.current.clone());
+        let copy = self.copies[random.pick_index(self.copies.len())].clone();
+        // A later restore uses a copy older than everything written from now on, so newer
+        // copies are discarded.
+        self.copies.retain(|other| other.revision <= copy.revision);
+        self.current = copy;
         self.era += 1;
     }
 }
 
-/// How far a candidate has come.
+/// Progress of a candidate in an election.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Stage {
+enum CandidateState {
     #[default]
-    Out,
-    /// It saw the leader's key free in that era.
-    Standing { era: u64 },
-    /// It wrote the leader's key.
+    Idle,
+    /// Has read in this era that the leader's key does not exist.
+    KeyIsFree { era: u64 },
+    /// Has written the leader's key.
     Elected { era: u64 },
-    /// It read the fencing number kept, at a revision.
-    HasRead { era: u64, kept: u64, revision: u64 },
-    /// It has a fencing number, and so many agents have taken it.
-    Leads { fence: u64, taken_by: usize },
+    /// Has read the fencing token in the store, and the revision that wrote it.
+    TokenRead {
+        era: u64,
+        stored: u64,
+        revision: u64,
+    },
+    /// Has a fencing token, which `accepted_by` agents have accepted.
+    Leading { fence: u64, accepted_by: usize },
 }
 
-struct World {
+struct Simulation {
     random: Random,
     store: Store,
-    candidates: [Stage; CANDIDATES],
+    candidates: [CandidateState; CANDIDATES],
     agents: [Fence; AGENTS],
     used: IndexSet<u64>,
-    /// When each number's leader began to act.
-    acting: IndexMap<u64, usize>,
+    /// The fencing tokens of all leaders that have begun to act, with their order.
+    order_of_acting: IndexMap<u64, usize>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: Random(seed),
@@ -107,160 +115,181 @@
             candidates: Default::default(),
             agents: Default::default(),
             used: IndexSet::new(),
-            acting: IndexMap::new(),
+            order_of_acting: IndexMap::new(),
         }
     }
 
     fn step(&mut self) {
-        match self.random.below(20) {
+        match self.random.next_below(20) {
             0 => self.store.restore(&mut self.random),
             1 => {
-                let copy = self.store.now.clone();
+                let copy = self.store.current.clone();
                 self.store.copies.push(copy);
             }
-            2 => self.store.write(|now| now.leader = None),
+            2 => self.store.write(|current| current.leader = None),
             3 => {
-                let agent = self.random.pick(AGENTS);
+                let agent = self.random.pick_index(AGENTS);
                 self.agents[agent] = Fence::default();
             }
             4 => {
-                let agent = self.random.pick(AGENTS);
+                let agent = self.random.pick_index(AGENTS);
                 let era = self.store.era;
-                self.agents[agent].on_kept(self.store.now.fence(era).0, era);
+                self.agents[agent].on_kept(self.store.current.fence(era).0, era);
             }
             5 => self.transfer(),
             _ => {
-                let candidate = self.random.pick(CANDIDATES);
+                let candidate = self.random.pick_index(CANDIDATES);
                 self.candidates[candidate] = self.advance(candidate);
             }
         }
     }
 
-    fn advance(&mut self, candidate: usize) -> Stage {
+    fn advance(&mut self, candidate: usize) -> CandidateState {
         let era = self.store.era;
         match self.candidates[candidate] {
-            Stage::Out if self.store.now.leader.is_none() => Stage::Standing { era },
-            Stage::Out => Stage::Out,
-            Stage::Standing { era: before } => self.take_office(candidate, before),
-            Stage::Elected { era: before } if before == era => Stage::HasRead {
-                era,
-                kept: self.store.now.fence(era).0,
-                revision: self.store.now.fence(era).1,
-            },
-            Stage::Elected { .. } => Stage::Out,
-            Stage::HasRead {
+            CandidateState::Idle if self.store.current.leader.is_none() => {
+                CandidateState::KeyIsFree { era }
+            }
+            CandidateState::Idle => CandidateState::Idle,
+            CandidateState::KeyIsFree { era: era_before } => {
+                self.write_leader_key(candidate, era_before)
+            }
+            CandidateState::Elected { era: era_before } if era_before == era => {
+                CandidateState::TokenRead {
+                    era,
+                    stored: self.store.current.fence(era).0,
+                    revision: self.store.current.fence(era).1,
+                }
+            }
+            CandidateState::Elected { .. } => CandidateState::Idle,
+            CandidateState::TokenRead {
                 era,
-                kept,
+                stored,
                 revision,
-            } => self.take_fence(era, kept, revision),
-            Stage::Leads { fence, taken_by } => self.lead(fence, taken_by),
+            } => self.claim_fencing_token(era, stored, revision),
+            CandidateState::Leading { fence, accepted_by } => self.send_request(fence, accepted_by),
         }
     }
 
-    fn take_office(&mut self, candidate: usize, before: u64) -> Stage {
-        if self.store.now.leader.is_some() {
-            return Stage::Out;
+    fn write_leader_key(&mut self, candidate: usize, era_before: u64) -> CandidateState {
+        if self.store.current.leader.is_some() {
+            return CandidateState::Idle;
         }
-        self.store.write(|now| now.leader = Some(candidate));
+        self.store.write(|current| current.leader = Some(candidate));
         match self.store.era {
-            era if era == before => Stage::Elected { era },
-            _ => Stage::Out,
+            era if era == era_before => CandidateState::Elected { era },
+            _ => CandidateState::Idle,
         }
     }
 
-    /// The store compares revisions alone; the answer tells the era.
-    fn take_fence(&mut self, era: u64, kept: u64, revision: u64) -> Stage {
-        if self.store.now.fence(era).1 != revision {
-            return Stage::Out;
+    /// The store compares only revisions when it writes. The candidate checks the era in the
+    /// reply.
+    fn claim_fencing_token(&mut self, era: u64, stored: u64, revision: u64) -> CandidateState {
+        if self.store.current.fence(era).1 != revision {
+            return CandidateState::Idle;
         }
-        let fence = elected_fencing_token(era, kept);
-        self.store.write(|now| {
-            now.fences.insert(era, (fence, now.revision));
+        let fence = elected_fencing_token(era, stored);
+        self.store.write(|current| {
+            current.fences.insert(era, (fence, current.revision));
         });
         if self.store.era != era {
-            return Stage::Out;
+            return CandidateState::Idle;
         }
         assert!(
             self.used.insert(fence),
-            "two leaders have the number {fence}"
+            "two leaders have the fencing token {fence}"
         );
-        Stage::Leads { fence, taken_by: 0 }
+        CandidateState::Leading {
+            fence,
+            accepted_by: 0,
+        }
     }
 
-    fn lead(&mut self, fence: u64, taken_by: usize) -> Stage {
-        let agent = match taken_by {
-            asked if asked < AGENTS => asked,
-            _ => self.random.pick(AGENTS),
+    fn send_request(&mut self, fence: u64, accepted_by: usize) -> CandidateState {
+        let agent = match accepted_by {
+            accepted if accepted < AGENTS => accepted,
+            _ => self.random.pick_index(AGENTS),
         };
         if !self.agents[agent].may_order() {
-            return Stage::Leads { fence, taken_by };
+            return CandidateState::Leading { fence, accepted_by };
         }
         match self.agents[agent].check(fence) {
-            Err(_) => Stage::Out,
-            Ok(()) if taken_by < AGENTS => self.is_taken(fence, taken_by + 1),
+            Err(_) => CandidateState::Idle,
+            Ok(()) if accepted_by < AGENTS => self.token_accepted(fence, accepted_by + 1),
             Ok(()) => {
                 self.assert_newest(fence);
-                Stage::Leads { fence, taken_by }
+                CandidateState::Leading { fence, accepted_by }
             }
         }
     }
 
-    fn is_taken(&mut self, fence: u64, taken_by: usize) -> Stage {
-        if taken_by == AGENTS {
-            let order = self.acting.len();
-            self.acting.insert(fence, order);
+    fn token_accepted(&mut self, fence: u64, accepted_by: usize) -> CandidateState {
+        if accepted_by == AGENTS {
+            let order = self.order_of_acting.len();
+            self.order_of_acting.insert(fence, order);
         }
-        Stage::Leads { fence, taken_by }
+        CandidateState::Leading { fence, accepted_by }
     }
 
-    /// No order is relayed for a leader after a later one has begun to act.
+    /// Asserts that no command of a leader is relayed after a later one has begun to act.
     fn assert_newest(&self, fence: u64) {
-        let own = self.acting[&fence];
-        let newest = self.acting.len() - 1;
-        assert_eq!(own, newest, "{fence} still orders: {:?}", self.acting);
+        let own_order = self.order_of_acting[&fence];
+        let newest_order = self.order_of_acting.len() - 1;
+        assert_eq!(
+            own_order, newest_order,
+            "commands of {fence} are still relayed: {:?}",
+            self.order_of_acting
+        );
     }
 
-    /// A leader that stops hands its leadership over, and gives no order any more.
+    /// A leader transfers its leadership to another candidate, and sends no more commands.
     fn transfer(&mut self) {
-        let (from, to) = (self.random.pick(CANDIDATES), self.random.pick(CANDIDATES));
-        let Stage::Leads { fence, .. } = self.candidates[from] else {
+        let (from, to) = (
+            self.random.pick_index(CANDIDATES),
+            self.random.pick_index(CANDIDATES),
+        );
+        let CandidateState::Leading { fence, .. } = self.candidates[from] else {
             return;
         };
         let Some(next) = transferred_fencing_token(fence).filter(|_| from != to) else {
             return;
         };
-        assert!(self.used.insert(next), "two leaders have the number {next}");
-        self.candidates[from] = Stage::Out;
-        self.candidates[to] = Stage::Leads {
+        assert!(
+            self.used.insert(next),
+            "two leaders have the fencing token {next}"
+        );
+        self.candidates[from] = CandidateState::Idle;
+        self.candidates[to] = CandidateState::Leading {
             fence: next,
-            taken_by: 0,
+            accepted_by: 0,
         };
     }
 }
 
-fn plays() -> u64 {
-    let named = std::env::var(PLAYS_VARIABLE);
-    named.map_or(PLAYS, |plays| plays.parse().expect("a number of plays"))
+fn runs() -> u64 {
+    let variable = std::env::var(RUNS_VARIABLE);
+    variable.map_or(RUNS, |runs| runs.parse().expect("the variable is a number"))
 }
 
-/// Guards against two maps in one pass: a restored store gives the number of a lost election
-/// out again, or keeps that of a leader that was succeeded.
+/// Guards against ranks that use different maps in one pass. This occurs if a restored store
+/// issues the fencing token of a lost election again, or holds the token of a leader that has
+/// been succeeded.
 #[test]
-fn no_leader_orders_after_a_later_one_acts_whatever_is_restored() {
-    let mut acted = 0;
-    for seed in 0..plays() {
-        let mut world = World::new(seed);
+fn no_command_is_relayed_after_a_later_leader_acts() {
+    let mut leaders_acted = 0;
+    for seed in 0..runs() {
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        acted += world.acting.len();
+        leaders_acted += simulation.order_of_acting.len();
     }
-    assert!(acted > 0, "some leader acts");
+    assert!(leaders_acted > 0, "no leader has acted in any run");
 }
 
-/// Guards against a number that is not above all of the era before.
+/// Guards against fencing tokens that are not higher than all tokens of the previous era.
 #[test]
-fn a_number_of_a_later_era_is_higher_than_all_before() {
+fn token_of_a_later_era_is_higher_than_all_before() {
     let mut last = elected_fencing_token(0, 0);
     while let Some(next) = transferred_fencing_token(last) {
         last = next;
