--- a/crates/experts/src/adapt/set_search.rs
+++ b/crates/experts/src/adapt/set_search.rs
@@ -1,4 +1,5 @@
-//! Searches one layer set for the move that lowers the load imbalance most.
+//! Searches one layer set for the move that lowers the load imbalance most. The imbalance is
+//! the sum of a high power of the ranks' times.
 
 use super::limits::CopyLimits;
 
--- a/crates/experts/tests/switching.rs
+++ b/crates/experts/tests/switching.rs
@@ -17,7 +17,7 @@
 const RANKS: usize = 2;
 
 /// Maximum number of versions that one leader prepares.
-const VERSIONS: u64 = 2;
+const MAX_VERSIONS: u64 = 2;
 
 /// A deliberate fault in the protocol, which the search has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
     phase: LeaderPhase,
-    issued: u64,
+    versions_issued: u64,
     reports_read: Vec<Option<ReportedState>>,
 }
 
@@ -152,7 +152,7 @@
 fn initial_state(scope: Scope) -> State {
     let leader = |phase| Leader {
         phase,
-        issued: 0,
+        versions_issued: 0,
         reports_read: vec![None; RANKS],
     };
     State {
@@ -436,13 +436,13 @@
         LeaderPhase::Leading(Some(version), _) if state.ranks.iter().all(|rank| rank.version != version)
     );
     if !is_in_progress {
-        if state.leaders[leader].issued == VERSIONS {
+        if state.leaders[leader].versions_issued == MAX_VERSIONS {
             return None;
         }
-        state.leaders[leader].issued += 1;
+        state.leaders[leader].versions_issued += 1;
     }
     let mut versions = VersionSource::new(fence_of(leader));
-    let version = (0..state.leaders[leader].issued)
+    let version = (0..state.leaders[leader].versions_issued)
         .map(|_| versions.issue())
         .last()?;
     state.leaders[leader].phase = LeaderPhase::Leading(Some(version), None);
@@ -641,10 +641,10 @@
 // contain the fencing token, and two leaders issue versions at the same time.
 #[test]
 fn successor_issues_higher_versions() {
-    let mut previous = VersionSource::new(7);
+    let mut predecessor = VersionSource::new(7);
     let first_of_successor = VersionSource::new(8).issue();
 
     for _ in 0..1_000 {
-        assert!(previous.issue() < first_of_successor);
+        assert!(predecessor.issue() < first_of_successor);
     }
 }
--- a/crates/groups/tests/restored_elections.rs
+++ b/crates/groups/tests/restored_elections.rs
@@ -104,7 +104,7 @@
     agents: [Fence; AGENTS],
     used: IndexSet<u64>,
     /// The fencing tokens of all leaders that have begun to act, with their order.
-    order_of_acting: IndexMap<u64, usize>,
+    leader_order: IndexMap<u64, usize>,
 }
 
 impl Simulation {
@@ -115,7 +115,7 @@
             candidates: Default::default(),
             agents: Default::default(),
             used: IndexSet::new(),
-            order_of_acting: IndexMap::new(),
+            leader_order: IndexMap::new(),
         }
     }
 
@@ -225,20 +225,20 @@
 
     fn token_accepted(&mut self, fence: u64, accepted_by: usize) -> CandidateState {
         if accepted_by == AGENTS {
-            let order = self.order_of_acting.len();
-            self.order_of_acting.insert(fence, order);
+            let order = self.leader_order.len();
+            self.leader_order.insert(fence, order);
         }
         CandidateState::Leading { fence, accepted_by }
     }
 
     /// Asserts that no command of a leader is relayed after a later one has begun to act.
     fn assert_newest(&self, fence: u64) {
-        let own_order = self.order_of_acting[&fence];
-        let newest_order = self.order_of_acting.len() - 1;
+        let own_order = self.leader_order[&fence];
+        let newest_order = self.leader_order.len() - 1;
         assert_eq!(
             own_order, newest_order,
             "commands of {fence} are still relayed: {:?}",
-            self.order_of_acting
+            self.leader_order
         );
     }
 
@@ -282,7 +282,7 @@
         for _ in 0..STEPS {
             simulation.step();
         }
-        leaders_acted += simulation.order_of_acting.len();
+        leaders_acted += simulation.leader_order.len();
     }
     assert!(leaders_acted > 0, "no leader has acted in any run");
 }
