--- /dev/null
+++ b/crates/traffic/src/dispatch/target_table.rs
@@ -0,0 +1,606 @@
+//! The targets of a service, the load of each, and the choice of a target for a request.
+
+use std::sync::Arc;
+
+use berylhook_backpressure::gate::{
+    AdmissionGate, LimitChange, LimitState, SignalUpdate, WithheldReason,
+};
+use berylhook_backpressure::rate::RequestRate;
+use berylhook_backpressure::signal::BackpressureSignal;
+use berylhook_core::time::MonoMs;
+use indexmap::{IndexMap, IndexSet};
+
+use super::Load;
+use super::outage::GroupName;
+use crate::engine_update::{GroupUpdate, Slowdowns};
+use crate::health::{Health, HealthSample};
+use crate::ownership::{Membership, Preference};
+use crate::target::{Incarnation, Target};
+
+/// How long a report on the load of other entries at a target is considered current: about the
+/// duration of a short generation.
+const LOAD_REPORT_TTL_MS: u64 = 1_000;
+
+/// Weight of the newest number of running requests in the moving average. With some ten arrivals
+/// per second at an entry, the average follows the load within two seconds, and a few simultaneous
+/// arrivals do not look like a busier service.
+const RUNNING_WEIGHT: f64 = 0.05;
+
+/// A target with its load, its health and what it announced.
+struct TargetState {
+    target: Target,
+    group: GroupName,
+    running: u32,
+    health: Health,
+    /// Duration of its work as a multiple of the usual one; 1 or more.
+    slowdown: f64,
+    /// Requests of other entries at the target, and the time of that report.
+    others: Option<(u32, MonoMs)>,
+    preference: Preference,
+    /// Time of the last event on any stream from the target.
+    last_event_ms: MonoMs,
+    /// Decides whether the target's rate limit, backoff or leaving withholds requests.
+    gate: AdmissionGate,
+}
+
+impl TargetState {
+    fn new(target: Target) -> Self {
+        Self {
+            target,
+            group: None,
+            running: 0,
+            health: Health::default(),
+            slowdown: 1.0,
+            others: None,
+            preference: Preference {
+                is_owned: true,
+                penalty: 0.0,
+            },
+            last_event_ms: MonoMs(0),
+            gate: AdmissionGate::default(),
+        }
+    }
+
+    /// Requests at the target: those of this entry, and those of other entries as far as known.
+    ///
+    /// A target of another entry whose load is unknown is assumed to have the average load. If it
+    /// were assumed to be idle, it would attract requests from many entries as soon as each of
+    /// their owned targets has one.
+    fn load(&self, assumed: AssumedOtherLoad, now_ms: MonoMs) -> f64 {
+        let reported = self
+            .others
+            .filter(|(_, at_ms)| now_ms.since(*at_ms) < LOAD_REPORT_TTL_MS);
+        let others = match reported {
+            Some((count, _)) => f64::from(count),
+            None if self.preference.is_owned => assumed.at_owned,
+            None => assumed.at_other,
+        };
+        f64::from(self.running) + others
+    }
+}
+
+/// Assumed number of requests of other entries at a target that has not reported its load.
+#[derive(Clone, Copy, Debug)]
+struct AssumedOtherLoad {
+    /// At an owned target, which other entries use as far as their arcs overlap.
+    at_owned: f64,
+    /// At any other target.
+    at_other: f64,
+}
+
+/// The result of a search for a target.
+struct SearchResult {
+    target: Option<Target>,
+    /// Index of the preferred target, if its admission gate withholds the request.
+    withheld: Option<usize>,
+}
+
+/// The targets that may get requests.
+pub(super) struct TargetTable {
+    /// The entries that share the targets, as far as known.
+    membership: Membership,
+    /// Indices of the targets in the order in which they are searched: owned targets first, then by
+    /// penalty.
+    order: Vec<usize>,
+    /// The number of owned targets, which are the first of `order`.
+    owned_count: usize,
+    /// This entry's share of the total demand, from 0 to 1.
+    share: f64,
+    /// Width of the arc over which this entry spreads its requests, as a multiple of its share.
+    overlap: f64,
+    /// Mean number of slots per target.
+    slots_per_target: f64,
+    /// Moving average of `running`.
+    average_running: f64,
+    /// Whether any request was placed yet.
+    has_placed: bool,
+    /// Requests of this entry at all targets.
+    running: u32,
+    /// The groups of the targets.
+    groups: IndexSet<GroupName>,
+    /// The fixed duration of a target's work, in which no generation runs, expressed as a number of
+    /// requests.
+    base_load: f64,
+    /// Requests that could not go to their preferred target, by reason.
+    withheld_counts: IndexMap<WithheldReason, u32>,
+    /// Keyed by incarnation: what was learnt of a previous incarnation says nothing about a target
+    /// that has restarted under the same id.
+    states: IndexMap<Incarnation, TargetState>,
+}
+
+impl TargetTable {
+    pub(super) fn new(membership: Membership, base_load: f64) -> Self {
+        Self {
+            membership,
+            order: Vec::new(),
+            owned_count: 0,
+            share: 1.0,
+            overlap: 1.0,
+            slots_per_target: 0.0,
+            average_running: 0.0,
+            has_placed: false,
+            running: 0,
+            groups: IndexSet::new(),
+            base_load,
+            withheld_counts: IndexMap::new(),
+            states: IndexMap::new(),
+        }
+    }
+
+    pub(super) fn contains(&self, incarnation: &Incarnation) -> bool {
+        self.states.contains_key(incarnation)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.states.len()
+    }
+
+    /// Replaces the targets that may get requests. Targets that stay keep their state.
+    pub(super) fn set_targets<'a>(&mut self, targets: impl Iterator<Item = &'a Target>) {
+        let mut before = std::mem::take(&mut self.states);
+        for target in targets {
+            let state = match before.swap_remove(&target.incarnation) {
+                Some(state) => TargetState {
+                    target: target.clone(),
+                    ..state
+                },
+                None => TargetState::new(target.clone()),
+            };
+            self.states.insert(target.incarnation.clone(), state);
+        }
+        self.collect_groups();
+        self.update_preferences();
+    }
+
+    /// Replaces the entries that share the targets.
+    pub(super) fn set_membership(&mut self, membership: Membership) {
+        self.membership = membership;
+        self.update_preferences();
+    }
+
+    /// Computes which targets this entry owns, and the penalties of the others.
+    fn update_preferences(&mut self) {
+        let targets: Vec<&Target> = self.states.values().map(|state| &state.target).collect();
+        let preferences = self.membership.preferences(&targets, self.average_running);
+        for (state, preference) in self.states.values_mut().zip(&preferences.targets) {
+            state.preference = *preference;
+        }
+        let by_index = &preferences.targets;
+        self.order = (0..by_index.len()).collect();
+        let key = |index: &usize| (!by_index[*index].is_owned, by_index[*index].penalty);
+        self.order.sort_by(|a, b| {
+            let ((a_other, a_penalty), (b_other, b_penalty)) = (key(a), key(b));
+            a_other.cmp(&b_other).then(a_penalty.total_cmp(&b_penalty))
+        });
+        self.owned_count = by_index.iter().filter(|it| it.is_owned).count();
+        self.share = preferences.share;
+        self.overlap = preferences.overlap;
+        #[allow(clippy::cast_precision_loss)] // ten thousand at most
+        let count = self.states.len().max(1) as f64;
+        self.slots_per_target = f64::from(self.total_slots()) / count;
+    }
+
+    /// Sets the average number of running requests, unless a request was placed already.
+    pub(super) fn expect_running(&mut self, running: f64) {
+        if !self.has_placed {
+            self.average_running = running;
+            self.update_preferences();
+        }
+    }
+
+    fn record_running(&mut self) {
+        self.has_placed = true;
+        let running = f64::from(self.running);
+        self.average_running += RUNNING_WEIGHT * (running - self.average_running);
+    }
+
+    /// Average load of a target, estimated from this entry's own load: arcs are as wide as their
+    /// entries' demands, so the targets of other entries have about the same load.
+    fn average_load(&self) -> f64 {
+        #[allow(clippy::cast_precision_loss)] // ten thousand at most
+        let owned_targets = self.share * self.states.len() as f64;
+        (self.average_running / owned_targets.max(1.0)).min(self.slots_per_target)
+    }
+
+    /// Sets the slowdowns by target address; all other targets have a slowdown of 1.
+    pub(super) fn set_slowdowns(&mut self, slowdowns: &Slowdowns) {
+        for state in self.states.values_mut() {
+            let target = &state.target;
+            let slowdown = slowdowns.get(&target.address);
+            let applicable = slowdown.filter(|slowdown| slowdown.applies_to(&target.incarnation));
+            state.slowdown = applicable.map_or(1.0, |slowdown| slowdown.factor).max(1.0);
+        }
+    }
+
+    /// Sets which targets form which groups.
+    pub(super) fn set_groups(&mut self, groups: &[GroupUpdate]) {
+        let engines = groups.iter().flat_map(|group| {
+            let engines = group.engines.iter();
+            engines.map(move |engine| (*engine, &group.name))
+        });
+        let by_engine: IndexMap<_, _> = engines.collect();
+        for state in self.states.values_mut() {
+            let name = by_engine.get(&state.target.address);
+            state.group = name.map(|name| Arc::clone(name));
+        }
+        self.collect_groups();
+    }
+
+    fn collect_groups(&mut self) {
+        let groups = self.states.values().map(|state| state.group.clone());
+        self.groups = groups.collect();
+    }
+
+    /// The groups of the targets.
+    pub(super) fn groups(&self) -> impl Iterator<Item = &GroupName> {
+        self.groups.iter()
+    }
+
+    /// Requests of this entry at the group's targets.
+    pub(super) fn running_in(&self, group: &GroupName) -> u32 {
+        let in_group = self.states.values().filter(|state| state.group == *group);
+        in_group.map(|state| state.running).sum()
+    }
+
+    /// The group of a target.
+    pub(super) fn group_of(&self, incarnation: &Incarnation) -> GroupName {
+        self.states
+            .get(incarnation)
+            .and_then(|state| state.group.clone())
+    }
+
+    /// The number of targets in the groups for which `includes` holds, and the sum of their slots.
+    /// A target may register an absurd slot count, so the sum saturates.
+    pub(super) fn capacity_of(&self, includes: impl Fn(&GroupName) -> bool) -> (usize, u32) {
+        let in_groups = self.states.values().filter(|state| includes(&state.group));
+        let slots = in_groups.map(|state| state.target.slots);
+        slots.fold((0, 0_u32), |(count, sum), slots| {
+            (count + 1, sum.saturating_add(slots))
+        })
+    }
+
+    /// The slowdown of the slowest target.
+    pub(super) fn max_slowdown(&self) -> f64 {
+        let slowdowns = self.states.values().map(|state| state.slowdown);
+        slowdowns.fold(1.0, f64::max)
+    }
+
+    /// The sum of all targets' slots. A target may register an absurd slot count, so the sum
+    /// saturates.
+    pub(super) fn total_slots(&self) -> u32 {
+        let slots = self.states.values().map(|state| state.target.slots);
+        slots.fold(0, u32::saturating_add)
+    }
+
+    /// This entry's initial share of the capacity, from 0 to 1: all entries have equal shares. In
+    /// the first seconds, when the share matters most, demands are too uncertain, and the
+    /// concurrency limit adapts by itself afterwards.
+    pub(super) fn equal_share(&self) -> f64 {
+        #[allow(clippy::cast_precision_loss)] // a thousand at most
+        let entries = self.membership.len().max(1) as f64;
+        1.0 / entries
+    }
+
+    pub(super) fn on_stream_event(&mut self, incarnation: &Incarnation, now_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.last_event_ms = now_ms;
+        }
+    }
+
+    /// Time since the last event on any stream from the target.
+    pub(super) fn silence_ms(&self, incarnation: &Incarnation, now_ms: MonoMs) -> u64 {
+        let state = self.states.get(incarnation);
+        state.map_or(u64::MAX, |state| now_ms.since(state.last_event_ms))
+    }
+
+    /// Records the load that a target reported in a response to this entry.
+    pub(super) fn on_load(&mut self, incarnation: &Incarnation, load: Load, now_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            let others = (load.running + load.waiting).saturating_sub(state.running);
+            state.others = Some((others, now_ms));
+        }
+    }
+
+    /// Applies the backpressure signal of a response.
+    pub(super) fn on_signal(
+        &mut self,
+        incarnation: &Incarnation,
+        signal: BackpressureSignal,
+        random: u64,
+        now_ms: MonoMs,
+    ) -> SignalUpdate {
+        let Some(state) = self.states.get_mut(incarnation) else {
+            return SignalUpdate::default();
+        };
+        let backoff = signal.backoff_ms.filter(|backoff_ms| *backoff_ms > 0);
+        let backoff_ms =
+            backoff.filter(|backoff_ms| state.gate.start_backoff(*backoff_ms, random, now_ms) == 0);
+        SignalUpdate {
+            limit: state.gate.on_limit_signal(signal.limit, now_ms),
+            backoff_ms,
+            is_newly_leaving: signal.is_leaving && state.gate.mark_leaving(),
+        }
+    }
+
+    /// Records that a target accepted a request; returns whether that ended the trial after a
+    /// backoff.
+    pub(super) fn on_accepted(&mut self, incarnation: &Incarnation, now_ms: MonoMs) -> bool {
+        let state = self.states.get_mut(incarnation);
+        state.is_some_and(|state| state.gate.on_accepted(now_ms))
+    }
+
+    /// Remaining time of the backoff that a target asked for.
+    pub(super) fn backoff_left_ms(&self, incarnation: &Incarnation, now_ms: MonoMs) -> u64 {
+        let state = self.states.get(incarnation);
+        state.map_or(0, |state| state.gate.backoff_left_ms(now_ms))
+    }
+
+    /// The rate limit that a target announced.
+    pub(super) fn rate_limit(&self, incarnation: &Incarnation) -> Option<RequestRate> {
+        self.states.get(incarnation)?.gate.limit()
+    }
+
+    /// Applies a peer's report on a target's rate limit.
+    pub(super) fn on_limit_report(
+        &mut self,
+        incarnation: &Incarnation,
+        limit: Option<RequestRate>,
+        reported_ms: MonoMs,
+    ) -> Option<LimitChange> {
+        let state = self.states.get_mut(incarnation)?;
+        state.gate.on_peer_report(limit, reported_ms)
+    }
+
+    /// Adds permits that were granted under a target's rate limit.
+    pub(super) fn on_permits(&mut self, incarnation: &Incarnation, count: u32, until_ms: MonoMs) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.gate.add_permits(count, until_ms);
+        }
+    }
+
+    /// Requests that could not go to their preferred target since the last call, by reason.
+    pub(super) fn take_withheld_counts(&mut self) -> IndexMap<WithheldReason, u32> {
+        std::mem::take(&mut self.withheld_counts)
+    }
+
+    /// The rate-limit states that peers need: those of targets that have a rate limit, or had one
+    /// recently.
+    pub(super) fn limit_states(&self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
+        let states = self.states.iter().filter_map(|(incarnation, state)| {
+            let limit_state = state.gate.state(now_ms)?;
+            Some((incarnation.clone(), limit_state))
+        });
+        states.collect()
+    }
+
+    /// Like [`Self::limit_states`], but also resets the counts of requested permits.
+    pub(super) fn take_limit_states(&mut self, now_ms: MonoMs) -> Vec<(Incarnation, LimitState)> {
+        let states = self.states.iter_mut().filter_map(|(incarnation, state)| {
+            let limit_state = state.gate.take_state(now_ms)?;
+            Some((incarnation.clone(), limit_state))
+        });
+        states.collect()
+    }
+
+    /// Checks that a placed request may still be sent to its target.
+    ///
+    /// The request is also withheld if the target is no longer listed.
+    pub(super) fn admit(
+        &mut self,
+        incarnation: &Incarnation,
+        now_ms: MonoMs,
+    ) -> Result<(), WithheldReason> {
+        match self.states.get_mut(incarnation) {
+            Some(state) => state.gate.admit(now_ms),
+            None => Err(WithheldReason::NotListed),
+        }
+    }
+
+    /// Cancels a placed request that was not sent.
+    pub(super) fn cancel_unsent(&mut self, incarnation: &Incarnation) {
+        if let Some(state) = self.states.get_mut(incarnation) {
+            state.gate.cancel_placement();
+        }
+    }
+
+    /// Time until a target accepts a request again, as announced by the targets; `None` if one
+    /// accepts requests now, or all are leaving.
+    pub(super) fn until_accepting_ms(&self, now_ms: MonoMs) -> Option<u64> {
+        if self.gates().any(|gate| gate.can_place(now_ms)) {
+            return None;
+        }
+        let hold_offs = self
+            .staying_gates()
+            .map(|gate| gate.hold_off_left_ms(now_ms));
+        let min_hold_off_ms = hold_offs.filter(|left_ms| *left_ms > 0).min();
+        [min_hold_off_ms, self.permit_turn_ms(now_ms)]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// The shortest remaining backoff of the targets that are not leaving; 0 if one of them takes
+    /// requests, or there is none.
+    pub(super) fn min_backoff_left_ms(&self, now_ms: MonoMs) -> u64 {
+        let backoffs = self
+            .staying_gates()
+            .map(|gate| gate.backoff_left_ms(now_ms));
+        backoffs.min().unwrap_or(0)
+    }
+
+    fn gates(&self) -> impl Iterator<Item = &AdmissionGate> {
+        self.states.values().map(|state| &state.gate)
+    }
+
+    fn staying_gates(&self) -> impl Iterator<Item = &AdmissionGate> {
+        self.gates().filter(|gate| !gate.is_leaving())
+    }
+
+    /// Expected time until this entry gets a permit at one of the targets that only their rate
+    /// limits keep from accepting requests: the permits of all these targets are taken to go to the
+    /// entries in turn. `None` if there is no such target.
+    fn permit_turn_ms(&self, now_ms: MonoMs) -> Option<u64> {
+        let unblocked = self
+            .staying_gates()
+            .filter(|gate| gate.hold_off_left_ms(now_ms) == 0);
+        let limits = unblocked
+            .filter_map(AdmissionGate::limit)
+            .map(RequestRate::per_s);
+        let per_s: f64 = limits.sum();
+        #[allow(clippy::cast_precision_loss)] // a thousand entries at most
+        let entries = self.membership.len() as f64;
+        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // saturates
+        let permit_turn_ms = (entries * 1_000.0 / per_s) as u64;
+        (per_s > 0.0).then_some(permit_turn_ms)
+    }
+
+    /// The number of targets that announced a rate limit.
+    pub(super) fn limited_target_count(&self) -> usize {
+        self.gates().filter(|gate| gate.limit().is_some()).count()
+    }
+
+    /// Occupies a slot at the least loaded target. `random` breaks ties, so that entries with the
+    /// same information do not all choose the same target. Only a request that `is_new` is counted
+    /// as withheld; a queued one was counted when it was submitted.
+    pub(super) fn occupy(
+        &mut self,
+        exclude: &[Incarnation],
+        random: u64,
+        now_ms: MonoMs,
+        is_new: bool,
+        may_send: impl Fn(&GroupName) -> bool,
+    ) -> Option<Target> {
+        let choice = self.choose(exclude, random, now_ms, may_send);
+        let withheld = choice.withheld.filter(|_| is_new);
+        if let Some((_, state)) = withheld.and_then(|index| self.states.get_index_mut(index)) {
+            let reason = state.gate.withhold(now_ms);
+            *self.withheld_counts.entry(reason).or_default() += 1;
+        }
+        let target = choice.target?;
+        if let Some(state) = self.states.get_mut(&target.incarnation) {
+            state.running += 1;
+            state.gate.place();
+        }
+        self.running += 1;
+        self.record_running();
+        Some(target)
+    }
+
+    /// Frees the slot of a request that ended; `sample` is what its end shows of the target's
+    /// health, if anything.
+    pub(super) fn release(
+        &mut self,
+        incarnation: &Incarnation,
+        sample: Option<HealthSample>,
+        now_ms: MonoMs,
+    ) {
+        self.running = self.running.saturating_sub(1);
+        let Some(state) = self.states.get_mut(incarnation) else {
+            return;
+        };
+        state.running = state.running.saturating_sub(1);
+        if let Some(sample) = sample {
+            state.health.record(sample, now_ms);
+        }
+    }
+
+    fn choose(
+        &self,
+        exclude: &[Incarnation],
+        random: u64,
+        now_ms: MonoMs,
+        may_send: impl Fn(&GroupName) -> bool,
+    ) -> SearchResult {
+        let healthy = self.search(exclude, random, now_ms, |state| {
+            let is_busy_trial = state.health.is_on_trial() && state.running > 0;
+            !state.health.is_ejected(now_ms) && !is_busy_trial && may_send(&state.group)
+        });
+        let healthy_exists = self.states.values().any(|state| {
+            let is_excluded = exclude.contains(&state.target.incarnation);
+            !state.health.is_ejected(now_ms) && !is_excluded && may_send(&state.group)
+        });
+        match healthy.target {
+            None if !healthy_exists => {
+                self.search(exclude, random, now_ms, |state| may_send(&state.group))
+            }
+            _ => healthy,
+        }
+    }
+
+    fn search(
+        &self,
+        exclude: &[Incarnation],
+        random: u64,
+        now_ms: MonoMs,
+        accepts: impl Fn(&TargetState) -> bool,
+    ) -> SearchResult {
+        let average = self.average_load();
+        let assumed = AssumedOtherLoad {
+            at_owned: average * (1.0 - 1.0 / self.overlap),
+            at_other: average,
+        };
+        let mut best: Option<(f64, &TargetState)> = None;
+        let mut withheld: Option<(f64, usize)> = None;
+        for index in self.search_order(random) {
+            let Some((incarnation, state)) = self.states.get_index(index) else {
+                break;
+            };
+            // A score is at least that of one request at a target without slowdown, and the
+            // penalties of the remaining targets are no lower than this one.
+            let min_score = self.base_load + 1.0 + state.preference.penalty;
+            if !state.preference.is_owned && best.is_some_and(|(score, _)| score <= min_score) {
+                break;
+            }
+            let is_full = state.running >= state.target.slots;
+            if is_full || exclude.contains(incarnation) || !accepts(state) {
+                continue;
+            }
+            // The fixed part of a slow rank's work alone delays every forward pass of its group.
+            let work = self.base_load + state.load(assumed, now_ms) + 1.0;
+            let score = work * state.slowdown + state.preference.penalty;
+            match state.gate.can_place(now_ms) {
+                true if best.is_none_or(|(min, _)| score < min) => best = Some((score, state)),
+                false if withheld.is_none_or(|(min, _)| score < min) => {
+                    withheld = Some((score, index));
+                }
+                _ => {}
+            }
+        }
+        let is_no_worse = |score: f64| best.is_none_or(|(min, _)| score <= min);
+        SearchResult {
+            target: best.map(|(_, state)| state.target.clone()),
+            withheld: withheld
+                .filter(|(score, _)| is_no_worse(*score))
+                .map(|(_, index)| index),
+        }
+    }
+
+    /// Indices of the targets: the owned ones, beginning at a random one, then the others.
+    fn search_order(&self, random: u64) -> impl Iterator<Item = usize> {
+        let (owned, others) = self.order.split_at(self.owned_count);
+        #[allow(clippy::cast_possible_truncation)] // reduced below the count
+        let start = (random % owned.len().max(1) as u64) as usize;
+        let (before, from) = owned.split_at(start);
+        from.iter().chain(before).chain(others).copied()
+    }
+}
