--- a/crates/berylhook/src/serve/quarantine.rs
+++ b/crates/berylhook/src/serve/quarantine.rs
@@ -14,7 +14,7 @@
 use berylhook_core::ids::RequestId;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Answer, End, Suspicions, answer, question};
-use berylhook_platform::store::Store;
+use berylhook_platform::store::StoreClient;
 use berylhook_quarantine::{
     ClusterAccess, LostRequest, QuarantineMetrics, QuarantineUpdate, Replicator, RequestIdentity,
     RunClearance, UpdateReply,
@@ -135,8 +135,8 @@
         Arc::clone(&self.node.settings.node.name)
     }
 
-    fn store(&self) -> Store {
-        Store::new(self.store)
+    fn store(&self) -> StoreClient {
+        StoreClient::new(self.store)
     }
 
     fn peers(&self) -> Vec<SocketAddr> {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use berylhook_backpressure::gate::WithheldReason;
-use berylhook_platform::headers::{AnswerHead, is_other_incarnation};
+use berylhook_platform::headers::{ResponseHead, is_other_incarnation};
 use berylhook_quarantine::QuarantineRejection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -138,7 +138,7 @@
 
 impl SendResult {
     /// Classifies a response in which the target reports that it did not run the request.
-    pub(crate) fn from_not_run(status: StatusCode, head: &AnswerHead) -> Self {
+    pub(crate) fn from_not_run(status: StatusCode, head: &ResponseHead) -> Self {
         match head.signal.backoff_ms {
             _ if is_other_incarnation(status.as_u16()) => Self::OtherIncarnation,
             Some(backoff_ms) if backoff_ms > 0 => Self::BackoffRequested,
@@ -172,7 +172,7 @@
 /// The head of a target's response, with its body still to be read.
 pub(crate) struct TargetResponse {
     pub(crate) http: Response<Incoming>,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) connection: ConnectionGuard,
 }
 
@@ -201,7 +201,7 @@
         Err(error) if error.message().is_some() => return Err(CallError::NotConnected),
         Err(_) => return Err(CallError::Unknown),
     };
-    let head = AnswerHead::read(response.status().as_u16(), response.headers());
+    let head = ResponseHead::read(response.status().as_u16(), response.headers());
     // A response to another request can arrive on this connection.
     if head.attempt_id == attempt_id || head.is_not_run {
         Ok(TargetResponse {
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -13,7 +13,7 @@
 use berylhook_core::time::MonoMs;
 use berylhook_groups::ExpertService;
 use berylhook_platform::documents;
-use berylhook_platform::store::{OwnItem, Store, StoreEvent, Watched};
+use berylhook_platform::store::{KeyedItem, StoreClient, StoreEvent, WatchBatch};
 use berylhook_quarantine::stored;
 use berylhook_traffic::configuration::Service;
 use berylhook_traffic::directory::{Directory, InvalidEntry, Listing, ListingChange};
@@ -187,7 +187,7 @@
     }
 
     /// Applies all quarantine records of the store.
-    pub(crate) fn apply_quarantine(&self, items: &[OwnItem], position: Position) {
+    pub(crate) fn apply_quarantine(&self, items: &[KeyedItem], position: Position) {
         self.shared.suspect_tracker.apply_items(items, position);
     }
 
@@ -196,8 +196,8 @@
     }
 
     /// Opens a store client that reports the eras it receives.
-    pub(crate) fn open_store(&self) -> Store {
-        Store::observed(self.store_address(), Arc::clone(&self.shared.eras) as _)
+    pub(crate) fn open_store(&self) -> StoreClient {
+        StoreClient::with_observer(self.store_address(), Arc::clone(&self.shared.eras) as _)
     }
 
     /// Waits until the store is known to have been restored since `position`.
@@ -207,7 +207,7 @@
 
     /// Returns a client for the store's address in the current settings, `store` itself if it is
     /// unchanged.
-    pub(crate) fn reopen_store(&self, store: Store) -> Store {
+    pub(crate) fn reopen_store(&self, store: StoreClient) -> StoreClient {
         let address = self.store_address();
         if store.address() == address {
             return store;
@@ -216,7 +216,7 @@
         self.open_store()
     }
 
-    pub(crate) fn apply_watched(&self, watched: Watched) {
+    pub(crate) fn apply_watched(&self, watched: WatchBatch) {
         let now_ms = self.shared.clock.now_ms();
         let mut state = self.lock();
         for revised in watched.events {
@@ -230,18 +230,20 @@
                     }
                     state.directory.apply(change, revised.position, now_ms);
                 }
-                StoreEvent::Own { key, value } if key.starts_with(stored::PREFIX) => {
+                StoreEvent::OwnKey { key, value } if key.starts_with(stored::PREFIX) => {
                     let suspect_tracker = &self.shared.suspect_tracker;
                     suspect_tracker.apply_item(&key, value.as_deref(), revised.position);
                 }
-                StoreEvent::Own { .. } => self.leadership_changes.send_modify(|count| *count += 1),
+                StoreEvent::OwnKey { .. } => {
+                    self.leadership_changes.send_modify(|count| *count += 1);
+                }
             }
         }
         self.publish(&mut state);
     }
 
     fn apply_document(&self, state: &mut State, document: Arc<[u8]>, source: &'static str) {
-        let configuration = match documents::configuration(&document) {
+        let configuration = match documents::parse_configuration(&document) {
             Ok(configuration) => configuration,
             Err(error) => {
                 log::error!(source, reason:% = error; "configuration rejected");
--- a/crates/entry/src/health_check.rs
+++ b/crates/entry/src/health_check.rs
@@ -50,7 +50,11 @@
         *request.uri_mut() = self.path.clone();
         let host = HeaderValue::from_str(&self.address.to_string()).expect("an address is ASCII");
         request.headers_mut().insert(HOST, host);
-        headers::set_health_check(request.headers_mut(), &self.target_id, RESPONSE_TIMEOUT_MS);
+        headers::set_health_check_headers(
+            request.headers_mut(),
+            &self.target_id,
+            RESPONSE_TIMEOUT_MS,
+        );
         request
     }
 
@@ -60,7 +64,11 @@
             Ok(Ok((response, _))) => {
                 let status = response.status().as_u16();
                 let headers = response.headers();
-                if headers::is_health_of_another(status, headers, &self.target_id) {
+                if headers::is_health_response_from_other_incarnation(
+                    status,
+                    headers,
+                    &self.target_id,
+                ) {
                     Listening::Another
                 } else {
                     Listening::Accepted
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -7,7 +7,7 @@
 
 use berylhook_backpressure::rate::RequestRate;
 use berylhook_core::digest::{RequestContent, RequestDigest};
-use berylhook_platform::headers::{self, Forward, RequestHead};
+use berylhook_platform::headers::{self, ForwardHeaders, RequestHead};
 use berylhook_quarantine::{
     AnyListener, LostRequest, Probe, QuarantineRejection, RequestIdentity, RunClearance,
     WaitLimits as ClearanceWaitLimits,
@@ -289,14 +289,14 @@
         *request.uri_mut() = self.path.clone();
         *request.headers_mut() = self.headers.clone();
         let remaining_ms = u64::try_from(self.remaining().as_millis()).unwrap_or(u64::MAX);
-        let forward = Forward {
+        let forward = ForwardHeaders {
             deadline_ms: remaining_ms.max(1),
             target_id: target.id(),
             account: self.account.as_ref().map(|account| &*account.name),
             resume_after,
-            hides_key: self.strips_key,
+            strips_api_key: self.strips_key,
         };
-        headers::set_forward(request.headers_mut(), &forward);
+        headers::set_forward_headers(request.headers_mut(), &forward);
         request
     }
 
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use berylhook_calls::{Call, Connection, serve};
-use berylhook_platform::store::Store;
+use berylhook_platform::store::StoreClient;
 use berylhook_quarantine::{
     ClusterAccess, QuarantineMetrics, QuarantineUpdate, Replicator, TargetIncarnation, UpdateReply,
 };
@@ -54,9 +54,9 @@
         Arc::clone(&self.shared.settings().name)
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreClient {
         let eras = Arc::clone(&self.shared.eras);
-        Store::observed(self.shared.settings().store_address, eras)
+        StoreClient::with_observer(self.shared.settings().store_address, eras)
     }
 
     fn peers(&self) -> Vec<SocketAddr> {
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -92,7 +92,7 @@
         .route(host, parts.uri.path())
         .ok_or_else(|| refuse(LocalError::NoRoute))?;
     let account = configuration
-        .account(route, head.key.as_deref())
+        .account(route, head.api_key.as_deref())
         .map_err(|_| refuse(LocalError::NoAccess))?;
     let service = route
         .service_for(rand::random())
--- a/crates/entry/src/store_watch.rs
+++ b/crates/entry/src/store_watch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use berylhook_core::position::Position;
-use berylhook_platform::store::{Store, StoreError, Topic, Watched};
+use berylhook_platform::store::{StoreClient, StoreError, Topic, WatchBatch};
 use berylhook_quarantine::stored;
 use tokio::time::sleep;
 
@@ -44,8 +44,8 @@
     match topic {
         WatchedTopic::Configuration => Topic::Configuration,
         WatchedTopic::Targets => Topic::Targets,
-        WatchedTopic::Leaders => Topic::Own(LEADER_PREFIX),
-        WatchedTopic::Quarantine => Topic::Own(stored::PREFIX),
+        WatchedTopic::Leaders => Topic::OwnKeys(LEADER_PREFIX),
+        WatchedTopic::Quarantine => Topic::OwnKeys(stored::PREFIX),
     }
 }
 
@@ -110,12 +110,12 @@
 enum Update {
     /// The keys were read; the next watch starts at this position.
     Read(Position),
-    Watched(Watched),
+    Watched(WatchBatch),
 }
 
 async fn read_topic(
     control: &Control,
-    store: &mut Store,
+    store: &mut StoreClient,
     topic: WatchedTopic,
     availability: &mut StoreAvailability,
 ) -> Result<Update, StoreError> {
@@ -138,7 +138,7 @@
             position
         }
         WatchedTopic::Leaders => {
-            let read = store.position_of(LEADER_PREFIX).await;
+            let read = store.watch_start_position(LEADER_PREFIX).await;
             count_call(control, "read", &read);
             let position = read?;
             availability.record_success(control);
@@ -146,7 +146,7 @@
             position
         }
         WatchedTopic::Quarantine => {
-            let read = store.own_items(stored::PREFIX).await;
+            let read = store.items(stored::PREFIX).await;
             count_call(control, "read", &read);
             let (items, position) = read?;
             availability.record_success(control);
@@ -159,7 +159,7 @@
 
 async fn watch_once(
     control: &Control,
-    store: &mut Store,
+    store: &mut StoreClient,
     topic: WatchedTopic,
     position: Position,
     wait_ms: u64,
--- a/crates/groups/src/candidacy.rs
+++ b/crates/groups/src/candidacy.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use berylhook_platform::store::Store;
+use berylhook_platform::store::StoreClient;
 use tokio::time::{sleep, timeout};
 
 use crate::Candidate;
@@ -58,7 +58,8 @@
         leader_key: format!("berylhook/leader/{service}").into(),
         service: Arc::clone(&service),
     };
-    let mut store = Store::observed(candidate.store, Arc::clone(&candidate.era_observer));
+    let mut store =
+        StoreClient::with_observer(candidate.store, Arc::clone(&candidate.era_observer));
     let mut last_fence = 0;
     let mut resigned_at: Option<Instant> = None;
     sleep(DISCOVERY_TIME).await;
@@ -168,7 +169,7 @@
 async fn lead_term(
     candidate: &Candidate,
     service: &Arc<str>,
-    store: &mut Store,
+    store: &mut StoreClient,
     term: Term,
     may_resign: bool,
 ) {
--- a/crates/groups/src/election.rs
+++ b/crates/groups/src/election.rs
@@ -12,7 +12,7 @@
 
 use berylhook_core::lease::HeldLease;
 use berylhook_core::time::MonoMs;
-use berylhook_platform::store::{Lease, Put, Store, StoreError};
+use berylhook_platform::store::{Lease, Put, StoreClient, StoreError};
 use berylhook_relay::{fence_key, fence_number};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -72,13 +72,13 @@
 
     /// Ends the term and the lease, so that the next election need not wait until the lease
     /// has expired. Returns whether the lease has ended in the store.
-    pub(crate) async fn end(self, store: &mut Store) -> bool {
+    pub(crate) async fn end(self, store: &mut StoreClient) -> bool {
         self.renewal.abort();
         if self.is_over() {
             // The lease has ended, and its id may already be reused by another lease.
             return true;
         }
-        let ended = store.end(self.lease).await;
+        let ended = store.revoke(self.lease).await;
         if let Err(error) = &ended {
             log::info!(reason:% = error; "the leader's lease was not ended; it will expire");
         }
@@ -96,7 +96,7 @@
 
 /// Tries to become the leader. Returns `None` if there is another leader.
 pub(crate) async fn try_elect(
-    store: &mut Store,
+    store: &mut StoreClient,
     keys: &LeaderKeys,
     name: &str,
 ) -> Result<Option<Term>, StoreError> {
@@ -137,7 +137,7 @@
     let is_over = Arc::new(AtomicBool::new(false));
     let is_store_reachable = Arc::new(AtomicBool::new(true));
     let renewal = Renewal {
-        store: store.another(),
+        store: store.new_connection(),
         clock,
         lease,
         held_lease,
@@ -188,7 +188,7 @@
 /// If the store did not reply, or was restored since the election. The process must not send
 /// commands in this case.
 async fn claim_fencing_token(
-    store: &mut Store,
+    store: &mut StoreClient,
     key: &Arc<str>,
     era: u64,
 ) -> Result<Option<u64>, StoreError> {
@@ -211,7 +211,7 @@
 
 /// Renews the leader's lease until it has ended.
 struct Renewal {
-    store: Store,
+    store: StoreClient,
     clock: Clock,
     lease: Lease,
     held_lease: HeldLease,
--- a/crates/quarantine/src/follow.rs
+++ b/crates/quarantine/src/follow.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use berylhook_platform::store::{Store, StoreError, StoreEvent, Topic};
+use berylhook_platform::store::{StoreClient, StoreError, StoreEvent, Topic};
 use tokio::time::sleep;
 
 use crate::stored::PREFIX;
@@ -36,19 +36,19 @@
 
 async fn follow_until_error(
     tracker: &SuspectTracker,
-    store: &mut Store,
+    store: &mut StoreClient,
     is_unavailable: &mut bool,
 ) -> Result<Never, StoreError> {
-    let (items, mut position) = store.own_items(PREFIX).await?;
+    let (items, mut position) = store.items(PREFIX).await?;
     tracker.apply_items(&items, position);
     if std::mem::take(is_unavailable) {
         log::info!("the quarantine items in the store can be read again");
     }
     loop {
-        let topic = Topic::Own(PREFIX);
+        let topic = Topic::OwnKeys(PREFIX);
         let response = store.watch(topic, position, WATCH_WAIT_MS).await?;
         for revised in response.events {
-            if let StoreEvent::Own { key, value } = revised.event {
+            if let StoreEvent::OwnKey { key, value } = revised.event {
                 tracker.apply_item(&key, value.as_deref(), revised.position);
             }
         }
--- a/crates/quarantine/src/items.rs
+++ b/crates/quarantine/src/items.rs
@@ -8,7 +8,7 @@
 use berylhook_core::position::Position;
 use berylhook_core::quarantine::{Facts, Hold, SurvivedRun, TargetExit};
 use berylhook_core::time::{MonoMs, WallMs};
-use berylhook_platform::store::OwnItem;
+use berylhook_platform::store::KeyedItem;
 
 use crate::replicator::Task;
 use crate::stored::{self, StoredItem};
@@ -57,7 +57,7 @@
     }
 
     /// Applies all items of the quarantine, from a full read of the store at this position.
-    pub fn apply_items(&self, items: &[OwnItem], position: Position) {
+    pub fn apply_items(&self, items: &[KeyedItem], position: Position) {
         let (is_restored, mut absent) = {
             let mut stored = lock_mutex(&self.stored_holds);
             (stored.on_era(position.era), stored.digests())
@@ -86,7 +86,7 @@
 
     /// Applies an item of a store that was restored from an older copy, unless this process has a
     /// later version; returns the request if the item is a hold.
-    fn apply_restored_item(&self, item: &OwnItem) -> Option<RequestDigest> {
+    fn apply_restored_item(&self, item: &KeyedItem) -> Option<RequestDigest> {
         let Ok(StoredItem::Hold {
             digest,
             hold: Some(restored_hold),
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -41,7 +41,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-use berylhook_platform::store::Store;
+use berylhook_platform::store::StoreClient;
 
 pub use self::clearance::{QuarantineRejection, RequestIdentity, RunClearance, WaitLimits};
 pub use self::follow::follow_store;
@@ -61,7 +61,7 @@
     fn name(&self) -> Arc<str>;
 
     /// Creates a client for the platform's store.
-    fn store(&self) -> Store;
+    fn store(&self) -> StoreClient;
 
     /// The addresses of all known peers.
     fn peers(&self) -> Vec<SocketAddr>;
--- a/crates/quarantine/src/replicator.rs
+++ b/crates/quarantine/src/replicator.rs
@@ -19,7 +19,7 @@
 use berylhook_core::position::Position;
 use berylhook_core::quarantine::{FACT_TTL_MS, Facts, Hold, SurvivedRun, TargetExit};
 use berylhook_core::time::{MonoMs, WallMs};
-use berylhook_platform::store::{Lease, Put, Store, StoreError};
+use berylhook_platform::store::{Lease, Put, StoreClient, StoreError};
 use futures_util::future::join_all;
 use futures_util::{StreamExt, stream};
 use tokio::sync::{mpsc, oneshot};
@@ -105,7 +105,7 @@
         &self.tracker
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreClient {
         self.cluster.store()
     }
 
@@ -400,7 +400,7 @@
         });
         let puts: Vec<Put> = puts.collect();
         let result = match store.commit(&puts).await {
-            Ok(_) => store.own_items(stored::PREFIX).await,
+            Ok(_) => store.items(stored::PREFIX).await,
             Err(error) => Err(error),
         };
         match result {
@@ -423,7 +423,7 @@
         if self.tracker().is_of_previous_era(lease.era) {
             return;
         }
-        if let Err(error) = self.store().end(lease).await {
+        if let Err(error) = self.store().revoke(lease).await {
             log::info!(reason:% = error; "cannot release a lock; it expires with its lease");
         }
     }
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use berylhook_core::digest::{RequestContent, RequestDigest};
-use berylhook_platform::store::Store;
+use berylhook_platform::store::StoreClient;
 use berylhook_quarantine::{
     ClusterAccess, LostRequest, QuarantineMetrics, QuarantineUpdate, Replicator, RequestIdentity,
     SuspectTracker, UpdateReply, WaitLimits,
@@ -33,8 +33,8 @@
         "entry-1".into()
     }
 
-    fn store(&self) -> Store {
-        Store::new(self.store)
+    fn store(&self) -> StoreClient {
+        StoreClient::new(self.store)
     }
 
     fn peers(&self) -> Vec<SocketAddr> {
--- a/crates/relay/src/fence.rs
+++ b/crates/relay/src/fence.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use berylhook_calls::{Call, Connection};
-use berylhook_platform::store::{Store, StoreError};
+use berylhook_platform::store::{StoreClient, StoreError};
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
@@ -133,7 +133,7 @@
     /// An agent that starts without it would relay the orders of a leader that
     /// all other agents refuse already.
     pub(crate) async fn learn(self: Arc<Self>, address: SocketAddr, service: Arc<str>) {
-        let mut store = Store::new(address);
+        let mut store = StoreClient::new(address);
         loop {
             match kept_fence(&mut store, &service).await {
                 Ok((kept, era)) => {
@@ -151,7 +151,7 @@
 }
 
 /// The fencing number that the store keeps, and its era.
-async fn kept_fence(store: &mut Store, service: &str) -> Result<(u64, u64), StoreError> {
+async fn kept_fence(store: &mut StoreClient, service: &str) -> Result<(u64, u64), StoreError> {
     let mut era = store.era().unwrap_or_default();
     loop {
         let item = store.item(&fence_key(service, era)).await?;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -22,7 +22,7 @@
 use anyhow::Context;
 use berylhook_calls::serve;
 use berylhook_experts::switching::{CommandOutcome, RankCommand, RankReport};
-use berylhook_platform::rank::Engine;
+use berylhook_platform::engine::EngineClient;
 use serde::{Deserialize, Serialize};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{SignalKind, signal};
@@ -70,7 +70,7 @@
 
 /// The engine beside the agent, and what was told of it.
 struct Beside {
-    engine: Engine,
+    engine: EngineClient,
     encoder: CountsEncoder,
 }
 
@@ -83,7 +83,7 @@
     };
     for order in &question.orders {
         let given = if may_order {
-            engine.order(order).await
+            engine.send_command(order).await
         } else {
             CommandOutcome::Refused
         };
@@ -91,7 +91,7 @@
     }
     answer.report = told("report", engine.report().await).flatten();
     if question.counts != CountsRequest::Nothing {
-        let counts = told("counts", engine.counts().await);
+        let counts = told("counts", engine.expert_counts().await);
         answer.counts = counts.and_then(|counts| encoder.encode(counts, question.counts));
     }
     if question.wants_experts {
@@ -130,7 +130,7 @@
         .with_context(|| format!("cannot listen on {address}; check [listen] in the settings"))?;
     log::info!(listen:% = address, engine:% = settings.engine; "relaying");
     let beside = Arc::new(Mutex::new(Beside {
-        engine: Engine::new(settings.engine),
+        engine: EngineClient::new(settings.engine),
         encoder: CountsEncoder::new(rand::random()),
     }));
     let fence = Arc::new(Fence::default());
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use berylhook_soak::{Plan, play};
+use berylhook_soak::{SoakConfig, run_soak};
 use clap::Parser;
 
 /// Lines shown of what one seed broke; the first ones tell most.
@@ -33,23 +33,23 @@
     let args = Args::parse();
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
-        let plan = Plan {
-            entries: args.entries,
-            callers: args.callers,
-            ..Plan::new(seed, Duration::from_secs(args.length_s))
+        let plan = SoakConfig {
+            entry_count: args.entries,
+            caller_count: args.callers,
+            ..SoakConfig::new(seed, Duration::from_secs(args.length_s))
         };
-        let report = play(plan).await?;
+        let report = run_soak(plan).await?;
         println!(
             "seed {seed}: {} requests, {} served, {} faults, {} broken",
             report.requests,
             report.served,
             report.faults.len(),
-            report.broken.len()
+            report.violations.len()
         );
-        for what in report.broken.iter().take(MOST_SHOWN) {
+        for what in report.violations.iter().take(MOST_SHOWN) {
             println!("  broken: {what}");
         }
-        if !report.broken.is_empty() {
+        if !report.violations.is_empty() {
             failed += 1;
             report.faults.iter().for_each(|fault| println!("  {fault}"));
         }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -10,69 +10,69 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::Plan;
+use crate::SoakConfig;
 use crate::world::{KEY, World, newest_path};
 
 /// A kind of request.
 #[derive(Debug)]
-pub struct Kind {
+pub struct RequestKind {
     /// The route's prefix.
     pub prefix: &'static str,
     /// What may be repeated, as the operator's documents say it.
-    pub kind: &'static str,
+    pub route_type: &'static str,
     /// Targets that one attempt may run at.
-    pub targets: usize,
+    pub max_targets: usize,
     /// Whether a stream may go on at another target.
     pub is_resumable: bool,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request may run more than once.
     #[must_use]
-    pub fn may_repeat(&self) -> bool {
-        self.kind == "safe" || self.is_resumable
+    pub fn is_repeatable(&self) -> bool {
+        self.route_type == "safe" || self.is_resumable
     }
 
     /// Whether its answers are streams.
     #[must_use]
     pub fn is_stream(&self) -> bool {
-        self.kind == "streaming"
+        self.route_type == "streaming"
     }
 }
 
 /// The kinds of request that every configuration knows.
-pub const KINDS: [Kind; 4] = [
-    Kind {
+pub const REQUEST_KINDS: [RequestKind; 4] = [
+    RequestKind {
         prefix: "/safe/",
-        kind: "safe",
-        targets: 2,
+        route_type: "safe",
+        max_targets: 2,
         is_resumable: false,
     },
-    Kind {
+    RequestKind {
         prefix: "/unsafe/",
-        kind: "unsafe",
-        targets: 2,
+        route_type: "unsafe",
+        max_targets: 2,
         is_resumable: false,
     },
-    Kind {
+    RequestKind {
         prefix: "/stream/",
-        kind: "streaming",
-        targets: 3,
+        route_type: "streaming",
+        max_targets: 3,
         is_resumable: true,
     },
-    Kind {
+    RequestKind {
         prefix: "/once/",
-        kind: "streaming",
-        targets: 3,
+        route_type: "streaming",
+        max_targets: 3,
         is_resumable: false,
     },
 ];
 
 /// What one request was about.
 #[derive(Clone, Copy, Debug)]
-pub enum Asked {
+pub enum RequestedRoute {
     /// A kind that every configuration knows.
-    Kind(&'static Kind),
+    Kind(&'static RequestKind),
     /// The route of one version of the configuration.
     Version(u64),
 }
@@ -83,25 +83,25 @@
     /// Its id, which no other has.
     pub id: String,
     /// What it was about.
-    pub asked: Asked,
+    pub route: RequestedRoute,
     /// The entry it was sent to.
-    pub entry: usize,
+    pub entry_index: usize,
     /// The entry's lifetime when it was sent and when it ended.
-    pub lifetimes: (u64, u64),
+    pub entry_lifetimes: (u64, u64),
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// When its answer ended, or its caller left.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// `None` if the caller left.
-    pub answered: Option<Answered>,
+    pub response: Option<Answered>,
 }
 
 impl Attempt {
     /// Whether it was answered in full.
     #[must_use]
     pub fn is_served(&self) -> bool {
-        let answered = self.answered.as_ref();
-        answered.is_some_and(|it| it.status == 200 && it.is_whole)
+        let response = self.response.as_ref();
+        response.is_some_and(|it| it.status == 200 && it.is_whole)
     }
 }
 
@@ -111,7 +111,7 @@
     tasks: Vec<JoinHandle<Vec<Attempt>>>,
 }
 
-pub(crate) fn start(world: &Arc<World>, plan: Plan) -> Callers {
+pub(crate) fn start(world: &Arc<World>, plan: SoakConfig) -> Callers {
     let is_over = Arc::new(AtomicBool::new(false));
     let task = |number: usize| {
         let caller = OneCaller {
@@ -123,7 +123,7 @@
         tokio::spawn(caller.run())
     };
     Callers {
-        tasks: (0..plan.callers).map(task).collect(),
+        tasks: (0..plan.caller_count).map(task).collect(),
         is_over,
     }
 }
@@ -163,18 +163,18 @@
     }
 
     async fn attempt(&mut self, caller: &Caller, id: String) -> Attempt {
-        let asked = self.choose();
-        let entry = self.random.random_range(0..self.world.entries.len());
+        let route = self.choose();
+        let entry_index = self.random.random_range(0..self.world.entries.len());
         // One in fifteen callers leaves early.
         let patience_ms = match self.random.random_range(0..15) {
             0 => self.random.random_range(5..120),
             _ => 8_000,
         };
-        let to = &self.world.entries[entry];
-        let path = match asked {
-            Asked::Kind(kind) if kind.is_stream() => format!("{}stream", kind.prefix),
-            Asked::Kind(kind) => kind.prefix.to_owned(),
-            Asked::Version(version) => newest_path(version),
+        let to = &self.world.entries[entry_index];
+        let path = match route {
+            RequestedRoute::Kind(kind) if kind.is_stream() => format!("{}stream", kind.prefix),
+            RequestedRoute::Kind(kind) => kind.prefix.to_owned(),
+            RequestedRoute::Version(version) => newest_path(version),
         };
         let headers = [
             ("host", "desk.example"),
@@ -182,26 +182,26 @@
             ("berylhook-deadline-ms", "3000"),
         ];
         let lifetime = to.slot.lifetime();
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let answering = caller.post(to.callers, &path, "hello", &headers);
-        let answered = timeout(Duration::from_millis(patience_ms), answering).await;
+        let response = timeout(Duration::from_millis(patience_ms), answering).await;
         Attempt {
-            asked,
-            entry,
-            lifetimes: (lifetime, to.slot.lifetime()),
-            sent,
-            ended: Instant::now(),
-            answered: answered.ok(),
+            route,
+            entry_index,
+            entry_lifetimes: (lifetime, to.slot.lifetime()),
+            sent_at,
+            ended_at: Instant::now(),
+            response: response.ok(),
             id,
         }
     }
 
-    fn choose(&mut self) -> Asked {
+    fn choose(&mut self) -> RequestedRoute {
         let newest = self.world.version.load(Ordering::SeqCst);
         match self.random.random_range(0..10) {
-            0 | 1 => Asked::Version(newest),
-            2 => Asked::Version(newest.saturating_sub(1).max(1)),
-            other => Asked::Kind(&KINDS[other % KINDS.len()]),
+            0 | 1 => RequestedRoute::Version(newest),
+            2 => RequestedRoute::Version(newest.saturating_sub(1).max(1)),
+            other => RequestedRoute::Kind(&REQUEST_KINDS[other % REQUEST_KINDS.len()]),
         }
     }
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -6,7 +6,7 @@
 use berylhook_test_support::{EVENTS, POISON};
 use indexmap::IndexMap;
 
-use crate::callers::{Asked, Attempt};
+use crate::callers::{Attempt, RequestedRoute};
 use crate::world::World;
 
 /// Statuses by which a caller is told that its request did not run.
@@ -29,23 +29,23 @@
 const HELD_BACK_S: f64 = 60.0;
 
 /// What a history is judged by.
-pub struct Evidence<'a> {
+pub struct Observations<'a> {
     /// How often each attempt ran, at all targets together.
-    pub runs: IndexMap<String, usize>,
+    pub run_counts: IndexMap<String, usize>,
     /// When runs of the guilty request began, and when targets ended under it, in order.
-    pub poison_runs: Vec<Instant>,
+    pub poison_run_starts: Vec<Instant>,
     /// The ends.
-    pub poison_ends: Vec<Instant>,
+    pub poison_exits: Vec<Instant>,
     /// Whether nothing but planned changes happened between two moments.
-    pub is_calm: &'a dyn Fn(Instant, Instant) -> bool,
+    pub is_undisturbed: &'a dyn Fn(Instant, Instant) -> bool,
 }
 
 /// Everything that was broken, one line each.
 #[must_use]
-pub fn broken(evidence: &Evidence<'_>, history: &[Attempt]) -> Vec<String> {
-    let mut broken = Vec::new();
+pub fn violations(evidence: &Observations<'_>, history: &[Attempt]) -> Vec<String> {
+    let mut violations = Vec::new();
     for attempt in history {
-        let ran = evidence.runs.get(&attempt.id).copied().unwrap_or(0);
+        let ran = evidence.run_counts.get(&attempt.id).copied().unwrap_or(0);
         let found = [
             runs_too_often(attempt, ran),
             refused_falsely(attempt, ran),
@@ -55,21 +55,21 @@
             held_back(attempt),
         ];
         let lines = found.into_iter().flatten();
-        broken.extend(lines.map(|what| format!("{what}: {attempt:?}, ran {ran} times")));
+        violations.extend(lines.map(|what| format!("{what}: {attempt:?}, ran {ran} times")));
     }
-    broken.extend(regressions(history));
-    broken.extend(sent_after_the_third_end(evidence));
-    broken
+    violations.extend(regressions(history));
+    violations.extend(sent_after_the_third_end(evidence));
+    violations
 }
 
 /// Once three targets have ended under a request and the news had time to spread, it goes
 /// to three more at most: an entry that was paused or alone may not have heard.
-fn sent_after_the_third_end(evidence: &Evidence<'_>) -> Option<String> {
-    let third = evidence.poison_ends.get(ENDS_ALLOWED - 1)?;
-    let late = evidence.poison_runs.iter();
+fn sent_after_the_third_end(evidence: &Observations<'_>) -> Option<String> {
+    let third = evidence.poison_exits.get(ENDS_ALLOWED - 1)?;
+    let late = evidence.poison_run_starts.iter();
     let late = late.filter(|began| began.saturating_duration_since(*third) > NEWS_TIME);
     let late = late.count();
-    let ended = evidence.poison_ends.len();
+    let ended = evidence.poison_exits.len();
     (late > LATE_SENDS_ALLOWED).then(|| {
         format!("a request under which targets end was sent {late} times more; {ended} ended")
     })
@@ -101,17 +101,21 @@
 }
 
 fn runs_too_often(attempt: &Attempt, ran: usize) -> Option<&'static str> {
-    match attempt.asked {
-        Asked::Kind(kind) if !kind.may_repeat() && ran > 1 => Some("ran more than once"),
-        Asked::Kind(kind) if ran > kind.targets => Some("ran at too many targets"),
+    match attempt.route {
+        RequestedRoute::Kind(kind) if !kind.is_repeatable() && ran > 1 => {
+            Some("ran more than once")
+        }
+        RequestedRoute::Kind(kind) if ran > kind.max_targets => Some("ran at too many targets"),
         _ => None,
     }
 }
 
 fn refused_falsely(attempt: &Attempt, ran: usize) -> Option<&'static str> {
-    let status = attempt.answered.as_ref()?.status;
-    match attempt.asked {
-        Asked::Kind(kind) if !kind.may_repeat() && NOT_RUN.contains(&status) && ran > 0 => {
+    let status = attempt.response.as_ref()?.status;
+    match attempt.route {
+        RequestedRoute::Kind(kind)
+            if !kind.is_repeatable() && NOT_RUN.contains(&status) && ran > 0 =>
+        {
             Some("was told that it did not run")
         }
         _ => None,
@@ -119,12 +123,12 @@
 }
 
 fn answered_wrongly(attempt: &Attempt) -> Option<&'static str> {
-    let answered = attempt.answered.as_ref().filter(|it| it.status == 200)?;
-    match attempt.asked {
-        _ if !answered.is_marked => Some("was answered without a target's mark"),
-        _ if answered.attempt_id.as_deref() != Some(&attempt.id) => Some("got another's answer"),
-        Asked::Kind(kind) if kind.is_stream() => stream_fault(attempt, answered),
-        _ if answered.is_whole && !answered.body.contains(&attempt.id) => {
+    let response = attempt.response.as_ref().filter(|it| it.status == 200)?;
+    match attempt.route {
+        _ if !response.is_marked => Some("was answered without a target's mark"),
+        _ if response.attempt_id.as_deref() != Some(&attempt.id) => Some("got another's answer"),
+        RequestedRoute::Kind(kind) if kind.is_stream() => stream_fault(attempt, response),
+        _ if response.is_whole && !response.body.contains(&attempt.id) => {
             Some("got another's body")
         }
         _ => None,
@@ -132,13 +136,13 @@
 }
 
 /// Events come in order from the first on; a whole stream has all of them.
-fn stream_fault(attempt: &Attempt, answered: &Answered) -> Option<&'static str> {
-    let data = answered.body.lines();
+fn stream_fault(attempt: &Attempt, response: &Answered) -> Option<&'static str> {
+    let data = response.body.lines();
     let data: Vec<&str> = data
         .filter_map(|line| line.strip_prefix("data: "))
         .collect();
     // The last event of a stream that was cut may be cut too.
-    let complete = if answered.is_whole {
+    let complete = if response.is_whole {
         data.len()
     } else {
         data.len().saturating_sub(1)
@@ -148,7 +152,7 @@
         .iter()
         .enumerate()
         .all(|(index, data)| *data == expected(index));
-    match answered.is_whole {
+    match response.is_whole {
         _ if !in_order => Some("got events out of order, or another's"),
         true if data.len() as u64 != EVENTS => Some("got a whole stream that lacks events"),
         _ => None,
@@ -156,57 +160,63 @@
 }
 
 fn refused_as_unknown(attempt: &Attempt) -> Option<&'static str> {
-    let status = attempt.answered.as_ref()?.status;
-    match attempt.asked {
-        Asked::Kind(_) if UNKNOWN.contains(&status) => Some("was refused as unknown"),
+    let status = attempt.response.as_ref()?.status;
+    match attempt.route {
+        RequestedRoute::Kind(_) if UNKNOWN.contains(&status) => Some("was refused as unknown"),
         _ => None,
     }
 }
 
 /// No target ends under these callers' requests.
 fn held_back(attempt: &Attempt) -> Option<&'static str> {
-    let back = attempt.answered.as_ref()?.retry_after.as_deref()?;
+    let back = attempt.response.as_ref()?.retry_after.as_deref()?;
     let back_s: f64 = back.parse().unwrap_or_default();
     (back_s > HELD_BACK_S).then_some("was held back though it is innocent")
 }
 
 /// Planned changes alone cut nothing off that has run at a target.
-fn cut_by_a_stop(evidence: &Evidence<'_>, attempt: &Attempt, ran: usize) -> Option<&'static str> {
-    let answered = attempt.answered.as_ref()?;
+fn cut_by_a_stop(
+    evidence: &Observations<'_>,
+    attempt: &Attempt,
+    ran: usize,
+) -> Option<&'static str> {
+    let response = attempt.response.as_ref()?;
     let from = attempt
-        .sent
+        .sent_at
         .checked_sub(CALM_BEFORE)
-        .unwrap_or(attempt.sent);
-    let is_cut = answered.status == 0 || (answered.status == 200 && !answered.is_whole);
-    let is_calm = (evidence.is_calm)(from, attempt.ended);
-    (is_cut && ran > 0 && is_calm).then_some("was cut off by a planned change")
+        .unwrap_or(attempt.sent_at);
+    let is_cut = response.status == 0 || (response.status == 200 && !response.is_whole);
+    let is_undisturbed = (evidence.is_undisturbed)(from, attempt.ended_at);
+    (is_cut && ran > 0 && is_undisturbed).then_some("was cut off by a planned change")
 }
 
 /// Versions of the configuration that an entry put in force and took back.
 fn regressions(history: &[Attempt]) -> Vec<String> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let served: Vec<(&Attempt, u64)> = history.iter().filter_map(served_version).collect();
     for (later, version) in &served {
         let is_newer_before = |(earlier, newer): &&(&Attempt, u64)| {
             newer > version
-                && earlier.entry == later.entry
-                && earlier.lifetimes == later.lifetimes
-                && earlier.ended < later.sent
+                && earlier.entry_index == later.entry_index
+                && earlier.entry_lifetimes == later.entry_lifetimes
+                && earlier.ended_at < later.sent_at
         };
         if let Some((_, newer)) = served.iter().find(is_newer_before) {
-            let entry = later.entry;
-            broken.push(format!(
+            let entry = later.entry_index;
+            violations.push(format!(
                 "entry-{entry} had version {newer} in force, then {version}"
             ));
         }
     }
-    broken
+    violations
 }
 
 fn served_version(attempt: &Attempt) -> Option<(&Attempt, u64)> {
-    let is_one_life = attempt.lifetimes.0 == attempt.lifetimes.1;
-    match attempt.asked {
-        Asked::Version(version) if attempt.is_served() && is_one_life => Some((attempt, version)),
+    let is_one_life = attempt.entry_lifetimes.0 == attempt.entry_lifetimes.1;
+    match attempt.route {
+        RequestedRoute::Version(version) if attempt.is_served() && is_one_life => {
+            Some((attempt, version))
+        }
         _ => None,
     }
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -176,7 +176,7 @@
     let began = Instant::now();
     while slot.lifetime() == lifetime {
         // A process that is paused meanwhile cannot end.
-        if began.elapsed() > STOP_TIME && world.is_calm(began, Instant::now()) {
+        if began.elapsed() > STOP_TIME && world.is_undisturbed(began, Instant::now()) {
             return world.note_broken(format!("entry-{index} does not end after a planned stop"));
         }
         if began.elapsed() > STOP_TIME * 2 {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -36,7 +36,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::checks::Evidence;
+use crate::checks::Observations;
 use crate::world::World;
 
 /// Time in which everything has to be served again after the last fault.
@@ -44,33 +44,33 @@
 
 /// One play.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct SoakConfig {
     /// Decides the faults and their moments.
     pub seed: u64,
     /// How long faults come.
-    pub length: Duration,
+    pub duration: Duration,
     /// Entries.
-    pub entries: usize,
+    pub entry_count: usize,
     /// Callers that send one request after the other.
-    pub callers: usize,
+    pub caller_count: usize,
 }
 
-impl Plan {
+impl SoakConfig {
     /// A play of the usual size.
     #[must_use]
-    pub fn new(seed: u64, length: Duration) -> Self {
+    pub fn new(seed: u64, duration: Duration) -> Self {
         Self {
             seed,
-            length,
-            entries: 3,
-            callers: 12,
+            duration,
+            entry_count: 3,
+            caller_count: 12,
         }
     }
 }
 
 /// What came of a play.
 #[derive(Clone, Debug, Default)]
-pub struct Report {
+pub struct SoakReport {
     /// Requests sent.
     pub requests: usize,
     /// Requests answered in full.
@@ -78,7 +78,7 @@
     /// Faults played, in order.
     pub faults: Vec<String>,
     /// What was broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Plays one plan.
@@ -86,18 +86,18 @@
 /// # Errors
 ///
 /// If the programs cannot be started.
-pub async fn play(plan: Plan) -> anyhow::Result<Report> {
+pub async fn run_soak(plan: SoakConfig) -> anyhow::Result<SoakReport> {
     let mut random = StdRng::seed_from_u64(plan.seed);
-    let world = Arc::new(World::start(plan.entries).await?);
+    let world = Arc::new(World::start(plan.entry_count).await?);
     world.until_serving(RECOVERY).await;
     let callers = callers::start(&world, plan);
-    let poison = faults::poison(Arc::clone(&world), plan.seed, plan.length);
+    let poison = faults::poison(Arc::clone(&world), plan.seed, plan.duration);
     let poison = tokio::spawn(poison);
-    let restores = restores::play(Arc::clone(&world), plan.seed, plan.length);
+    let restores = restores::play(Arc::clone(&world), plan.seed, plan.duration);
     let restores = tokio::spawn(restores);
-    let pressure = pressure::play(Arc::clone(&world), plan.seed, plan.length);
+    let pressure = pressure::play(Arc::clone(&world), plan.seed, plan.duration);
     let pressure = tokio::spawn(pressure);
-    faults::play(&world, plan.length, &mut random).await;
+    faults::play(&world, plan.duration, &mut random).await;
     pressure.await?;
     poison.await?;
     restores.await?;
@@ -105,24 +105,24 @@
     world.until_serving(RECOVERY).await;
     let history = callers.close().await;
     world.check_end(RECOVERY).await;
-    let (poison_runs, poison_ends) = checks::poison(&world);
-    let evidence = Evidence {
-        runs: checks::runs(&world),
-        poison_runs,
-        poison_ends,
-        is_calm: &|from, to| world.is_calm(from, to),
+    let (poison_run_starts, poison_exits) = checks::poison(&world);
+    let evidence = Observations {
+        run_counts: checks::runs(&world),
+        poison_run_starts,
+        poison_exits,
+        is_undisturbed: &|from, to| world.is_undisturbed(from, to),
     };
-    let mut broken = checks::broken(&evidence, &history);
-    broken.extend(world.take_broken());
-    if !broken.is_empty() {
+    let mut violations = checks::violations(&evidence, &history);
+    violations.extend(world.take_broken());
+    if !violations.is_empty() {
         let folder = world.keep_logs(plan.seed)?;
-        broken.push(format!("logs of all processes: {}", folder.display()));
+        violations.push(format!("logs of all processes: {}", folder.display()));
     }
     let served = history.iter().filter(|it| it.is_served()).count();
-    Ok(Report {
+    Ok(SoakReport {
         requests: history.len(),
         served,
         faults: world.take_faults(),
-        broken,
+        violations,
     })
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -355,7 +355,7 @@
     }
 
     /// Whether nothing but planned changes happened between two moments.
-    pub(crate) fn is_calm(&self, from: Instant, to: Instant) -> bool {
+    pub(crate) fn is_undisturbed(&self, from: Instant, to: Instant) -> bool {
         let disturbed = lock(&self.disturbed);
         disturbed
             .iter()
@@ -501,9 +501,16 @@
 }
 
 fn configuration(version: u64) -> Vec<u8> {
-    let mut routes: Vec<Value> = crate::callers::KINDS
+    let mut routes: Vec<Value> = crate::callers::REQUEST_KINDS
         .iter()
-        .map(|kind| route(kind.prefix, kind.kind, kind.targets, kind.is_resumable))
+        .map(|kind| {
+            route(
+                kind.prefix,
+                kind.route_type,
+                kind.max_targets,
+                kind.is_resumable,
+            )
+        })
         .collect();
     routes.push(route(&newest_path(version), "safe", 2, false));
     json!({
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_soak::callers::{Asked, Attempt, KINDS};
-use berylhook_soak::checks::{Evidence, broken};
+use berylhook_soak::callers::{Attempt, REQUEST_KINDS, RequestedRoute};
+use berylhook_soak::checks::{Observations, violations};
 use berylhook_test_support::EVENTS;
 use berylhook_test_support::calls::Answered;
 use indexmap::IndexMap;
@@ -13,7 +13,7 @@
 const UNSAFE: usize = 1;
 const STREAM: usize = 2;
 
-fn answered(status: u16, body: &str) -> Answered {
+fn response(status: u16, body: &str) -> Answered {
     Answered {
         status,
         outcome: String::new(),
@@ -27,16 +27,16 @@
     }
 }
 
-fn attempt(kind: usize, answered: Answered) -> Attempt {
-    let sent = Instant::now();
+fn attempt(kind: usize, response: Answered) -> Attempt {
+    let sent_at = Instant::now();
     Attempt {
         id: "a-1".to_owned(),
-        asked: Asked::Kind(&KINDS[kind]),
-        entry: 0,
-        lifetimes: (1, 1),
-        sent,
-        ended: sent + Duration::from_millis(10),
-        answered: Some(answered),
+        route: RequestedRoute::Kind(&REQUEST_KINDS[kind]),
+        entry_index: 0,
+        entry_lifetimes: (1, 1),
+        sent_at,
+        ended_at: sent_at + Duration::from_millis(10),
+        response: Some(response),
     }
 }
 
@@ -46,14 +46,14 @@
 }
 
 /// What is found in a history, with that many runs of its attempt.
-fn found(history: &[Attempt], runs: usize, is_calm: bool) -> Vec<String> {
-    let evidence = Evidence {
-        runs: IndexMap::from([("a-1".to_owned(), runs)]),
-        poison_runs: Vec::new(),
-        poison_ends: Vec::new(),
-        is_calm: &|_, _| is_calm,
+fn found(history: &[Attempt], runs: usize, is_undisturbed: bool) -> Vec<String> {
+    let evidence = Observations {
+        run_counts: IndexMap::from([("a-1".to_owned(), runs)]),
+        poison_run_starts: Vec::new(),
+        poison_exits: Vec::new(),
+        is_undisturbed: &|_, _| is_undisturbed,
     };
-    broken(&evidence, history)
+    violations(&evidence, history)
 }
 
 fn assert_found(attempt: Attempt, runs: usize, what: &str) {
@@ -65,25 +65,25 @@
 fn a_sound_history_shows_nothing() {
     let whole = events(1..=EVENTS);
     let history = [
-        (SAFE, answered(200, "{\"served\":\"a-1\"}")),
-        (UNSAFE, answered(200, "{\"served\":\"a-1\"}")),
-        (STREAM, answered(200, &whole)),
-        (SAFE, answered(503, "")),
+        (SAFE, response(200, "{\"served\":\"a-1\"}")),
+        (UNSAFE, response(200, "{\"served\":\"a-1\"}")),
+        (STREAM, response(200, &whole)),
+        (SAFE, response(503, "")),
     ];
 
-    for (kind, answered) in history {
-        let found = found(&[attempt(kind, answered)], 1, true);
+    for (kind, response) in history {
+        let found = found(&[attempt(kind, response)], 1, true);
         assert_eq!(found, Vec::<String>::new());
     }
 }
 
 #[test]
 fn runs_that_must_not_be_are_found() {
-    let ok = || answered(200, "{\"served\":\"a-1\"}");
+    let ok = || response(200, "{\"served\":\"a-1\"}");
     assert_found(attempt(UNSAFE, ok()), 2, "ran more than once");
     assert_found(attempt(SAFE, ok()), 3, "ran at too many targets");
     assert_found(
-        attempt(UNSAFE, answered(503, "")),
+        attempt(UNSAFE, response(503, "")),
         1,
         "was told that it did not run",
     );
@@ -91,16 +91,16 @@
 
 #[test]
 fn answers_that_must_not_be_are_found() {
-    let mut unmarked = answered(200, "{\"served\":\"a-1\"}");
+    let mut unmarked = response(200, "{\"served\":\"a-1\"}");
     unmarked.is_marked = false;
     assert_found(attempt(SAFE, unmarked), 1, "was answered without");
-    let mut of_another = answered(200, "{\"served\":\"a-1\"}");
+    let mut of_another = response(200, "{\"served\":\"a-1\"}");
     of_another.attempt_id = Some("a-2".to_owned());
     assert_found(attempt(SAFE, of_another), 1, "got another's answer");
-    let body_of_another = answered(200, "{\"served\":\"a-2\"}");
+    let body_of_another = response(200, "{\"served\":\"a-2\"}");
     assert_found(attempt(SAFE, body_of_another), 1, "got another's body");
     assert_found(
-        attempt(SAFE, answered(404, "")),
+        attempt(SAFE, response(404, "")),
         0,
         "was refused as unknown",
     );
@@ -111,16 +111,16 @@
     let doubled = events([1, 2, 2].into_iter().chain(3..=EVENTS));
     let lacking = events(1..EVENTS);
     assert_found(
-        attempt(STREAM, answered(200, &doubled)),
+        attempt(STREAM, response(200, &doubled)),
         1,
         "got events out",
     );
-    assert_found(attempt(STREAM, answered(200, &lacking)), 1, "got a whole");
+    assert_found(attempt(STREAM, response(200, &lacking)), 1, "got a whole");
 }
 
 #[test]
 fn an_answer_that_is_cut_counts_only_where_nothing_else_was_wrong() {
-    let mut cut = answered(200, &events(1..4));
+    let mut cut = response(200, &events(1..4));
     cut.is_whole = false;
 
     assert_found(attempt(STREAM, cut.clone()), 1, "was cut off");
@@ -133,10 +133,10 @@
 #[test]
 fn a_version_that_comes_back_is_found() {
     let of_version = |version, at_ms| {
-        let mut attempt = attempt(SAFE, answered(200, "{\"served\":\"a-1\"}"));
-        attempt.asked = Asked::Version(version);
-        attempt.sent += Duration::from_millis(at_ms);
-        attempt.ended += Duration::from_millis(at_ms);
+        let mut attempt = attempt(SAFE, response(200, "{\"served\":\"a-1\"}"));
+        attempt.route = RequestedRoute::Version(version);
+        attempt.sent_at += Duration::from_millis(at_ms);
+        attempt.ended_at += Duration::from_millis(at_ms);
         attempt
     };
 
@@ -151,22 +151,22 @@
 fn a_request_that_goes_on_after_three_ends_is_found() {
     let third = Instant::now();
     let late = |count: u64| (0..count).map(|number| third + Duration::from_secs(4 + number));
-    let evidence = |count: u64| Evidence {
-        runs: IndexMap::new(),
-        poison_runs: late(count).collect(),
-        poison_ends: vec![third; 3],
-        is_calm: &|_, _| true,
+    let evidence = |count: u64| Observations {
+        run_counts: IndexMap::new(),
+        poison_run_starts: late(count).collect(),
+        poison_exits: vec![third; 3],
+        is_undisturbed: &|_, _| true,
     };
 
-    assert!(broken(&evidence(3), &[]).is_empty());
-    assert!(broken(&evidence(4), &[])[0].contains("4 times more"));
+    assert!(violations(&evidence(3), &[]).is_empty());
+    assert!(violations(&evidence(4), &[])[0].contains("4 times more"));
 }
 
 #[test]
 fn a_caller_that_is_held_back_for_minutes_is_found() {
     let held = Answered {
         retry_after: Some("299.500".to_owned()),
-        ..answered(503, "")
+        ..response(503, "")
     };
 
     assert_found(attempt(UNSAFE, held), 0, "was held back");
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use berylhook_soak::{Plan, play};
+use berylhook_soak::{SoakConfig, run_soak};
 
 async fn assert_sound(seed: u64, length: Duration) {
-    let report = play(Plan::new(seed, length))
+    let report = run_soak(SoakConfig::new(seed, length))
         .await
         .expect("the programs start");
 
     assert!(
-        report.broken.is_empty(),
+        report.violations.is_empty(),
         "seed {seed}: {:#?}\n{:#?}",
-        report.broken,
+        report.violations,
         report.faults
     );
     assert!(report.served > 0, "seed {seed}: nothing was served");
