--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -152,7 +152,7 @@
     /// The name of the life in which a run lost its answer, if the target has ended; empty if
     /// it lives, or if it is leaving and ends by itself.
     pub(crate) async fn ended_target(&self, life: u64) -> String {
-        let has_ended = self.lives.has_ended(life) || probe::has_ended(self.settings.target).await;
+        let has_ended = self.lives.has_ended(life) || probe::has_exited(self.settings.target).await;
         if has_ended {
             self.lives.on_end(life);
         }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -8,9 +8,9 @@
 
 use berylhook_keyvalue::KeyValue;
 use berylhook_operator::document::Document;
-use berylhook_operator::{DocumentId, ItemKind};
+use berylhook_operator::{ItemId, ItemKind};
 use berylhook_target::TargetError;
-use berylhook_target::probe::{self, Listening};
+use berylhook_target::probe::{self, ProbeOutcome};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot};
 
@@ -99,9 +99,9 @@
 async fn look_for_target(agent: &Agent, error: &TargetError) {
     match error {
         TargetError::Unreachable(_) => {}
-        TargetError::CutOff(_) | TargetError::Invalid(_) => return,
+        TargetError::Interrupted(_) | TargetError::InvalidRequest(_) => return,
     }
-    if probe::probe(agent.settings.target).await == Listening::Refused {
+    if probe::probe(agent.settings.target).await == ProbeOutcome::Refused {
         agent.lives.on_nobody();
     }
 }
@@ -127,7 +127,7 @@
 
 /// Whether the catalogue says that this agent's entry may not be repeated.
 fn runs_at_most_once(agent: &Agent) -> bool {
-    let id = DocumentId {
+    let id = ItemId {
         kind: ItemKind::Entry,
         name: Arc::clone(&agent.settings.service),
     };
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -12,7 +12,7 @@
 use berylhook_peer::frame;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Data, End, Frame, Head, Header, Keyed, Refused, Start};
-use berylhook_target::{Answer, Call, EventSplitter, TargetError};
+use berylhook_target::{Call, EventSplitter, TargetError, TargetResponse};
 use bytes::Bytes;
 use tokio::sync::{Notify, Semaphore, mpsc};
 use tokio::time::timeout;
@@ -318,7 +318,7 @@
 /// The status by which a target refuses a request, with when it takes the next one.
 const REFUSED_STATUS: u16 = 503;
 
-fn note_pressure(agent: &Agent, answer: &Answer) {
+fn note_pressure(agent: &Agent, answer: &TargetResponse) {
     let now_ms = agent.now_ms();
     let retry_after = answer.headers.get("retry-after");
     let asks_for_rest = retry_after.filter(|_| answer.status == REFUSED_STATUS);
@@ -360,7 +360,7 @@
     /// has gone; without, reading stops then.
     async fn pass_on(
         &mut self,
-        mut answer: Answer,
+        mut answer: TargetResponse,
         keep_bytes: Option<usize>,
     ) -> Option<RecordedAnswer> {
         self.agent.lives.on_answer(self.running.life);
@@ -373,7 +373,7 @@
         let mut kept = Vec::new();
         let mut is_kept = true;
         loop {
-            match answer.body.chunk().await {
+            match answer.body.next_chunk().await {
                 Ok(Some(chunk)) => {
                     is_kept &= keep_bytes.is_some_and(|most| kept.len() + chunk.len() <= most);
                     if is_kept {
@@ -393,7 +393,7 @@
             }
         }
         if let Some(rest) = splitter
-            .map(EventSplitter::rest)
+            .map(EventSplitter::into_remainder)
             .filter(|rest| !rest.is_empty())
         {
             self.send_data(rest, 0).await;
@@ -481,7 +481,7 @@
     }
 }
 
-fn content_type(answer: &Answer) -> String {
+fn content_type(answer: &TargetResponse) -> String {
     answer
         .headers
         .get("content-type")
@@ -499,7 +499,7 @@
     "upgrade",
 ];
 
-fn head(answer: &Answer) -> Head {
+fn head(answer: &TargetResponse) -> Head {
     let headers = answer
         .headers
         .iter()
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -10,7 +10,7 @@
 use berylhook_peer::proto::{
     Catalogue, Digest, DigestAnswer, Frame, Load, Ping, Pong, Revoke, Revoked,
 };
-use berylhook_peer::{Peer, PeerError, Reader, Writer, frame, request_id};
+use berylhook_peer::{FrameReader, FrameWriter, PeerConnection, PeerError, frame, request_id};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
@@ -50,7 +50,7 @@
     }
 }
 
-async fn converse(agent: Arc<Agent>, peer: Peer) {
+async fn converse(agent: Arc<Agent>, peer: PeerConnection) {
     let entry = Arc::clone(&peer.name);
     log::info!("entry {entry} has connected");
     let (mut reader, writer) = berylhook_peer::split(peer);
@@ -62,7 +62,7 @@
     log::info!("entry {entry} has disconnected: {error}");
 }
 
-async fn write_loop(mut writer: Writer, mut queue: mpsc::UnboundedReceiver<Frame>) {
+async fn write_loop(mut writer: FrameWriter, mut queue: mpsc::UnboundedReceiver<Frame>) {
     let mut frames = Vec::new();
     while queue.recv_many(&mut frames, BATCH_FRAMES).await > 0 {
         if let Err(error) = writer.send(&mut frames).await {
@@ -74,7 +74,7 @@
 
 async fn read_loop(
     agent: &Arc<Agent>,
-    reader: &mut Reader,
+    reader: &mut FrameReader,
     outgoing: &mpsc::UnboundedSender<Frame>,
 ) -> PeerError {
     loop {
@@ -155,7 +155,7 @@
 fn on_catalogue(agent: &Agent, catalogue: &Catalogue) {
     let mut documents = lock(&agent.documents);
     for document in &catalogue.documents {
-        match berylhook_peer::document_id(&document.kind, &document.name) {
+        match berylhook_peer::item_id(&document.kind, &document.name) {
             Ok(id) => {
                 documents.offer(id, document.version, document.body.as_str().into());
             }
@@ -165,5 +165,5 @@
 }
 
 fn on_digest(agent: &Agent, digest: &Digest) -> DigestAnswer {
-    berylhook_peer::answer_digest(&lock(&agent.documents), digest)
+    berylhook_peer::reply_to_digest(&lock(&agent.documents), digest)
 }
--- a/crates/berylhook/src/commands/burn.rs
+++ b/crates/berylhook/src/commands/burn.rs
@@ -7,7 +7,7 @@
 
 use berylhook_core::burn::{SloCounts, burn_rate};
 use berylhook_keyvalue::KeyValue;
-use berylhook_operator::change::Stored;
+use berylhook_operator::change::StoredCatalogue;
 use berylhook_operator::document::{CATALOGUE_PREFIX, parse_version_key};
 use berylhook_operator::{Catalogue, Objectives};
 use berylhook_peer::proto::{BurnQuestion, BurnWindow, EntryBurn, answer, question};
@@ -101,7 +101,7 @@
 
 /// The objectives in force; empty in an outage, which leaves the counts.
 async fn read_catalogue(key_value: &str) -> anyhow::Result<Catalogue> {
-    let mut stored = Stored::default();
+    let mut stored = StoredCatalogue::default();
     let service = PlatformKeyValue::new(key_value)?;
     match service.range(CATALOGUE_PREFIX).await {
         Ok(range) => {
--- a/crates/berylhook/src/commands/catalogue.rs
+++ b/crates/berylhook/src/commands/catalogue.rs
@@ -13,10 +13,12 @@
 use anyhow::{Context, bail};
 use berylhook_core::time::WallMs;
 use berylhook_keyvalue::{Compare, KeyValue, Kv, KvError, Put, Txn};
-use berylhook_operator::DocumentId;
-use berylhook_operator::change::{Change, KEPT_VERSIONS, Stored, parse_wanted, revision_of};
+use berylhook_operator::ItemId;
+use berylhook_operator::change::{
+    ItemChange, RETAINED_VERSIONS, StoredCatalogue, base_revision, parse_desired,
+};
 use berylhook_operator::document::{
-    CATALOGUE_PREFIX, Document, HEAD_KEY, parse_version_key, version_key,
+    CATALOGUE_HEAD_KEY, CATALOGUE_PREFIX, Document, parse_version_key, version_key,
 };
 use berylhook_platform::key_value::PlatformKeyValue;
 use serde::Serialize;
@@ -72,7 +74,7 @@
 
 /// What the service holds.
 struct Read {
-    stored: Stored,
+    stored: StoredCatalogue,
     /// Revision of the last accepted change; 0 before the first.
     revision: i64,
 }
@@ -80,9 +82,9 @@
 async fn read(key_value: &dyn KeyValue) -> Result<Read, KvError> {
     // The head first: if a change comes in between, it is in the range but
     // not in the revision, and `apply` then finds that it was overtaken.
-    let head = key_value.range(HEAD_KEY).await?;
+    let head = key_value.range(CATALOGUE_HEAD_KEY).await?;
     let range = key_value.range(CATALOGUE_PREFIX).await?;
-    let mut stored = Stored::default();
+    let mut stored = StoredCatalogue::default();
     for kv in range.kvs {
         if let Some(key) = parse_version_key(&kv.key) {
             stored.add(key, &kv.value);
@@ -150,8 +152,8 @@
 impl Apply<'_> {
     async fn run(&self, key_value: &dyn KeyValue) -> anyhow::Result<ExitCode> {
         let text = read_file(self.file)?;
-        let wanted = parse_wanted(&text).with_context(|| self.file.display().to_string())?;
-        let Some(based_on) = self.based_on.or_else(|| revision_of(&text)) else {
+        let wanted = parse_desired(&text).with_context(|| self.file.display().to_string())?;
+        let Some(based_on) = self.based_on.or_else(|| base_revision(&text)) else {
             bail!(
                 "the file does not say which revision it is based on; start from `berylhook \
                  catalogue get`, or give --based-on (0 for the very first)"
@@ -173,7 +175,7 @@
         &self,
         key_value: &dyn KeyValue,
         based_on: i64,
-        changes: &[Change],
+        changes: &[ItemChange],
         text: &str,
     ) -> anyhow::Result<ExitCode> {
         let change_id: Arc<str> = uuid::Uuid::now_v7().to_string().into();
@@ -195,8 +197,8 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    fn txn(&self, based_on: i64, changes: &[Change], change_id: &Arc<str>) -> Txn {
-        let head: Arc<str> = HEAD_KEY.into();
+    fn txn(&self, based_on: i64, changes: &[ItemChange], change_id: &Arc<str>) -> Txn {
+        let head: Arc<str> = CATALOGUE_HEAD_KEY.into();
         let unchanged = match based_on {
             0 => Compare::Absent(Arc::clone(&head)),
             revision => Compare::ModRevision(Arc::clone(&head), revision),
@@ -220,7 +222,7 @@
             });
             if let Some(old) = change
                 .version
-                .checked_sub(KEPT_VERSIONS)
+                .checked_sub(RETAINED_VERSIONS)
                 .filter(|old| *old > 0)
             {
                 txn.deletes.push(version_key(&change.id, old));
@@ -229,7 +231,7 @@
         txn
     }
 
-    fn document(&self, change: &Change, change_id: &Arc<str>) -> Vec<u8> {
+    fn document(&self, change: &ItemChange, change_id: &Arc<str>) -> Vec<u8> {
         let document = Document {
             change_id: Arc::clone(change_id),
             author: self.author.into(),
@@ -258,7 +260,7 @@
 async fn commit(
     key_value: &dyn KeyValue,
     txn: Txn,
-    change: &Change,
+    change: &ItemChange,
     change_id: &str,
 ) -> anyhow::Result<bool> {
     let key = version_key(&change.id, change.version);
@@ -306,7 +308,7 @@
 }
 
 async fn history(key_value: &dyn KeyValue, item: &str, format: Format) -> anyhow::Result<ExitCode> {
-    let id: DocumentId = item.parse()?;
+    let id: ItemId = item.parse()?;
     let prefix = format!("{CATALOGUE_PREFIX}{}/{}/", id.kind.as_str(), id.name);
     let range = key_value.range(&prefix).await?;
     let versions: Vec<_> = range.kvs.iter().filter_map(version_of).collect();
@@ -331,7 +333,7 @@
 
 fn version_of(kv: &Kv) -> Option<Version> {
     let key = parse_version_key(&kv.key)?;
-    let mut check = Stored::default();
+    let mut check = StoredCatalogue::default();
     let version = key.version;
     check.add(key, &kv.value);
     let is_valid = check.items.values().any(|known| known.version == version);
--- a/crates/berylhook/src/serve/catalogue.rs
+++ b/crates/berylhook/src/serve/catalogue.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use berylhook_core::versions::OfferOutcome;
-use berylhook_operator::catalogue::Item;
+use berylhook_operator::catalogue::CatalogueItem;
 use berylhook_operator::document::Document;
-use berylhook_operator::{Catalogue, DocumentId, ItemKind};
+use berylhook_operator::{Catalogue, ItemId, ItemKind};
 use berylhook_peer::Documents;
 
 /// The control thread's catalogue.
@@ -21,7 +21,7 @@
     ///
     /// What goes wrong without the check: an operator's broken value with a
     /// higher version would hide the last good one from every process.
-    pub(crate) fn offer(&mut self, id: &DocumentId, version: u64, body: &str) -> bool {
+    pub(crate) fn offer(&mut self, id: &ItemId, version: u64, body: &str) -> bool {
         if version <= self.documents.version(id) {
             return false;
         }
@@ -45,7 +45,7 @@
         true
     }
 
-    fn remove(&mut self, id: &DocumentId) {
+    fn remove(&mut self, id: &ItemId) {
         match id.kind {
             ItemKind::Entry => {
                 self.catalogue.entries.shift_remove(&id.name);
@@ -61,10 +61,10 @@
 }
 
 /// The checked item of a stored document; nothing where it was removed.
-pub(crate) fn check(id: &DocumentId, body: &str) -> anyhow::Result<Option<Item>> {
+pub(crate) fn check(id: &ItemId, body: &str) -> anyhow::Result<Option<CatalogueItem>> {
     let document: Document = serde_json::from_str(body)?;
     match document.settings {
-        Some(settings) => Ok(Some(Item::from_settings(id, &settings)?)),
+        Some(settings) => Ok(Some(CatalogueItem::from_settings(id, &settings)?)),
         None => Ok(None),
     }
 }
@@ -72,7 +72,7 @@
 /// A document offered to the control thread.
 #[derive(Clone, Debug)]
 pub(crate) struct OfferedDocument {
-    pub(crate) id: DocumentId,
+    pub(crate) id: ItemId,
     pub(crate) version: u64,
     pub(crate) body: Arc<str>,
 }
@@ -81,7 +81,7 @@
     /// Reads a peer's message; `None` if its name is not allowed.
     pub(crate) fn from_message(message: &berylhook_peer::proto::Document) -> Option<Self> {
         Some(Self {
-            id: berylhook_peer::document_id(&message.kind, &message.name).ok()?,
+            id: berylhook_peer::item_id(&message.kind, &message.name).ok()?,
             version: message.version,
             body: message.body.as_str().into(),
         })
--- a/crates/berylhook/src/serve/collect.rs
+++ b/crates/berylhook/src/serve/collect.rs
@@ -1,6 +1,6 @@
 //! Receiving an answer until it is clear what it is.
 
-use berylhook_caller::{Reply, ReplyBody};
+use berylhook_caller::{CallResponse, ResponseBody};
 use berylhook_core::attempt::Verdict;
 use berylhook_core::outcome::Outcome;
 use berylhook_peer::proto::{Data, Head};
@@ -17,7 +17,7 @@
 /// How one attempt ended before any of it reached the caller.
 pub(super) enum Early {
     /// The whole answer.
-    Whole(Reply),
+    Whole(CallResponse),
     /// An answer that is passed on as it comes.
     Stream { head: Head, first: Vec<Data> },
     /// No answer.
@@ -31,9 +31,9 @@
     loop {
         match (attempt.next().await, head.take()) {
             (Step::Over(verdict), Some(head)) if verdict.outcome == Outcome::Done => {
-                return Early::Whole(Reply {
+                return Early::Whole(CallResponse {
                     head: answer_head(&head),
-                    body: ReplyBody::Whole(body.freeze()),
+                    body: ResponseBody::Full(body.freeze()),
                 });
             }
             (Step::Over(verdict), _) => return Early::Over(verdict),
--- a/crates/berylhook/src/serve/dispatch.rs
+++ b/crates/berylhook/src/serve/dispatch.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use berylhook_caller::{Call, CallFuture, Gateway, Refused, Reply, ReplyBody};
+use berylhook_caller::{Call, CallFuture, CallResponse, ErrorResponse, Gateway, ResponseBody};
 use berylhook_core::attempt::Verdict;
 use berylhook_core::ids::RequestId;
 use berylhook_core::outcome::Outcome;
 use berylhook_core::retry::{self, RetryDecision};
-use berylhook_operator::{Catalogue, Repeat};
+use berylhook_operator::{Catalogue, RetryPolicy};
 use berylhook_quarantine::{QuarantineRejection, RunClearance};
 use tokio::time::Instant;
 
@@ -36,7 +36,7 @@
         self.node.has_catalogue.load(Ordering::SeqCst)
     }
 
-    fn wants_traffic(&self) -> bool {
+    fn should_receive_traffic(&self) -> bool {
         self.node.is_ready()
     }
 
@@ -54,7 +54,7 @@
         Self { node, fleet }
     }
 
-    async fn run(&self, call: Call) -> Result<Reply, Refused> {
+    async fn run(&self, call: Call) -> Result<CallResponse, ErrorResponse> {
         let id = call.id;
         let account = Arc::clone(&call.account.name);
         let entry = Arc::clone(&call.entry.name);
@@ -62,8 +62,8 @@
         let result = self.serve(call).await;
         let outcome = match &result {
             Ok(reply) => match reply.body {
-                ReplyBody::Whole(_) => "done",
-                ReplyBody::Stream(_) => "begun",
+                ResponseBody::Full(_) => "done",
+                ResponseBody::Stream(_) => "begun",
             },
             Err(refused) => refused.outcome.as_str(),
         };
@@ -74,18 +74,18 @@
         result
     }
 
-    async fn serve(&self, call: Call) -> Result<Reply, Refused> {
+    async fn serve(&self, call: Call) -> Result<CallResponse, ErrorResponse> {
         let service = self.fleet.service(&call.entry.name);
         let permit = self.node.limiter.admit(&call, self.node.now_ms())?;
         lock(&service.budget).on_attempt();
         let job = Job::new(&self.node, call, service, permit);
         match job.call.entry.repeat {
-            Repeat::Safe => self.serve_repeatable(job).await,
-            Repeat::Never => keyed::serve(self, job).await,
+            RetryPolicy::Safe => self.serve_repeatable(job).await,
+            RetryPolicy::Never => keyed::serve(self, job).await,
         }
     }
 
-    async fn serve_repeatable(&self, mut job: Job) -> Result<Reply, Refused> {
+    async fn serve_repeatable(&self, mut job: Job) -> Result<CallResponse, ErrorResponse> {
         loop {
             let now_ms = self.node.now_ms();
             let picked = job.service.pick(&job.order.blocks, &job.failed, now_ms);
--- a/crates/berylhook/src/serve/fleet.rs
+++ b/crates/berylhook/src/serve/fleet.rs
@@ -11,7 +11,7 @@
 };
 use berylhook_core::time::MonoMs;
 use berylhook_keyvalue::{Vm, VmState};
-use berylhook_operator::Repeat;
+use berylhook_operator::RetryPolicy;
 use berylhook_peer::proto::Pong;
 use indexmap::IndexMap;
 
@@ -206,7 +206,7 @@
                 .catalogue
                 .entries
                 .get(name)
-                .is_none_or(|entry| entry.repeat == Repeat::Never);
+                .is_none_or(|entry| entry.repeat == RetryPolicy::Never);
             let vms = if any_may_be_home {
                 vms.clone()
             } else {
--- a/crates/berylhook/src/serve/job.rs
+++ b/crates/berylhook/src/serve/job.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use berylhook_caller::{Call, Reason, Refused, Reply, ReplyBody};
+use berylhook_caller::{Call, CallResponse, ErrorReason, ErrorResponse, ResponseBody};
 use berylhook_core::route::{TargetId, prefix_blocks};
-use berylhook_operator::{Class, Kind as EntryKind};
+use berylhook_operator::{EntryKind, PriorityClass};
 use berylhook_peer::proto::{Data, Header, Resume, Start};
 use bytes::Bytes;
 use tokio::time::Instant;
@@ -127,10 +127,10 @@
     }
 
     /// Ends the job with a whole answer.
-    pub(super) fn answer(mut self, reply: Reply) -> Reply {
+    pub(super) fn answer(mut self, reply: CallResponse) -> CallResponse {
         // An answer that comes all at once has no first token of its own.
         self.clock.times = RequestTimes::default();
-        if let (EntryKind::Model, ReplyBody::Whole(body)) = (self.call.entry.kind, &reply.body) {
+        if let (EntryKind::Model, ResponseBody::Full(body)) = (self.call.entry.kind, &reply.body) {
             self.clock.tokens += completion_tokens(body);
         }
         let failed = reply.head.status >= SERVER_ERROR;
@@ -139,10 +139,10 @@
     }
 
     /// Ends the job with a refusal.
-    pub(super) fn refuse(self, refused: Refused) -> Refused {
+    pub(super) fn refuse(self, refused: ErrorResponse) -> ErrorResponse {
         let callers_fault = matches!(
             refused.reason,
-            Reason::KeyReused | Reason::BadHeader | Reason::OverLimit
+            ErrorReason::IdempotencyKeyReused | ErrorReason::BadHeader | ErrorReason::OverLimit
         );
         if !callers_fault {
             self.close(true);
@@ -168,11 +168,11 @@
 }
 
 /// Tells the target how urgent a request is; engines honour priorities.
-fn priority(class: Class) -> &'static str {
+fn priority(class: PriorityClass) -> &'static str {
     match class {
-        Class::Critical => "critical",
-        Class::Interactive => "interactive",
-        Class::Batch => "batch",
+        PriorityClass::Critical => "critical",
+        PriorityClass::Interactive => "interactive",
+        PriorityClass::Batch => "batch",
     }
 }
 
--- a/crates/berylhook/src/serve/keyed.rs
+++ b/crates/berylhook/src/serve/keyed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use berylhook_caller::{IdempotencyKey, Refused, Reply};
+use berylhook_caller::{CallResponse, ErrorResponse, IdempotencyKey};
 use berylhook_core::attempt::Verdict;
 use berylhook_core::ledger::shard_of;
 use berylhook_core::outcome::{Outcome, Refusal};
@@ -34,8 +34,14 @@
 const RECONNECT_BOUND: Duration = Duration::from_secs(1);
 
 /// Serves a request of an entry whose requests must not be repeated.
-pub(super) async fn serve(dispatcher: &Dispatcher, mut job: Job) -> Result<Reply, Refused> {
-    let key = job.call.key.unwrap_or_else(IdempotencyKey::fresh);
+pub(super) async fn serve(
+    dispatcher: &Dispatcher,
+    mut job: Job,
+) -> Result<CallResponse, ErrorResponse> {
+    let key = job
+        .call
+        .idempotency_key
+        .unwrap_or_else(IdempotencyKey::generate);
     let keyed = keyed_part(&job, key);
     let shard = keyed.shard;
     job.order.start.keyed = Some(keyed);
@@ -120,7 +126,7 @@
 }
 
 fn keyed_part(job: &Job, key: IdempotencyKey) -> Keyed {
-    let mixed = key.of_account(&job.call.account.name);
+    let mixed = key.scoped_to_account(&job.call.account.name);
     let mut request = job.call.method.clone().into_bytes();
     request.push(0);
     request.extend_from_slice(job.call.path.as_bytes());
--- a/crates/berylhook/src/serve/limits.rs
+++ b/crates/berylhook/src/serve/limits.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use berylhook_caller::{Call, Reason, Refused};
+use berylhook_caller::{Call, ErrorReason, ErrorResponse};
 use berylhook_core::limit::{GrantedShare, ShareConfig, ShareHolder, TokenBucket};
 use berylhook_core::time::MonoMs;
 use berylhook_operator::Catalogue;
@@ -171,7 +171,11 @@
     }
 
     /// Admits a call under all its limits, or refuses it at once.
-    pub(crate) fn admit(self: &Arc<Self>, call: &Call, now_ms: MonoMs) -> Result<Permit, Refused> {
+    pub(crate) fn admit(
+        self: &Arc<Self>,
+        call: &Call,
+        now_ms: MonoMs,
+    ) -> Result<Permit, ErrorResponse> {
         let entries = *lock(&self.entries);
         let mut limits = lock(&self.limits);
         let mut taken = Vec::new();
@@ -310,7 +314,7 @@
         .collect()
 }
 
-fn over_limit(name: &str, wait_ms: u64) -> Refused {
+fn over_limit(name: &str, wait_ms: u64) -> ErrorResponse {
     let message = format!("the limit {name} is reached; come back later, or ask for a higher one");
-    Refused::not_run(Reason::OverLimit, message).retry_after_ms(wait_ms)
+    ErrorResponse::not_run(ErrorReason::OverLimit, message).with_retry_after_ms(wait_ms)
 }
--- a/crates/berylhook/src/serve/link.rs
+++ b/crates/berylhook/src/serve/link.rs
@@ -16,7 +16,10 @@
 use berylhook_core::time::MonoMs;
 use berylhook_peer::proto::frame::Kind;
 use berylhook_peer::proto::{Frame, Ping, Pong};
-use berylhook_peer::{Peer, PeerError, Reader, Writer, compare, digest, frame, request_id};
+use berylhook_peer::{
+    FrameReader, FrameWriter, PeerConnection, PeerError, compare_versions, digest, frame,
+    request_id,
+};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
@@ -161,7 +164,7 @@
         }
     }
 
-    async fn dial(&self, node: &Node) -> Result<Peer, PeerError> {
+    async fn dial(&self, node: &Node) -> Result<PeerConnection, PeerError> {
         let stream = match timeout(DIAL_TIMEOUT, TcpStream::connect(self.address)).await {
             Ok(connected) => connected?,
             Err(_) => return Err(std::io::Error::from(std::io::ErrorKind::TimedOut).into()),
@@ -175,7 +178,7 @@
         &self,
         node: &Arc<Node>,
         events: &Arc<dyn LinkEvents>,
-        peer: Peer,
+        peer: PeerConnection,
     ) -> PeerError {
         let incarnation = peer.incarnation;
         let (mut reader, writer) = berylhook_peer::split(peer);
@@ -206,7 +209,7 @@
         node: &Arc<Node>,
         events: &Arc<dyn LinkEvents>,
         connection: &Arc<Connection>,
-        reader: &mut Reader,
+        reader: &mut FrameReader,
     ) -> PeerError {
         loop {
             match reader.next().await {
@@ -235,7 +238,7 @@
             Some(Kind::Pong(pong)) => self.on_pong(node, events, connection, &pong),
             Some(Kind::DigestAnswer(told)) => {
                 let documents = Arc::clone(&node.snapshot.load().documents);
-                let comparison = compare(&documents, &told);
+                let comparison = compare_versions(&documents, &told);
                 let origin = node.issue_id();
                 if !comparison.offer.documents.is_empty() {
                     connection.send(origin, Kind::Catalogue(comparison.offer));
@@ -330,7 +333,10 @@
     connection.send(node.issue_id(), Kind::Ping(Ping { sent_ms }));
 }
 
-async fn write_loop(mut writer: Writer, mut queue: mpsc::UnboundedReceiver<Frame>) -> PeerError {
+async fn write_loop(
+    mut writer: FrameWriter,
+    mut queue: mpsc::UnboundedReceiver<Frame>,
+) -> PeerError {
     let mut frames = Vec::new();
     while queue.recv_many(&mut frames, BATCH_FRAMES).await > 0 {
         if let Err(error) = writer.send(&mut frames).await {
--- a/crates/berylhook/src/serve/peers.rs
+++ b/crates/berylhook/src/serve/peers.rs
@@ -17,7 +17,9 @@
 use berylhook_peer::proto::{
     Answer, Catalogue, Exchange, Question, StatusAnswer, answer, question,
 };
-use berylhook_peer::{KeyRing, answer_digest, compare, digest, documents_for, open, seal};
+use berylhook_peer::{
+    KeyRing, compare_versions, digest, documents_for, open, reply_to_digest, seal,
+};
 use rand::seq::IndexedRandom;
 use tokio::time::timeout;
 
@@ -99,7 +101,7 @@
     let kind = match &question.kind {
         Some(question::Kind::Digest(digest)) => {
             let store = control.store.borrow();
-            answer::Kind::Digest(answer_digest(&store.documents, digest))
+            answer::Kind::Digest(reply_to_digest(&store.documents, digest))
         }
         Some(question::Kind::Exchange(exchange)) => {
             take_up(control, &exchange.documents);
@@ -164,7 +166,7 @@
     let Some(answer::Kind::Digest(told)) = told.kind else {
         bail!("the answer is of another kind; check that both run matching versions");
     };
-    let comparison = compare(&control.store.borrow().documents, &told);
+    let comparison = compare_versions(&control.store.borrow().documents, &told);
     if !comparison.is_empty() {
         let exchange = Exchange {
             documents: comparison.offer.documents,
--- a/crates/berylhook/src/serve/reader.rs
+++ b/crates/berylhook/src/serve/reader.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use berylhook_keyvalue::{Kv, KvError, Watch, WatchEvent};
-use berylhook_operator::document::{CATALOGUE_PREFIX, HEAD_KEY, parse_version_key};
+use berylhook_operator::document::{CATALOGUE_HEAD_KEY, CATALOGUE_PREFIX, parse_version_key};
 use tokio::time::{Instant, timeout};
 
 use super::catalogue::OfferedDocument;
@@ -48,7 +48,7 @@
     while control.is_reader() && read_at.elapsed() < FULL_EVERY {
         let quiet_at = Instant::now() + HEAD_EVERY;
         revision = take_events(control, &mut watch, quiet_at, revision).await?;
-        let head = control.key_value.range(HEAD_KEY).await?;
+        let head = control.key_value.range(CATALOGUE_HEAD_KEY).await?;
         let head_revision = head.kvs.first().map_or(0, |kv| kv.mod_revision);
         if head_revision > revision {
             log::warn!("the watch has missed a change; reading everything again");
--- a/crates/berylhook/src/serve/streaming.rs
+++ b/crates/berylhook/src/serve/streaming.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use berylhook_caller::{AnswerHead, BodyChunk, Reply, ReplyBody};
+use berylhook_caller::{BodyChunk, CallResponse, ResponseBody, ResponseHead};
 use berylhook_core::outcome::Outcome;
 use berylhook_peer::proto::{Data, Head};
 use bytes::Bytes;
@@ -25,7 +25,7 @@
 const RESUME_BOUND: Duration = Duration::from_millis(1_900);
 
 /// Passes a stream on in the background.
-pub(super) fn stream(job: Job, attempt: Attempt, head: &Head, first: Vec<Data>) -> Reply {
+pub(super) fn stream(job: Job, attempt: Attempt, head: &Head, first: Vec<Data>) -> CallResponse {
     let (parts, receiver) = mpsc::channel(STREAM_PARTS);
     let reply_head = answer_head(head);
     let passing = Passing {
@@ -35,9 +35,9 @@
         is_event_stream: is_event_stream(head),
     };
     tokio::spawn(pass_on(job, attempt, passing, first));
-    Reply {
+    CallResponse {
         head: reply_head,
-        body: ReplyBody::Stream(receiver),
+        body: ResponseBody::Stream(receiver),
     }
 }
 
@@ -173,13 +173,13 @@
     })
 }
 
-pub(super) fn answer_head(head: &Head) -> AnswerHead {
+pub(super) fn answer_head(head: &Head) -> ResponseHead {
     let headers = head
         .headers
         .iter()
         .map(|header| (header.name.clone(), header.value.clone()))
         .collect();
-    AnswerHead {
+    ResponseHead {
         status: u16::try_from(head.status).unwrap_or(502),
         headers,
     }
--- a/crates/berylhook/tests/common/mod.rs
+++ b/crates/berylhook/tests/common/mod.rs
@@ -34,7 +34,7 @@
 
 pub fn shard_of_key(key: &str) -> u32 {
     let key = IdempotencyKey::parse(key).expect("a UUIDv7");
-    shard_of(key.of_account(ACCOUNT))
+    shard_of(key.scoped_to_account(ACCOUNT))
 }
 
 /// The agent that the service names as home of a shard.
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -7,18 +7,18 @@
 use poem::{Body, Response};
 use serde_json::json;
 
-use crate::gateway::{AnswerHead, Reply, ReplyBody};
-use crate::refused::Refused;
+use crate::gateway::{CallResponse, ResponseBody, ResponseHead};
+use crate::refused::ErrorResponse;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const OUTCOME_HEADER: &str = "berylhook-outcome";
 
 /// The target's answer. On a streamed one "done" holds once the body has
 /// ended properly; a body that is cut off means "unknown".
-pub(crate) fn from_reply(id: RequestId, reply: Reply) -> Response {
+pub(crate) fn from_reply(id: RequestId, reply: CallResponse) -> Response {
     let mut response = match reply.body {
-        ReplyBody::Whole(bytes) => Response::builder().body(bytes),
-        ReplyBody::Stream(chunks) => {
+        ResponseBody::Full(bytes) => Response::builder().body(bytes),
+        ResponseBody::Stream(chunks) => {
             let chunks = stream::unfold(chunks, |mut chunks| async move {
                 let chunk = chunks.recv().await?;
                 if chunk.is_err() {
@@ -37,7 +37,7 @@
     response
 }
 
-fn set_head(response: &mut Response, head: &AnswerHead) {
+fn set_head(response: &mut Response, head: &ResponseHead) {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     response.set_status(status);
     for (name, value) in &head.headers {
@@ -50,11 +50,11 @@
 }
 
 /// A refusal in the `OpenAI` error shape.
-pub(crate) fn from_refused(id: RequestId, refused: &Refused) -> Response {
+pub(crate) fn from_refused(id: RequestId, refused: &ErrorResponse) -> Response {
     let body = json!({
         "error": {
             "message": refused.message,
-            "type": refused.reason.kind(),
+            "type": refused.reason.error_type(),
             "code": refused.reason.code(),
             "param": null,
         }
--- a/crates/caller/src/auth.rs
+++ b/crates/caller/src/auth.rs
@@ -5,20 +5,20 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::refused::{Reason, Refused};
+use crate::refused::{ErrorReason, ErrorResponse};
 
 /// The account whose key the request carries.
 pub(crate) fn authenticate<'a>(
     catalogue: &'a Catalogue,
     headers: &HeaderMap,
-) -> Result<&'a Account, Refused> {
+) -> Result<&'a Account, ErrorResponse> {
     let key = headers
         .get("authorization")
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
         .ok_or_else(|| {
             let message = "send your key in the header `Authorization: Bearer KEY`";
-            Refused::not_run(Reason::NoKey, message)
+            ErrorResponse::not_run(ErrorReason::MissingKey, message)
         })?;
     let digest: [u8; 32] = Sha256::digest(key.trim().as_bytes()).into();
     catalogue
@@ -26,6 +26,6 @@
         .filter(|account| bool::from(account.key_sha256.ct_eq(&digest)))
         .ok_or_else(|| {
             let message = "no account has this key; check it, or ask your operator for a new one";
-            Refused::not_run(Reason::WrongKey, message)
+            ErrorResponse::not_run(ErrorReason::InvalidKey, message)
         })
 }
--- a/crates/caller/src/gateway.rs
+++ b/crates/caller/src/gateway.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 
 use crate::idempotency::IdempotencyKey;
-use crate::refused::Refused;
+use crate::refused::ErrorResponse;
 
 /// A checked request.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// The whole body.
     pub body: Bytes,
     /// The caller's idempotency key, if it sent one.
-    pub key: Option<IdempotencyKey>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// Whether the caller asked for the answer token by token.
     pub is_stream: bool,
     /// Time the caller allows for the whole request.
@@ -39,7 +39,7 @@
 
 /// The start of an answer.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// The target's headers.
@@ -50,23 +50,24 @@
 pub type BodyChunk = Result<Bytes, std::io::Error>;
 
 /// The body of an answer.
-pub enum ReplyBody {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Bytes),
+    Full(Bytes),
     /// As it comes.
     Stream(mpsc::Receiver<BodyChunk>),
 }
 
 /// An answer.
-pub struct Reply {
+pub struct CallResponse {
     /// Its start.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The rest.
-    pub body: ReplyBody,
+    pub body: ResponseBody,
 }
 
 /// A boxed future of a call.
-pub type CallFuture<'a> = Pin<Box<dyn Future<Output = Result<Reply, Refused>> + Send + 'a>>;
+pub type CallFuture<'a> =
+    Pin<Box<dyn Future<Output = Result<CallResponse, ErrorResponse>> + Send + 'a>>;
 
 /// The load balancer behind the HTTP paths.
 pub trait Gateway: Send + Sync {
@@ -78,7 +79,7 @@
 
     /// Whether the platform's balancer should send requests here. A process
     /// that is stopping still serves what comes, but wants no more.
-    fn wants_traffic(&self) -> bool;
+    fn should_receive_traffic(&self) -> bool;
 
     /// A fresh id for a request.
     fn issue_id(&self) -> RequestId;
--- a/crates/caller/src/idempotency.rs
+++ b/crates/caller/src/idempotency.rs
@@ -38,7 +38,7 @@
 
     /// A fresh key, for a caller that sent none.
     #[must_use]
-    pub fn fresh() -> Self {
+    pub fn generate() -> Self {
         Self::from_v7(Uuid::now_v7())
     }
 
@@ -61,7 +61,7 @@
     /// The account is mixed in, so that no caller can collide with another's
     /// key, by chance or on purpose.
     #[must_use]
-    pub fn of_account(&self, account: &str) -> u128 {
+    pub fn scoped_to_account(&self, account: &str) -> u128 {
         let digest = Sha256::new()
             .chain_update(account.as_bytes())
             .chain_update([0])
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -15,8 +15,8 @@
 mod routes;
 mod server;
 
-pub use gateway::{AnswerHead, BodyChunk, Call, CallFuture, Gateway, Reply, ReplyBody};
+pub use gateway::{BodyChunk, Call, CallFuture, CallResponse, Gateway, ResponseBody, ResponseHead};
 pub use idempotency::{IdempotencyKey, IdempotencyKeyError};
-pub use refused::{Reason, Refused};
+pub use refused::{ErrorReason, ErrorResponse};
 pub use routes::{MAX_BODY_BYTES, app};
 pub use server::serve;
--- a/crates/caller/src/refused.rs
+++ b/crates/caller/src/refused.rs
@@ -4,15 +4,15 @@
 
 /// Why a request got no answer from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ErrorReason {
     /// No bearer key.
-    NoKey,
+    MissingKey,
     /// A bearer key that no account has.
-    WrongKey,
+    InvalidKey,
     /// An account that may not use the entry.
     NotAllowed,
     /// No entry of that name or path.
-    UnknownModel,
+    UnknownEntry,
     /// A body over the bound.
     BodyTooLarge,
     /// A body that is not the JSON it should be.
@@ -20,7 +20,7 @@
     /// A header that cannot be used.
     BadHeader,
     /// The same idempotency key came with a different request.
-    KeyReused,
+    IdempotencyKeyReused,
     /// A limit is reached.
     OverLimit,
     /// No target can take it.
@@ -28,28 +28,28 @@
     /// Nothing is known yet of the catalogue.
     NotReady,
     /// The deadline passed, or cannot be met.
-    Deadline,
+    DeadlineExceeded,
     /// The answer was lost.
-    AnswerLost,
+    ResponseLost,
     /// Targets end under the request.
-    HeldBack,
+    Quarantined,
 }
 
-impl Reason {
+impl ErrorReason {
     /// The HTTP status.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
-            Self::NoKey | Self::WrongKey => 401,
+            Self::MissingKey | Self::InvalidKey => 401,
             Self::NotAllowed => 403,
-            Self::UnknownModel => 404,
+            Self::UnknownEntry => 404,
             Self::BodyTooLarge => 413,
             Self::MalformedJson | Self::BadHeader => 400,
-            Self::KeyReused => 422,
+            Self::IdempotencyKeyReused => 422,
             Self::OverLimit => 429,
-            Self::NoTarget | Self::NotReady | Self::HeldBack => 503,
-            Self::Deadline => 504,
-            Self::AnswerLost => 502,
+            Self::NoTarget | Self::NotReady | Self::Quarantined => 503,
+            Self::DeadlineExceeded => 504,
+            Self::ResponseLost => 502,
         }
     }
 
@@ -57,26 +57,26 @@
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
-            Self::NoKey => "no_api_key",
-            Self::WrongKey => "invalid_api_key",
+            Self::MissingKey => "no_api_key",
+            Self::InvalidKey => "invalid_api_key",
             Self::NotAllowed => "not_allowed",
-            Self::UnknownModel => "model_not_found",
+            Self::UnknownEntry => "model_not_found",
             Self::BodyTooLarge => "body_too_large",
             Self::MalformedJson => "malformed_json",
             Self::BadHeader => "bad_header",
-            Self::KeyReused => "idempotency_key_reused",
+            Self::IdempotencyKeyReused => "idempotency_key_reused",
             Self::OverLimit => "rate_limit_exceeded",
             Self::NoTarget => "no_live_target",
             Self::NotReady => "not_ready",
-            Self::Deadline => "deadline_passed",
-            Self::AnswerLost => "answer_lost",
-            Self::HeldBack => "held_back",
+            Self::DeadlineExceeded => "deadline_passed",
+            Self::ResponseLost => "answer_lost",
+            Self::Quarantined => "held_back",
         }
     }
 
     /// The `OpenAI` error type.
     #[must_use]
-    pub fn kind(self) -> &'static str {
+    pub fn error_type(self) -> &'static str {
         match self.status() {
             401 | 403 => "authentication_error",
             429 => "rate_limit_error",
@@ -88,9 +88,9 @@
 
 /// A final answer that is not the target's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct ErrorResponse {
     /// Why.
-    pub reason: Reason,
+    pub reason: ErrorReason,
     /// What the caller may take as given.
     pub outcome: Outcome,
     /// When to come back, if coming back may help.
@@ -99,10 +99,10 @@
     pub message: String,
 }
 
-impl Refused {
+impl ErrorResponse {
     /// A refusal of a request that did not run.
     #[must_use]
-    pub fn not_run(reason: Reason, message: impl Into<String>) -> Self {
+    pub fn not_run(reason: ErrorReason, message: impl Into<String>) -> Self {
         Self {
             reason,
             outcome: Outcome::NotRun,
@@ -113,7 +113,7 @@
 
     /// A failure that leaves open whether the request ran.
     #[must_use]
-    pub fn unknown(reason: Reason, message: impl Into<String>) -> Self {
+    pub fn unknown(reason: ErrorReason, message: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
             ..Self::not_run(reason, message)
@@ -122,7 +122,7 @@
 
     /// Adds when to come back.
     #[must_use]
-    pub fn retry_after_ms(mut self, ms: u64) -> Self {
+    pub fn with_retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
--- a/crates/caller/src/routes.rs
+++ b/crates/caller/src/routes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use berylhook_core::ids::RequestId;
-use berylhook_operator::{Account, Catalogue, Entry, Kind};
+use berylhook_operator::{Account, Catalogue, Entry, EntryKind};
 use bytes::Bytes;
 use poem::http::{HeaderMap, StatusCode};
 use poem::{Endpoint, EndpointExt, Request, Response, Route, get, handler, web::Data};
@@ -13,7 +13,7 @@
 use crate::auth::authenticate;
 use crate::gateway::{Call, Gateway};
 use crate::idempotency::IdempotencyKey;
-use crate::refused::{Reason, Refused};
+use crate::refused::{ErrorReason, ErrorResponse};
 
 /// Largest request body.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
@@ -59,7 +59,7 @@
 /// The process wants requests.
 #[handler]
 fn readyz(Data(gateway): Data<&SharedGateway>) -> Response {
-    if gateway.wants_traffic() {
+    if gateway.should_receive_traffic() {
         return Response::from("ready\n");
     }
     Response::builder()
@@ -79,7 +79,7 @@
     let data: Vec<_> = catalogue
         .entries
         .values()
-        .filter(|entry| entry.kind == Kind::Model && account.entries.contains(&entry.name))
+        .filter(|entry| entry.kind == EntryKind::Model && account.entries.contains(&entry.name))
         .map(|entry| serde_json::json!({"id": entry.name, "object": "model", "owned_by": entry.owner}))
         .collect();
     let body = serde_json::json!({"object": "list", "data": data});
@@ -106,10 +106,12 @@
     request: &Request,
     body: poem::Body,
     gateway: &SharedGateway,
-) -> Result<Call, Refused> {
+) -> Result<Call, ErrorResponse> {
     if !gateway.is_ready() {
         let message = "this process does not take requests at present; ask another one";
-        return Err(Refused::not_run(Reason::NotReady, message).retry_after_ms(1_000));
+        return Err(
+            ErrorResponse::not_run(ErrorReason::NotReady, message).with_retry_after_ms(1_000)
+        );
     }
     let catalogue = gateway.catalogue();
     let headers = request.headers();
@@ -130,17 +132,17 @@
         headers: passed_on(headers),
         body,
         is_stream,
-        key: read_key(headers)?,
+        idempotency_key: read_key(headers)?,
         deadline_ms: read_deadline(headers, entry)?,
     })
 }
 
-async fn read_body(body: poem::Body) -> Result<Bytes, Refused> {
+async fn read_body(body: poem::Body) -> Result<Bytes, ErrorResponse> {
     body.into_bytes_limit(MAX_BODY_BYTES)
         .await
         .map_err(|error| {
             let message = format!("{error}; send at most {MAX_BODY_BYTES} bytes");
-            Refused::not_run(Reason::BodyTooLarge, message)
+            ErrorResponse::not_run(ErrorReason::BodyTooLarge, message)
         })
 }
 
@@ -162,11 +164,11 @@
     catalogue: &'a Catalogue,
     path: &str,
     body: &Bytes,
-) -> Result<Found<'a>, Refused> {
+) -> Result<Found<'a>, ErrorResponse> {
     if !MODEL_PATHS.contains(&path) {
         let entry = catalogue.entry_for_path(path).ok_or_else(|| {
             let message = format!("nothing is served at {path}; check the path");
-            Refused::not_run(Reason::UnknownModel, message)
+            ErrorResponse::not_run(ErrorReason::UnknownEntry, message)
         })?;
         return Ok(Found {
             entry,
@@ -175,18 +177,18 @@
     }
     let request: ModelRequest = serde_json::from_slice(body).map_err(|error| {
         let message = format!("the body is no request with a `model`: {error}");
-        Refused::not_run(Reason::MalformedJson, message)
+        ErrorResponse::not_run(ErrorReason::MalformedJson, message)
     })?;
     let entry = catalogue
         .entries
         .get(request.model.as_str())
-        .filter(|entry| entry.kind == Kind::Model)
+        .filter(|entry| entry.kind == EntryKind::Model)
         .ok_or_else(|| {
             let message = format!(
                 "there is no model `{}`; GET /v1/models lists yours",
                 request.model
             );
-            Refused::not_run(Reason::UnknownModel, message)
+            ErrorResponse::not_run(ErrorReason::UnknownEntry, message)
         })?;
     Ok(Found {
         entry,
@@ -194,7 +196,7 @@
     })
 }
 
-fn check_allowed(account: &Account, entry: &Entry) -> Result<(), Refused> {
+fn check_allowed(account: &Account, entry: &Entry) -> Result<(), ErrorResponse> {
     if account.entries.contains(&entry.name) {
         return Ok(());
     }
@@ -202,21 +204,21 @@
         "account {} may not use {}; ask its owner {}",
         account.name, entry.name, entry.owner
     );
-    Err(Refused::not_run(Reason::NotAllowed, message))
+    Err(ErrorResponse::not_run(ErrorReason::NotAllowed, message))
 }
 
-fn read_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, Refused> {
+fn read_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, ErrorResponse> {
     let Some(value) = headers.get("idempotency-key") else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
     IdempotencyKey::parse(text)
         .map(Some)
-        .map_err(|error| Refused::not_run(Reason::BadHeader, error.to_string()))
+        .map_err(|error| ErrorResponse::not_run(ErrorReason::BadHeader, error.to_string()))
 }
 
 /// A caller may shorten the entry's deadline, not extend it.
-fn read_deadline(headers: &HeaderMap, entry: &Entry) -> Result<u64, Refused> {
+fn read_deadline(headers: &HeaderMap, entry: &Entry) -> Result<u64, ErrorResponse> {
     let Some(value) = headers.get("berylhook-deadline-ms") else {
         return Ok(entry.deadline_ms);
     };
@@ -224,12 +226,15 @@
     match asked {
         Some(0) => {
             let message = "the deadline had passed when the request arrived";
-            Err(Refused::not_run(Reason::Deadline, message))
+            Err(ErrorResponse::not_run(
+                ErrorReason::DeadlineExceeded,
+                message,
+            ))
         }
         Some(ms) => Ok(ms.min(entry.deadline_ms)),
         None => {
             let message = "berylhook-deadline-ms: write a whole number of milliseconds";
-            Err(Refused::not_run(Reason::BadHeader, message))
+            Err(ErrorResponse::not_run(ErrorReason::BadHeader, message))
         }
     }
 }
--- a/crates/entry/src/health_check.rs
+++ b/crates/entry/src/health_check.rs
@@ -6,7 +6,7 @@
 
 use berylhook_platform::headers;
 use berylhook_quarantine::{Probe, ProbeFuture};
-use berylhook_target::probe::Listening;
+use berylhook_target::probe::ProbeOutcome;
 use berylhook_traffic::target::Target;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -58,7 +58,7 @@
         request
     }
 
-    async fn check(&self) -> Listening {
+    async fn check(&self) -> ProbeOutcome {
         let response = call::send_unverified(self.address, self.request());
         match timeout(RESPONSE_TIMEOUT, response).await {
             Ok(Ok((response, _))) => {
@@ -69,15 +69,15 @@
                     headers,
                     &self.target_id,
                 ) {
-                    Listening::Another
+                    ProbeOutcome::OtherIncarnation
                 } else {
-                    Listening::Accepted
+                    ProbeOutcome::Accepted
                 }
             }
-            Ok(Err(CallError::ConnectionRefused)) => Listening::Refused,
-            Ok(Err(CallError::NotConnected)) => Listening::Silent,
+            Ok(Err(CallError::ConnectionRefused)) => ProbeOutcome::Refused,
+            Ok(Err(CallError::NotConnected)) => ProbeOutcome::NoResponse,
             // The connection was accepted, but no response arrived.
-            Ok(Err(_)) | Err(_) => Listening::Accepted,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Accepted,
         }
     }
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -72,13 +72,15 @@
     /// The error names the line, the setting and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
-        file.only_sections(&["node", "listen", "peers", "store", "agents", "stop", "logs"])?;
+        file.reject_unknown_sections(&[
+            "node", "listen", "peers", "store", "agents", "stop", "logs",
+        ])?;
         let node = required(&file, "node")?;
-        node.only(&["name", "data_centre", "processor_share"])?;
+        node.reject_unknown_settings(&["name", "data_centre", "processor_share"])?;
         let listen = required(&file, "listen")?;
-        listen.only(&["callers", "ready", "peers", "metrics"])?;
+        listen.reject_unknown_settings(&["callers", "ready", "peers", "metrics"])?;
         let store = required(&file, "store")?;
-        store.only(&["address"])?;
+        store.reject_unknown_settings(&["address"])?;
         Ok(Self {
             name: Arc::clone(&node.required("name")?.value),
             data_centre: Arc::clone(&node.required("data_centre")?.value),
@@ -107,7 +109,7 @@
     if share.is_finite() && share > 0.0 {
         Ok(share)
     } else {
-        Err(node.bad_value(setting, PROCESSOR_SHARE_REMEDY))
+        Err(node.invalid_value(setting, PROCESSOR_SHARE_REMEDY))
     }
 }
 
@@ -124,7 +126,7 @@
     let Some(section) = file.section("peers") else {
         return Ok(Vec::new());
     };
-    section.only(&["seeds"])?;
+    section.reject_unknown_settings(&["seeds"])?;
     let Some(setting) = section.get("seeds") else {
         return Ok(Vec::new());
     };
@@ -134,7 +136,7 @@
         .map(|address| {
             address
                 .parse()
-                .map_err(|_| section.bad_value(setting, ADDRESS_REMEDY))
+                .map_err(|_| section.invalid_value(setting, ADDRESS_REMEDY))
         })
         .collect()
 }
@@ -142,7 +144,7 @@
 fn agent_port(file: &IniFile) -> Result<u16, IniError> {
     match file.section("agents") {
         Some(section) => {
-            section.only(&["port"])?;
+            section.reject_unknown_settings(&["port"])?;
             section.parse("port", PORT_REMEDY)
         }
         None => Ok(DEFAULT_AGENT_PORT),
@@ -152,7 +154,7 @@
 fn grace_ms(file: &IniFile) -> Result<u64, IniError> {
     let grace_s = match file.section("stop") {
         Some(section) => {
-            section.only(&["grace_s"])?;
+            section.reject_unknown_settings(&["grace_s"])?;
             section.parse_or("grace_s", DEFAULT_GRACE_S, SECONDS_REMEDY)?
         }
         None => DEFAULT_GRACE_S,
@@ -165,7 +167,7 @@
 fn log_level(file: &IniFile) -> Result<Arc<str>, IniError> {
     match file.section("logs") {
         Some(section) => {
-            section.only(&["level"])?;
+            section.reject_unknown_settings(&["level"])?;
             Ok(Arc::clone(&section.required("level")?.value))
         }
         None => Ok("info".into()),
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -293,7 +293,7 @@
     /// The end of the response body; an end in the middle of an event is a failure.
     fn end_of_body(run: &mut TargetStream) -> ReadResult {
         let splitter = std::mem::take(&mut run.splitter);
-        if splitter.rest().is_empty() {
+        if splitter.into_remainder().is_empty() {
             ReadResult::End
         } else {
             ReadResult::Interrupted
--- a/crates/operator/src/catalogue.rs
+++ b/crates/operator/src/catalogue.rs
@@ -5,13 +5,13 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-use crate::document::{DocumentId, ItemKind};
+use crate::document::{ItemId, ItemKind};
 use crate::ini_file::{IniError, IniFile, Section, Setting};
 
 /// How urgent an entry's traffic is when there is too much of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Class {
+pub enum PriorityClass {
     /// Runs when nothing else wants the capacity.
     Batch,
     /// Somebody waits for it.
@@ -23,7 +23,7 @@
 /// What serves an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum EntryKind {
     /// A language model with the `OpenAI` paths.
     Model,
     /// Any HTTP service.
@@ -33,7 +33,7 @@
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Running it twice does no harm.
     Safe,
     /// It runs at most once.
@@ -72,13 +72,13 @@
     /// Who owns it.
     pub owner: Arc<str>,
     /// Its urgency.
-    pub class: Class,
+    pub class: PriorityClass,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: EntryKind,
     /// The path prefix of a plain service.
     pub path: Option<Arc<str>>,
     /// Whether its requests may run again.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Whether its targets can resume a stream.
     pub resume: bool,
     /// Bounds on its traffic over all entry VMs.
@@ -190,7 +190,7 @@
 
 /// One item in its checked form.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum CatalogueItem {
     /// An entry.
     Entry(Entry),
     /// An account.
@@ -208,21 +208,21 @@
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let mut catalogue = Self::default();
         for section in &IniFile::parse(text)?.sections {
-            catalogue.insert(Item::parse(section)?);
+            catalogue.insert(CatalogueItem::parse(section)?);
         }
         Ok(catalogue)
     }
 
     /// Puts an item in, in place of the one of its name.
-    pub fn insert(&mut self, item: Item) {
+    pub fn insert(&mut self, item: CatalogueItem) {
         match item {
-            Item::Entry(entry) => {
+            CatalogueItem::Entry(entry) => {
                 self.entries.insert(Arc::clone(&entry.name), entry);
             }
-            Item::Account(account) => {
+            CatalogueItem::Account(account) => {
                 self.accounts.insert(Arc::clone(&account.name), account);
             }
-            Item::Group(group) => {
+            CatalogueItem::Group(group) => {
                 self.groups.insert(Arc::clone(&group.name), group);
             }
         }
@@ -256,14 +256,14 @@
     }
 }
 
-impl Item {
+impl CatalogueItem {
     /// Checks one section of a catalogue file.
     ///
     /// # Errors
     ///
     /// Names the first line that is not allowed, and the remedy.
     pub fn parse(section: &Section) -> Result<Self, IniError> {
-        let id: DocumentId = section
+        let id: ItemId = section
             .title
             .parse()
             .map_err(|error| IniError::UnknownSection {
@@ -284,7 +284,7 @@
     ///
     /// Names the setting that is not allowed, and the remedy.
     pub fn from_settings(
-        id: &DocumentId,
+        id: &ItemId,
         settings: &IndexMap<Arc<str>, Arc<str>>,
     ) -> Result<Self, IniError> {
         let settings = settings
@@ -305,25 +305,25 @@
 }
 
 fn parse_entry(name: Arc<str>, section: &Section) -> Result<Entry, IniError> {
-    section.only(&ENTRY_SETTINGS)?;
+    section.reject_unknown_settings(&ENTRY_SETTINGS)?;
     let kind = one_of(
         section,
         "kind",
-        &[("model", Kind::Model), ("plain", Kind::Plain)],
+        &[("model", EntryKind::Model), ("plain", EntryKind::Plain)],
     )?;
     let class = one_of(
         section,
         "class",
         &[
-            ("interactive", Class::Interactive),
-            ("batch", Class::Batch),
-            ("critical", Class::Critical),
+            ("interactive", PriorityClass::Interactive),
+            ("batch", PriorityClass::Batch),
+            ("critical", PriorityClass::Critical),
         ],
     )?;
     let repeat = one_of(
         section,
         "repeat",
-        &[("safe", Repeat::Safe), ("never", Repeat::Never)],
+        &[("safe", RetryPolicy::Safe), ("never", RetryPolicy::Never)],
     )?;
     let resume = one_of(section, "resume", &[("no", false), ("yes", true)])?;
     Ok(Entry {
@@ -342,18 +342,18 @@
     })
 }
 
-fn parse_path(section: &Section, kind: Kind) -> Result<Option<Arc<str>>, IniError> {
+fn parse_path(section: &Section, kind: EntryKind) -> Result<Option<Arc<str>>, IniError> {
     match (kind, section.get("path")) {
-        (Kind::Model, None) => Ok(None),
-        (Kind::Model, Some(setting)) => Err(section.bad_value(
+        (EntryKind::Model, None) => Ok(None),
+        (EntryKind::Model, Some(setting)) => Err(section.invalid_value(
             setting,
             "models are served under /v1; remove the line or set `kind = plain`",
         )),
-        (Kind::Plain, None) => section.required("path").map(|_| None),
-        (Kind::Plain, Some(setting)) if is_plain_path(&setting.value) => {
+        (EntryKind::Plain, None) => section.required("path").map(|_| None),
+        (EntryKind::Plain, Some(setting)) if is_plain_path(&setting.value) => {
             Ok(Some(Arc::clone(&setting.value)))
         }
-        (Kind::Plain, Some(setting)) => Err(section.bad_value(
+        (EntryKind::Plain, Some(setting)) => Err(section.invalid_value(
             setting,
             "write a path such as /guide-push, not `/`, not below /v1, without a slash at its end",
         )),
@@ -384,7 +384,7 @@
 }
 
 fn parse_account(name: Arc<str>, section: &Section) -> Result<Account, IniError> {
-    section.only(&ACCOUNT_SETTINGS)?;
+    section.reject_unknown_settings(&ACCOUNT_SETTINGS)?;
     let entries = section
         .required("entries")?
         .value
@@ -404,7 +404,7 @@
 
 fn parse_digest(section: &Section) -> Result<[u8; 32], IniError> {
     let setting = section.required("key_sha256")?;
-    let bad = || section.bad_value(setting, "write the SHA-256 of the key as 64 hex digits");
+    let bad = || section.invalid_value(setting, "write the SHA-256 of the key as 64 hex digits");
     if setting.value.len() != 64 || !setting.value.is_ascii() {
         return Err(bad());
     }
@@ -417,7 +417,7 @@
 }
 
 fn parse_group(name: Arc<str>, section: &Section) -> Result<Group, IniError> {
-    section.only(&GROUP_SETTINGS)?;
+    section.reject_unknown_settings(&GROUP_SETTINGS)?;
     let group = Group {
         name,
         entry: Arc::clone(&section.required("entry")?.value),
@@ -430,7 +430,7 @@
     let slots = u64::from(group.ranks) * u64::from(group.slots_per_rank);
     if group.ranks == 0 || slots < u64::from(group.experts) {
         let setting = section.required("slots_per_rank")?;
-        return Err(section.bad_value(
+        return Err(section.invalid_value(
             setting,
             "ranks times slots_per_rank must be at least the number of experts",
         ));
@@ -454,7 +454,7 @@
     let remedy = "write a whole number of milliseconds, at least 1";
     let value = section.parse_or(name, default, remedy)?;
     match section.get(name) {
-        Some(setting) if value == 0 => Err(section.bad_value(setting, remedy)),
+        Some(setting) if value == 0 => Err(section.invalid_value(setting, remedy)),
         _ => Ok(value),
     }
 }
@@ -463,7 +463,9 @@
     let remedy = "write a share in percent, over 0 and under 100, such as 99.9";
     let value = section.parse_or(name, default, remedy)?;
     match section.get(name) {
-        Some(setting) if !(value > 0.0 && value < 100.0) => Err(section.bad_value(setting, remedy)),
+        Some(setting) if !(value > 0.0 && value < 100.0) => {
+            Err(section.invalid_value(setting, remedy))
+        }
         _ => Ok(value),
     }
 }
@@ -478,7 +480,7 @@
         .find(|(choice, _)| *choice == &*setting.value);
     let Some((_, value)) = chosen else {
         let names: Vec<_> = choices.iter().map(|(choice, _)| *choice).collect();
-        return Err(section.bad_value(setting, format!("write one of {}", names.join(", "))));
+        return Err(section.invalid_value(setting, format!("write one of {}", names.join(", "))));
     };
     Ok(*value)
 }
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -7,18 +7,18 @@
 use indexmap::IndexMap;
 use thiserror::Error;
 
-use crate::catalogue::{Catalogue, Item};
-use crate::document::{Document, DocumentId, VersionKey};
+use crate::catalogue::{Catalogue, CatalogueItem};
+use crate::document::{Document, ItemId, VersionKey};
 use crate::ini_file::{IniError, IniFile};
 
 /// An item's settings as written.
 pub type ItemSettings = IndexMap<Arc<str>, Arc<str>>;
 
 /// Changes in one transaction at most; the key-value service bounds it.
-pub const MAX_CHANGES: usize = 40;
+pub const MAX_CHANGES_PER_TRANSACTION: usize = 40;
 
 /// Old versions kept of each item, for `berylhook catalogue history`.
-pub const KEPT_VERSIONS: u64 = 10;
+pub const RETAINED_VERSIONS: u64 = 10;
 
 /// Begins the line that names the revision a file was read at.
 const REVISION_LINE: &str = "# revision ";
@@ -33,7 +33,7 @@
     #[error(
         "{item} names the entry `{entry}`, which is not in the file; add it or correct the name"
     )]
-    NoSuchEntry {
+    UnknownEntry {
         /// The item.
         item: String,
         /// The entry it names.
@@ -41,7 +41,7 @@
     },
     /// Two entries want the same path.
     #[error("entries {first} and {second} both have the path {path}; give one another path")]
-    SamePath {
+    DuplicatePath {
         /// One entry.
         first: String,
         /// The other.
@@ -54,52 +54,52 @@
     WouldRemove(String),
     /// Too many changes for one transaction.
     #[error(
-        "the file changes {0} items, over the {MAX_CHANGES} of one transaction; apply it in parts"
+        "the file changes {0} items, over the {MAX_CHANGES_PER_TRANSACTION} of one transaction; apply it in parts"
     )]
-    TooMany(usize),
+    TooManyChanges(usize),
 }
 
 /// An item in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct CurrentItem {
     /// Its version; the highest valid one.
     pub version: u64,
     /// The highest version stored, valid or not.
-    pub highest_stored: u64,
+    pub highest_stored_version: u64,
     /// Its settings; nothing where it was removed.
     pub settings: Option<ItemSettings>,
 }
 
 /// Everything stored, reduced to what is in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredCatalogue {
     /// Items by name.
-    pub items: IndexMap<DocumentId, InForce>,
+    pub items: IndexMap<ItemId, CurrentItem>,
 }
 
 /// One change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct ItemChange {
     /// The item.
-    pub id: DocumentId,
+    pub id: ItemId,
     /// The version it gets.
     pub version: u64,
     /// Its settings from then on; nothing removes it.
     pub settings: Option<ItemSettings>,
 }
 
-impl Stored {
+impl StoredCatalogue {
     /// Adds a stored version; an invalid one is never in force.
     pub fn add(&mut self, key: VersionKey, value: &[u8]) {
         let checked = serde_json::from_slice::<Document>(value)
             .ok()
             .filter(|document| is_valid(&key.id, document));
-        let known = self.items.entry(key.id).or_insert(InForce {
+        let known = self.items.entry(key.id).or_insert(CurrentItem {
             version: 0,
-            highest_stored: 0,
+            highest_stored_version: 0,
             settings: None,
         });
-        known.highest_stored = known.highest_stored.max(key.version);
+        known.highest_stored_version = known.highest_stored_version.max(key.version);
         match checked {
             Some(document) if key.version > known.version => {
                 known.version = key.version;
@@ -130,9 +130,9 @@
     /// If there are too many, or items would be removed without `remove`.
     pub fn changes_to(
         &self,
-        wanted: &IndexMap<DocumentId, ItemSettings>,
+        wanted: &IndexMap<ItemId, ItemSettings>,
         remove: bool,
-    ) -> Result<Vec<Change>, ChangeError> {
+    ) -> Result<Vec<ItemChange>, ChangeError> {
         let mut changes = Vec::new();
         for (id, settings) in wanted {
             let known = self.items.get(id);
@@ -149,15 +149,18 @@
                 _ => {}
             }
         }
-        if changes.len() > MAX_CHANGES {
-            return Err(ChangeError::TooMany(changes.len()));
+        if changes.len() > MAX_CHANGES_PER_TRANSACTION {
+            return Err(ChangeError::TooManyChanges(changes.len()));
         }
         Ok(changes)
     }
 
-    fn change(&self, id: &DocumentId, settings: Option<ItemSettings>) -> Change {
-        let highest = self.items.get(id).map_or(0, |known| known.highest_stored);
-        Change {
+    fn change(&self, id: &ItemId, settings: Option<ItemSettings>) -> ItemChange {
+        let highest = self
+            .items
+            .get(id)
+            .map_or(0, |known| known.highest_stored_version);
+        ItemChange {
             id: id.clone(),
             version: highest + 1,
             settings,
@@ -165,14 +168,14 @@
     }
 }
 
-fn is_valid(id: &DocumentId, document: &Document) -> bool {
+fn is_valid(id: &ItemId, document: &Document) -> bool {
     match &document.settings {
-        Some(settings) => Item::from_settings(id, settings).is_ok(),
+        Some(settings) => CatalogueItem::from_settings(id, settings).is_ok(),
         None => true,
     }
 }
 
-fn push_section(text: &mut String, id: &DocumentId, settings: &ItemSettings) {
+fn push_section(text: &mut String, id: &ItemId, settings: &ItemSettings) {
     writeln!(text, "\n[{id}]").expect("strings can be written to");
     for (name, value) in settings {
         writeln!(text, "{name} = {value}").expect("strings can be written to");
@@ -181,7 +184,7 @@
 
 /// The revision that a file says it was read at.
 #[must_use]
-pub fn revision_of(text: &str) -> Option<i64> {
+pub fn base_revision(text: &str) -> Option<i64> {
     text.lines()
         .find_map(|line| line.strip_prefix(REVISION_LINE))
         .and_then(|revision| revision.trim().parse().ok())
@@ -192,7 +195,7 @@
 /// # Errors
 ///
 /// If an item is not valid by itself, or does not fit the others.
-pub fn parse_wanted(text: &str) -> Result<IndexMap<DocumentId, ItemSettings>, ChangeError> {
+pub fn parse_desired(text: &str) -> Result<IndexMap<ItemId, ItemSettings>, ChangeError> {
     let catalogue = Catalogue::parse(text)?;
     check_references(&catalogue)?;
     check_paths(&catalogue)?;
@@ -225,7 +228,7 @@
         .map(|group| (format!("group {}", group.name), &group.entry));
     for (item, entry) in of_accounts.chain(of_groups) {
         if !catalogue.entries.contains_key(entry) {
-            return Err(ChangeError::NoSuchEntry {
+            return Err(ChangeError::UnknownEntry {
                 item,
                 entry: entry.to_string(),
             });
@@ -241,7 +244,7 @@
             continue;
         };
         if let Some(first) = by_path.insert(Arc::clone(path), Arc::clone(&entry.name)) {
-            return Err(ChangeError::SamePath {
+            return Err(ChangeError::DuplicatePath {
                 first: first.to_string(),
                 second: entry.name.to_string(),
                 path: path.to_string(),
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -48,7 +48,7 @@
 
 /// Names an item across its versions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DocumentId {
+pub struct ItemId {
     /// What it is.
     pub kind: ItemKind,
     /// Its name.
@@ -58,13 +58,13 @@
 /// The text names no catalogue item.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` names no catalogue item; write `entry NAME`, `account NAME` or `group NAME`")]
-pub struct ParseDocumentIdError(String);
+pub struct ParseItemIdError(String);
 
-impl FromStr for DocumentId {
-    type Err = ParseDocumentIdError;
+impl FromStr for ItemId {
+    type Err = ParseItemIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || ParseDocumentIdError(text.to_owned());
+        let bad = || ParseItemIdError(text.to_owned());
         let (kind, name) = text.split_once([' ', '/']).ok_or_else(bad)?;
         let kind = ItemKind::ALL
             .into_iter()
@@ -87,7 +87,7 @@
     !name.is_empty() && name.len() <= 64 && name.chars().all(allowed)
 }
 
-impl fmt::Display for DocumentId {
+impl fmt::Display for ItemId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.kind.as_str(), self.name)
     }
@@ -109,7 +109,7 @@
 
 /// The key of a version of an item.
 #[must_use]
-pub fn version_key(id: &DocumentId, version: u64) -> Arc<str> {
+pub fn version_key(id: &ItemId, version: u64) -> Arc<str> {
     let kind = id.kind.as_str();
     let name = &id.name;
     format!("{CATALOGUE_PREFIX}{kind}/{name}/{version:0VERSION_DIGITS$}").into()
@@ -130,14 +130,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionKey {
     /// The item.
-    pub id: DocumentId,
+    pub id: ItemId,
     /// The version, from 1.
     pub version: u64,
 }
 
 /// Rewritten by every accepted change, so that one small read tells whether
 /// anything has changed.
-pub const HEAD_KEY: &str = "berylhook/catalogue-head";
+pub const CATALOGUE_HEAD_KEY: &str = "berylhook/catalogue-head";
 
 /// Names the entry that splits the limits; bound to its lease.
 pub const LIMITS_HOME_KEY: &str = "berylhook/limits-home";
--- a/crates/operator/src/ini_file.rs
+++ b/crates/operator/src/ini_file.rs
@@ -45,12 +45,12 @@
         hint: String,
     },
     /// The same section or setting twice.
-    #[error("line {line}: {what} is given twice; keep one of the two")]
-    Twice {
+    #[error("line {line}: {item} is given twice; keep one of the two")]
+    Duplicate {
         /// Line, from 1.
         line: usize,
         /// Section or setting.
-        what: String,
+        item: String,
     },
     /// A setting that must be there.
     #[error("line {line}: [{section}] lacks `{setting}`; add a line `{setting} = ...`")]
@@ -64,7 +64,7 @@
     },
     /// A value that is not allowed.
     #[error("line {line}: `{setting} = {value}` in [{section}]: {remedy}")]
-    BadValue {
+    InvalidValue {
         /// Line, from 1.
         line: usize,
         /// The section.
@@ -86,9 +86,9 @@
             Self::Syntax { line, .. }
             | Self::UnknownSection { line, .. }
             | Self::UnknownSetting { line, .. }
-            | Self::Twice { line, .. }
+            | Self::Duplicate { line, .. }
             | Self::Missing { line, .. }
-            | Self::BadValue { line, .. } => *line,
+            | Self::InvalidValue { line, .. } => *line,
         }
     }
 }
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// Names the first unknown section and the nearest known one.
-    pub fn only_sections(&self, known: &[&str]) -> Result<(), IniError> {
+    pub fn reject_unknown_sections(&self, known: &[&str]) -> Result<(), IniError> {
         for section in &self.sections {
             if !known.contains(&&*section.title) {
                 return Err(IniError::UnknownSection {
@@ -191,7 +191,7 @@
     /// # Errors
     ///
     /// Names the first unknown setting and the nearest known one.
-    pub fn only(&self, known: &[&str]) -> Result<(), IniError> {
+    pub fn reject_unknown_settings(&self, known: &[&str]) -> Result<(), IniError> {
         for setting in &self.settings {
             if !known.contains(&&*setting.name) {
                 return Err(IniError::UnknownSetting {
@@ -254,13 +254,13 @@
         setting
             .value
             .parse()
-            .map_err(|_| self.bad_value(setting, remedy))
+            .map_err(|_| self.invalid_value(setting, remedy))
     }
 
     /// The error for a value that is not allowed.
     #[must_use]
-    pub fn bad_value(&self, setting: &Setting, remedy: impl Display) -> IniError {
-        IniError::BadValue {
+    pub fn invalid_value(&self, setting: &Setting, remedy: impl Display) -> IniError {
+        IniError::InvalidValue {
             line: setting.line,
             section: self.title.to_string(),
             setting: setting.name.to_string(),
@@ -342,13 +342,13 @@
         let mut seen = BTreeSet::new();
         for place in &self.entries {
             if !seen.insert((&place.section, &place.setting)) {
-                let what = match &place.setting {
+                let item = match &place.setting {
                     Some(setting) => format!("`{setting}` in [{}]", place.section),
                     None => format!("[{}]", place.section),
                 };
-                return Err(IniError::Twice {
+                return Err(IniError::Duplicate {
                     line: place.line,
-                    what,
+                    item,
                 });
             }
         }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -11,6 +11,8 @@
 pub mod ini_file;
 pub mod settings;
 
-pub use catalogue::{Account, Catalogue, Class, Entry, Group, Kind, Objectives, Repeat};
-pub use document::{Document, DocumentId, ItemKind};
+pub use catalogue::{
+    Account, Catalogue, Entry, EntryKind, Group, Objectives, PriorityClass, RetryPolicy,
+};
+pub use document::{Document, ItemId, ItemKind};
 pub use ini_file::{IniError, IniFile, Section};
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -114,9 +114,9 @@
     /// Names the first line that is not allowed, and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
-        file.only_sections(&["entry", "platform", "trust", "logs", "metrics"])?;
+        file.reject_unknown_sections(&["entry", "platform", "trust", "logs", "metrics"])?;
         let section = required_section(&file, "entry")?;
-        section.only(&[
+        section.reject_unknown_settings(&[
             "name",
             "data_centre",
             "listen",
@@ -152,9 +152,9 @@
     /// Names the first line that is not allowed, and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
-        file.only_sections(&["agent", "platform", "trust", "logs"])?;
+        file.reject_unknown_sections(&["agent", "platform", "trust", "logs"])?;
         let section = required_section(&file, "agent")?;
-        section.only(&[
+        section.reject_unknown_settings(&[
             "name",
             "data_centre",
             "listen",
@@ -183,7 +183,9 @@
     let remedy = "write a whole number of threads, from 1 to 64";
     let threads = section.parse_or("traffic_threads", DEFAULT_TRAFFIC_THREADS, remedy)?;
     match section.get("traffic_threads") {
-        Some(setting) if !(1..=64).contains(&threads) => Err(section.bad_value(setting, remedy)),
+        Some(setting) if !(1..=64).contains(&threads) => {
+            Err(section.invalid_value(setting, remedy))
+        }
         _ => Ok(threads),
     }
 }
@@ -192,7 +194,7 @@
     let remedy = "write a whole number of seconds, at least 2";
     let ttl_s = section.parse_or("lease_ttl_s", DEFAULT_LEASE_TTL_S, remedy)?;
     match section.get("lease_ttl_s") {
-        Some(setting) if ttl_s < MIN_LEASE_TTL_S => Err(section.bad_value(setting, remedy)),
+        Some(setting) if ttl_s < MIN_LEASE_TTL_S => Err(section.invalid_value(setting, remedy)),
         _ => Ok(ttl_s),
     }
 }
@@ -214,7 +216,7 @@
 
 fn parse_platform(file: &IniFile) -> Result<Platform, IniError> {
     let section = required_section(file, "platform")?;
-    section.only(&["key_value", "vm_list"])?;
+    section.reject_unknown_settings(&["key_value", "vm_list"])?;
     Ok(Platform {
         key_value: parse_url(section, "key_value")?,
         vm_list: parse_url(section, "vm_list")?,
@@ -226,13 +228,13 @@
     if setting.value.starts_with("http://") {
         Ok(Arc::clone(&setting.value))
     } else {
-        Err(section.bad_value(setting, "write a URL such as http://127.0.0.1:2379"))
+        Err(section.invalid_value(setting, "write a URL such as http://127.0.0.1:2379"))
     }
 }
 
 fn parse_trust(file: &IniFile) -> Result<Trust, IniError> {
     let section = required_section(file, "trust")?;
-    section.only(&["key", "previous_key"])?;
+    section.reject_unknown_settings(&["key", "previous_key"])?;
     Ok(Trust {
         key: parse_key(section, section.required("key")?)?,
         previous_key: match section.get("previous_key") {
@@ -252,7 +254,7 @@
         value: "...".into(),
         ..setting.clone()
     };
-    Err(section.bad_value(&shown, "write 32 random bytes as 64 hex digits"))
+    Err(section.invalid_value(&shown, "write 32 random bytes as 64 hex digits"))
 }
 
 fn parse_logs(file: &IniFile) -> Result<Logs, IniError> {
@@ -263,14 +265,14 @@
     let Some(section) = file.section("logs") else {
         return Ok(defaults);
     };
-    section.only(&["level", "json"])?;
+    section.reject_unknown_settings(&["level", "json"])?;
     let level = match section.get("level") {
         None => defaults.level,
         Some(setting) => match &*setting.value {
             "error" | "warn" | "info" | "debug" | "trace" => Arc::clone(&setting.value),
             _ => {
                 let remedy = "write one of error, warn, info, debug, trace";
-                return Err(section.bad_value(setting, remedy));
+                return Err(section.invalid_value(setting, remedy));
             }
         },
     };
@@ -284,7 +286,7 @@
     let Some(section) = file.section("metrics") else {
         return Ok(Metrics { statsd: None });
     };
-    section.only(&["statsd"])?;
+    section.reject_unknown_settings(&["statsd"])?;
     let statsd = match section.get("statsd") {
         Some(_) => Some(section.parse("statsd", ADDRESS_REMEDY)?),
         None => None,
--- a/crates/operator/tests/errors.rs
+++ b/crates/operator/tests/errors.rs
@@ -1,7 +1,7 @@
 //! What operators are told about files that are not right. The exact text
 //! matters: it names the line, the setting and the remedy.
 
-use berylhook_operator::change::{Stored, parse_wanted};
+use berylhook_operator::change::{StoredCatalogue, parse_desired};
 use berylhook_operator::document::VersionKey;
 use berylhook_operator::settings::{AgentSettings, EntrySettings};
 use berylhook_operator::{Catalogue, IniFile};
@@ -73,7 +73,7 @@
         "0".repeat(64)
     );
 
-    let error = parse_wanted(&account).expect_err("drafter is not there");
+    let error = parse_desired(&account).expect_err("drafter is not there");
 
     assert_snapshot!(
         error.to_string(),
@@ -98,8 +98,8 @@
 #[test]
 fn what_get_prints_apply_takes() {
     let text = format!("{ENTRY}class = batch\n");
-    let wanted = parse_wanted(&text).expect("valid");
-    let mut stored = Stored::default();
+    let wanted = parse_desired(&text).expect("valid");
+    let mut stored = StoredCatalogue::default();
     for (id, settings) in &wanted {
         let document = serde_json::json!({
             "change_id": "c", "author": "a", "applied_unix_ms": 0, "settings": settings,
@@ -113,7 +113,7 @@
 
     let printed = stored.to_ini(7);
 
-    assert_eq!(parse_wanted(&printed).expect("valid"), wanted);
+    assert_eq!(parse_desired(&printed).expect("valid"), wanted);
     assert_eq!(stored.changes_to(&wanted, false), Ok(Vec::new()));
 }
 
@@ -124,6 +124,6 @@
         let _ = Catalogue::parse(&text);
         let _ = EntrySettings::parse(&text);
         let _ = AgentSettings::parse(&text);
-        let _ = parse_wanted(&text);
+        let _ = parse_desired(&text);
     }
 }
--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -6,20 +6,20 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use crate::PeerError;
-use crate::handshake::Peer;
+use crate::handshake::PeerConnection;
 use crate::proto::{Batch, Frame};
 use crate::seal::{MAX_RECORD_BYTES, Opener, Sealer, TAG_BYTES};
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The receiving half of a connection.
-pub struct Reader {
+pub struct FrameReader {
     stream: BufReader<OwnedReadHalf>,
     opener: Opener,
 }
 
 /// The sending half of a connection.
-pub struct Writer {
+pub struct FrameWriter {
     stream: OwnedWriteHalf,
     sealer: Sealer,
     record: Vec<u8>,
@@ -27,13 +27,13 @@
 
 /// Splits a connection into its halves.
 #[must_use]
-pub fn split(peer: Peer) -> (Reader, Writer) {
+pub fn split(peer: PeerConnection) -> (FrameReader, FrameWriter) {
     let (read, write) = peer.stream.into_split();
-    let reader = Reader {
+    let reader = FrameReader {
         stream: BufReader::with_capacity(READ_BUFFER_BYTES, read),
         opener: peer.opener,
     };
-    let writer = Writer {
+    let writer = FrameWriter {
         stream: write,
         sealer: peer.sealer,
         record: Vec::new(),
@@ -41,7 +41,7 @@
     (reader, writer)
 }
 
-impl Reader {
+impl FrameReader {
     /// The frames of the next record.
     ///
     /// # Errors
@@ -77,7 +77,7 @@
     }
 }
 
-impl Writer {
+impl FrameWriter {
     /// Sends `frames` as one record and empties the list.
     ///
     /// # Errors
--- a/crates/peer/src/documents.rs
+++ b/crates/peer/src/documents.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use berylhook_core::versions::{BUCKETS, VersionMap, VersionSummary, Versioned};
-use berylhook_operator::DocumentId;
-use berylhook_operator::document::ParseDocumentIdError;
+use berylhook_operator::ItemId;
+use berylhook_operator::document::ParseItemIdError;
 use indexmap::IndexMap;
 
 use crate::proto::{Catalogue, Digest, DigestAnswer, Document, DocumentVersion, Want};
 
 /// Documents in force by item, as stored.
-pub type Documents = VersionMap<DocumentId, Arc<str>>;
+pub type Documents = VersionMap<ItemId, Arc<str>>;
 
 /// What to send to and ask of a peer after comparing versions.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// If kind or name is not allowed.
-pub fn document_id(kind: &str, name: &str) -> Result<DocumentId, ParseDocumentIdError> {
+pub fn item_id(kind: &str, name: &str) -> Result<ItemId, ParseItemIdError> {
     format!("{kind} {name}").parse()
 }
 
@@ -48,7 +48,7 @@
 
 /// The versions that the sender of `digest` has to look at.
 #[must_use]
-pub fn answer_digest(documents: &Documents, digest: &Digest) -> DigestAnswer {
+pub fn reply_to_digest(documents: &Documents, digest: &Digest) -> DigestAnswer {
     let theirs = summary_of(&digest.buckets);
     let versions = documents
         .differing(&theirs)
@@ -62,11 +62,11 @@
 
 /// Compares a peer's answer to what is in force here.
 #[must_use]
-pub fn compare(documents: &Documents, answer: &DigestAnswer) -> Comparison {
+pub fn compare_versions(documents: &Documents, answer: &DigestAnswer) -> Comparison {
     let mut comparison = Comparison::default();
     let mut theirs = IndexMap::new();
     for item in &answer.versions {
-        let Ok(id) = document_id(&item.kind, &item.name) else {
+        let Ok(id) = item_id(&item.kind, &item.name) else {
             continue;
         };
         if documents.version(&id) < item.version {
@@ -78,7 +78,7 @@
     for (id, item) in documents.differing(&summary) {
         let their_version = theirs.get(id).copied().unwrap_or(0);
         if item.version > their_version {
-            comparison.offer.documents.push(to_message(id, item));
+            comparison.offer.documents.push(document_message(id, item));
         }
     }
     comparison
@@ -90,8 +90,8 @@
     let documents = versions
         .iter()
         .filter_map(|wanted| {
-            let id = document_id(&wanted.kind, &wanted.name).ok()?;
-            documents.get(&id).map(|item| to_message(&id, item))
+            let id = item_id(&wanted.kind, &wanted.name).ok()?;
+            documents.get(&id).map(|item| document_message(&id, item))
         })
         .collect();
     Catalogue { documents }
@@ -99,7 +99,7 @@
 
 /// A document as a message.
 #[must_use]
-pub fn to_message(id: &DocumentId, item: &Versioned<Arc<str>>) -> Document {
+pub fn document_message(id: &ItemId, item: &Versioned<Arc<str>>) -> Document {
     Document {
         kind: id.kind.as_str().to_owned(),
         name: id.name.to_string(),
@@ -108,7 +108,7 @@
     }
 }
 
-fn version_message(id: &DocumentId, version: u64) -> DocumentVersion {
+fn version_message(id: &ItemId, version: u64) -> DocumentVersion {
     DocumentVersion {
         kind: id.kind.as_str().to_owned(),
         name: id.name.to_string(),
--- a/crates/peer/src/envelope.rs
+++ b/crates/peer/src/envelope.rs
@@ -37,7 +37,7 @@
     keys: &KeyRing,
     label: &str,
     bytes: &[u8],
-) -> Result<Opened<M>, PeerError> {
+) -> Result<OpenedEnvelope<M>, PeerError> {
     if bytes.len() > MAX_RECORD_BYTES {
         return Err(PeerError::TooLarge {
             bytes: bytes.len(),
@@ -50,7 +50,7 @@
     if !bool::from(expected[..].ct_eq(&envelope.tag)) {
         return Err(PeerError::BadTag);
     }
-    Ok(Opened {
+    Ok(OpenedEnvelope {
         message: M::decode(envelope.payload)?,
         nonce: envelope.nonce.to_vec(),
     })
@@ -58,7 +58,7 @@
 
 /// An opened envelope.
 #[derive(Debug)]
-pub struct Opened<M> {
+pub struct OpenedEnvelope<M> {
     /// The message.
     pub message: M,
     /// The nonce the asker drew.
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -20,7 +20,7 @@
 const HANDSHAKE_TIMEOUT_MS: u64 = 2_000;
 
 /// A connection whose other end has proved that it holds a shared key.
-pub struct Peer {
+pub struct PeerConnection {
     /// The other process's name from its settings.
     pub name: Arc<str>,
     /// The other process's incarnation.
@@ -40,7 +40,7 @@
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
-) -> Result<Peer, PeerError> {
+) -> Result<PeerConnection, PeerError> {
     bounded(dial_side(stream, keys, name, incarnation)).await
 }
 
@@ -54,7 +54,7 @@
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
-) -> Result<Peer, PeerError> {
+) -> Result<PeerConnection, PeerError> {
     bounded(listen_side(stream, keys, name, incarnation)).await
 }
 
@@ -70,7 +70,7 @@
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
-) -> Result<Peer, PeerError> {
+) -> Result<PeerConnection, PeerError> {
     stream.set_nodelay(true)?;
     let key = keys.current();
     let hello = Hello {
@@ -87,7 +87,7 @@
         tag: transcript.tag(key, "proof").to_vec().into(),
     };
     write_message(&mut stream, &proof).await?;
-    Ok(Peer {
+    Ok(PeerConnection {
         name: welcome.name.as_str().into(),
         incarnation: Incarnation(welcome.incarnation),
         stream,
@@ -101,7 +101,7 @@
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
-) -> Result<Peer, PeerError> {
+) -> Result<PeerConnection, PeerError> {
     stream.set_nodelay(true)?;
     let hello: Hello = read_message(&mut stream).await?;
     let key = keys.find(&hello.key_id).ok_or(PeerError::UnknownKey)?;
@@ -116,7 +116,7 @@
     write_message(&mut stream, &welcome).await?;
     let proof: Proof = read_message(&mut stream).await?;
     check(&transcript.tag(key, "proof"), &proof.tag)?;
-    Ok(Peer {
+    Ok(PeerConnection {
         name: hello.name.as_str().into(),
         incarnation: Incarnation(hello.incarnation),
         stream,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -18,13 +18,13 @@
 mod seal;
 mod trust;
 
-pub use channel::{Reader, Writer, split};
+pub use channel::{FrameReader, FrameWriter, split};
 pub use convert::{frame, request_id};
 pub use documents::{
-    Documents, answer_digest, compare, digest, document_id, documents_for, to_message,
+    Documents, compare_versions, digest, document_message, documents_for, item_id, reply_to_digest,
 };
 pub use envelope::{open, seal};
-pub use handshake::{Peer, accept, connect};
+pub use handshake::{PeerConnection, accept, connect};
 pub use seal::{MAX_RECORD_BYTES, Opener, Sealer, TAG_BYTES};
 pub use trust::{Key, KeyRing, ParseKeyError};
 
--- a/crates/quarantine/src/probe.rs
+++ b/crates/quarantine/src/probe.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 
-use berylhook_target::probe::{self, Listening};
+use berylhook_target::probe::{self, ProbeOutcome};
 
 /// The result of a probe.
-pub type ProbeFuture<'a> = Pin<Box<dyn Future<Output = Listening> + Send + 'a>>;
+pub type ProbeFuture<'a> = Pin<Box<dyn Future<Output = ProbeOutcome> + Send + 'a>>;
 
 /// Determines which target listens at a target's address.
 ///
-/// [`Listening::Accepted`] is also the result for a listener that does not identify itself.
+/// [`ProbeOutcome::Accepted`] is also the result for a listener that does not identify itself.
 pub trait Probe: Send + Sync {
     /// Probes the target once.
     fn probe(&self) -> ProbeFuture<'_>;
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -10,7 +10,7 @@
     FACT_TTL_MS, Facts, Hold, HoldKind, Quarantine, QuarantineStatus, SurvivedRun, TargetExit,
 };
 use berylhook_core::time::{MonoMs, WallMs};
-use berylhook_target::probe::{self, Listening};
+use berylhook_target::probe::{self, ProbeOutcome};
 use indexmap::IndexSet;
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -167,8 +167,11 @@
             let tracker = Arc::clone(self);
             let incarnation = incarnation.clone();
             tokio::spawn(async move {
-                let has_exited = probe::has_ended(incarnation.address).await
-                    || matches!(probe.probe().await, Listening::Refused | Listening::Another);
+                let has_exited = probe::has_exited(incarnation.address).await
+                    || matches!(
+                        probe.probe().await,
+                        ProbeOutcome::Refused | ProbeOutcome::OtherIncarnation
+                    );
                 tracker.on_exit_check(&incarnation.target, has_exited);
             });
         }
@@ -225,14 +228,14 @@
             }
             let requested_ms = self.now_ms();
             match probe.probe().await {
-                Listening::Accepted => {
+                ProbeOutcome::Accepted => {
                     self.on_connection_accepted(&incarnation.target, requested_ms);
                 }
-                Listening::Refused | Listening::Another => {
+                ProbeOutcome::Refused | ProbeOutcome::OtherIncarnation => {
                     self.on_connection_refused(&incarnation.target);
                 }
                 // No request is blamed for a VM that is unreachable or has lost its power.
-                Listening::Silent => {
+                ProbeOutcome::NoResponse => {
                     self.lock().abandoned_runs.take_target(&incarnation.target);
                 }
             }
--- a/crates/quarantine/tests/abandoned_runs.rs
+++ b/crates/quarantine/tests/abandoned_runs.rs
@@ -9,7 +9,7 @@
 use berylhook_quarantine::{
     LostRequest, Probe, ProbeFuture, QuarantineMetrics, SuspectTracker, TargetIncarnation,
 };
-use berylhook_target::probe::Listening;
+use berylhook_target::probe::ProbeOutcome;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -163,7 +163,7 @@
 
 impl Probe for OtherIncarnation {
     fn probe(&self) -> ProbeFuture<'_> {
-        Box::pin(async { Listening::Another })
+        Box::pin(async { ProbeOutcome::OtherIncarnation })
     }
 }
 
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -30,10 +30,10 @@
     /// Names the line, the setting and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
-        file.only_sections(&["listen", "engine", "store", "logs"])?;
+        file.reject_unknown_sections(&["listen", "engine", "store", "logs"])?;
         let log_level = match file.section("logs") {
             Some(section) => {
-                section.only(&["level"])?;
+                section.reject_unknown_settings(&["level"])?;
                 Arc::clone(&section.required("level")?.value)
             }
             None => "info".into(),
@@ -60,6 +60,6 @@
         setting: "address".to_owned(),
     };
     let section = file.section(title).ok_or_else(missing)?;
-    section.only(known)?;
+    section.reject_unknown_settings(known)?;
     Ok(section)
 }
--- a/crates/target/src/body.rs
+++ b/crates/target/src/body.rs
@@ -7,12 +7,12 @@
 use crate::client::TargetError;
 
 /// The body of an answer; dropping it cancels the call at the target.
-pub struct AnswerBody {
+pub struct TargetResponseBody {
     incoming: Incoming,
     connection: Option<tokio::task::JoinHandle<()>>,
 }
 
-impl AnswerBody {
+impl TargetResponseBody {
     pub(crate) fn new(incoming: Incoming, connection: Option<tokio::task::JoinHandle<()>>) -> Self {
         Self {
             incoming,
@@ -25,11 +25,11 @@
     /// # Errors
     ///
     /// If the target closed the connection before the body's proper end.
-    pub async fn chunk(&mut self) -> Result<Option<Bytes>, TargetError> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, TargetError> {
         loop {
             match self.incoming.frame().await {
                 None => return Ok(None),
-                Some(Err(error)) => return Err(TargetError::CutOff(error.to_string())),
+                Some(Err(error)) => return Err(TargetError::Interrupted(error.to_string())),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => return Ok(Some(data)),
                     Err(_trailers) => {}
@@ -39,7 +39,7 @@
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for TargetResponseBody {
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.abort();
--- a/crates/target/src/client.rs
+++ b/crates/target/src/client.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::AnswerBody;
+use crate::TargetResponseBody;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
@@ -35,10 +35,10 @@
     #[error(
         "the target closed the connection before its answer ended ({0}); see the target's own log"
     )]
-    CutOff(String),
+    Interrupted(String),
     /// The order cannot be put into HTTP.
     #[error("the order is no valid HTTP request ({0}); check the method, path and headers")]
-    Invalid(String),
+    InvalidRequest(String),
 }
 
 /// One call.
@@ -57,13 +57,13 @@
 }
 
 /// The start of an answer.
-pub struct Answer {
+pub struct TargetResponse {
     /// HTTP status.
     pub status: u16,
     /// The answer's headers.
     pub headers: HeaderMap,
     /// The rest of it.
-    pub body: AnswerBody,
+    pub body: TargetResponseBody,
 }
 
 /// What a target says of its load.
@@ -83,7 +83,7 @@
 /// A target as the agent sees it.
 pub trait Target: Send + Sync {
     /// Sends a call and waits for the start of the answer.
-    fn call(&self, call: Call) -> CallFuture<'_, Answer>;
+    fn call(&self, call: Call) -> CallFuture<'_, TargetResponse>;
 
     /// Asks for the load.
     fn load(&self) -> CallFuture<'_, LoadReport>;
@@ -110,7 +110,8 @@
     }
 
     fn request(&self, call: Call) -> Result<Request<Full<Bytes>>, TargetError> {
-        let invalid = |error: &dyn std::fmt::Display| TargetError::Invalid(error.to_string());
+        let invalid =
+            |error: &dyn std::fmt::Display| TargetError::InvalidRequest(error.to_string());
         let uri: Uri = format!("http://{}{}", self.address, call.path)
             .parse()
             .map_err(|error| invalid(&error))?;
@@ -128,15 +129,21 @@
         Ok(request)
     }
 
-    async fn call_pooled(&self, request: Request<Full<Bytes>>) -> Result<Answer, TargetError> {
+    async fn call_pooled(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<TargetResponse, TargetError> {
         match self.pool.request(request).await {
             Ok(response) => Ok(answer(response, None)),
             Err(error) if error.is_connect() => Err(TargetError::Unreachable(error.to_string())),
-            Err(error) => Err(TargetError::CutOff(error.to_string())),
+            Err(error) => Err(TargetError::Interrupted(error.to_string())),
         }
     }
 
-    async fn call_once(&self, mut request: Request<Full<Bytes>>) -> Result<Answer, TargetError> {
+    async fn call_once(
+        &self,
+        mut request: Request<Full<Bytes>>,
+    ) -> Result<TargetResponse, TargetError> {
         let unreachable =
             |error: &dyn std::fmt::Display| TargetError::Unreachable(error.to_string());
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await {
@@ -160,18 +167,18 @@
         let origin_form: Uri = path
             .parse()
             .map_err(|error: hyper::http::uri::InvalidUri| {
-                TargetError::Invalid(error.to_string())
+                TargetError::InvalidRequest(error.to_string())
             })?;
         *request.uri_mut() = origin_form;
         match sender.send_request(request).await {
             Ok(response) => Ok(answer(response, Some(connection))),
-            Err(error) => Err(TargetError::CutOff(error.to_string())),
+            Err(error) => Err(TargetError::Interrupted(error.to_string())),
         }
     }
 }
 
 impl Target for HttpTarget {
-    fn call(&self, call: Call) -> CallFuture<'_, Answer> {
+    fn call(&self, call: Call) -> CallFuture<'_, TargetResponse> {
         Box::pin(async move {
             let repeatable = call.repeatable;
             let request = self.request(call)?;
@@ -200,18 +207,21 @@
             let body = Limited::new(response.into_body(), MAX_LOAD_REPORT_BYTES)
                 .collect()
                 .await
-                .map_err(|error| TargetError::CutOff(error.to_string()))?;
+                .map_err(|error| TargetError::Interrupted(error.to_string()))?;
             serde_json::from_slice(&body.to_bytes())
-                .map_err(|error| TargetError::CutOff(error.to_string()))
+                .map_err(|error| TargetError::Interrupted(error.to_string()))
         })
     }
 }
 
-fn answer(response: Response<Incoming>, connection: Option<tokio::task::JoinHandle<()>>) -> Answer {
+fn answer(
+    response: Response<Incoming>,
+    connection: Option<tokio::task::JoinHandle<()>>,
+) -> TargetResponse {
     let (head, body) = response.into_parts();
-    Answer {
+    TargetResponse {
         status: head.status.as_u16(),
         headers: head.headers,
-        body: AnswerBody::new(body, connection),
+        body: TargetResponseBody::new(body, connection),
     }
 }
--- a/crates/target/src/events.rs
+++ b/crates/target/src/events.rs
@@ -7,7 +7,7 @@
 
 /// Whole events cut from the stream.
 #[derive(Debug, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// The events with their blank lines.
     pub bytes: Bytes,
     /// How many there are.
@@ -23,7 +23,7 @@
 
 impl EventSplitter {
     /// Adds a chunk; gives the events that are whole now, if any.
-    pub fn push(&mut self, chunk: &[u8]) -> Option<WholeEvents> {
+    pub fn push(&mut self, chunk: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(chunk);
         let mut end = 0;
         let mut count = 0;
@@ -41,12 +41,12 @@
         }
         let bytes = self.pending.split_to(end).freeze();
         self.scanned = self.pending.len();
-        (count > 0).then_some(WholeEvents { bytes, count })
+        (count > 0).then_some(CompleteEvents { bytes, count })
     }
 
     /// What is left when the stream ends.
     #[must_use]
-    pub fn rest(self) -> Bytes {
+    pub fn into_remainder(self) -> Bytes {
         self.pending.freeze()
     }
 }
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -18,6 +18,6 @@
 mod events;
 pub mod probe;
 
-pub use body::AnswerBody;
-pub use client::{Answer, Call, HttpTarget, LoadReport, Target, TargetError};
+pub use body::TargetResponseBody;
+pub use client::{Call, HttpTarget, LoadReport, Target, TargetError, TargetResponse};
 pub use events::EventSplitter;
--- a/crates/target/src/probe.rs
+++ b/crates/target/src/probe.rs
@@ -23,32 +23,32 @@
 
 /// What a connection to an address showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listening {
+pub enum ProbeOutcome {
     /// Somebody took it.
     Accepted,
     /// Nobody listens there: the process has ended.
     Refused,
     /// Nothing came back: the VM is cut off or has lost its power.
-    Silent,
+    NoResponse,
     /// Another incarnation has taken the address: the process has ended.
-    Another,
+    OtherIncarnation,
 }
 
 /// Opens one connection, and closes it without a word.
-pub async fn probe(address: SocketAddr) -> Listening {
+pub async fn probe(address: SocketAddr) -> ProbeOutcome {
     match connect(address).await {
-        Ok(_) => Listening::Accepted,
+        Ok(_) => ProbeOutcome::Accepted,
         Err(listening) => listening,
     }
 }
 
 /// Whether the process at the address has ended, asked just after it lost an answer: it
 /// may be ending while it still accepts.
-pub async fn has_ended(address: SocketAddr) -> bool {
+pub async fn has_exited(address: SocketAddr) -> bool {
     for _ in 0..MOST_PROBES {
         let mut stream = match connect(address).await {
             Ok(stream) => stream,
-            Err(listening) => return listening == Listening::Refused,
+            Err(listening) => return listening == ProbeOutcome::Refused,
         };
         // A target says nothing on a connection without a request.
         let said = timeout(ENDS_WITHIN, stream.read(&mut [0; 1])).await;
@@ -60,10 +60,12 @@
     false
 }
 
-async fn connect(address: SocketAddr) -> Result<TcpStream, Listening> {
+async fn connect(address: SocketAddr) -> Result<TcpStream, ProbeOutcome> {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Err(Listening::Refused),
-        Ok(Err(_)) | Err(_) => Err(Listening::Silent),
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+            Err(ProbeOutcome::Refused)
+        }
+        Ok(Err(_)) | Err(_) => Err(ProbeOutcome::NoResponse),
     }
 }
--- a/crates/target/tests/events.rs
+++ b/crates/target/tests/events.rs
@@ -20,6 +20,6 @@
 
         assert_eq!(count, 3, "chunks of {size}");
         assert!(bytes.ends_with(b"long one\n\n"), "chunks of {size}");
-        assert_eq!(&splitter.rest()[..], b"data: unfinished");
+        assert_eq!(&splitter.into_remainder()[..], b"data: unfinished");
     }
 }
