--- a/crates/agent/src/control/claims.rs
+++ b/crates/agent/src/control/claims.rs
@@ -15,7 +15,9 @@
 
 use berylhook_core::ledger::{ClockBounds, KEY_SHARDS, Ledger};
 use berylhook_core::time::WallMs;
-use berylhook_keyvalue::{Compare, EraGate, KeyValue, Kv, KvError, Put, RangeAnswer, Txn, era_of};
+use berylhook_keyvalue::{
+    ClaimGuard, Compare, KeyValue, Kv, KvError, Put, RangeResponse, Txn, era_of,
+};
 use indexmap::IndexMap;
 use tokio::sync::Mutex;
 
@@ -38,7 +40,7 @@
     /// Claims of this process that may be in the service although it does not
     /// act on them: their answers were lost.
     doubtful: RefCell<IndexMap<u32, u64>>,
-    gate: EraGate,
+    gate: ClaimGuard,
     /// One claim or renewal at a time; two at once would grant two leases.
     busy: Mutex<()>,
 }
@@ -56,7 +58,7 @@
     pub(crate) fn new(agent: Arc<Agent>, key_value: Arc<dyn KeyValue>) -> Self {
         let lease_ms = u64::from(agent.settings.lease_ttl_s) * 1_000;
         Self {
-            gate: EraGate::new(settled_key(&agent.settings.service), lease_ms),
+            gate: ClaimGuard::new(settled_key(&agent.settings.service), lease_ms),
             agent,
             key_value,
             lease_id: Cell::new(0),
@@ -382,7 +384,7 @@
 }
 
 impl ShardState {
-    fn read(keys: &ShardKeys, range: &RangeAnswer) -> Self {
+    fn read(keys: &ShardKeys, range: &RangeResponse) -> Self {
         let find = |key: &Arc<str>| range.kvs.iter().find(|kv| kv.key == *key);
         Self {
             home: find(&keys.home).and_then(|kv| serde_json::from_slice(&kv.value).ok()),
@@ -394,7 +396,7 @@
 }
 
 /// The shards that have no home.
-fn free_shards(entry: &str, range: &RangeAnswer) -> Vec<u32> {
+fn free_shards(entry: &str, range: &RangeResponse) -> Vec<u32> {
     (0..KEY_SHARDS)
         .filter(|shard| {
             let home = ShardKeys::new(entry, *shard).home;
--- a/crates/berylhook/src/serve.rs
+++ b/crates/berylhook/src/serve.rs
@@ -51,7 +51,7 @@
     let control_fleet = Arc::clone(&fleet);
     let store = &node.settings.platform.key_value;
     let key_value = Arc::new(PlatformKeyValue::new(store)?);
-    let store = berylhook_keyvalue::parse_base(store)?;
+    let store = berylhook_keyvalue::parse_base_url(store)?;
     let control = std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || control::run(control_node, control_fleet, key_value, store))?;
--- a/crates/berylhook/src/serve/shares.rs
+++ b/crates/berylhook/src/serve/shares.rs
@@ -15,7 +15,7 @@
 use berylhook_core::lease::HeldLease;
 use berylhook_core::limit::{LimitHome, ShareConfig, ShareRequest};
 use berylhook_core::time::MonoMs;
-use berylhook_keyvalue::{Compare, EraGate, KvError, Put, Txn, Vm, VmState, era_of};
+use berylhook_keyvalue::{ClaimGuard, Compare, KvError, Put, Txn, Vm, VmState, era_of};
 use berylhook_operator::document::LIMITS_HOME_KEY;
 use berylhook_peer::proto::{ShareAnswer, ShareGrant, ShareQuestion, answer, question};
 use indexmap::IndexMap;
@@ -46,7 +46,7 @@
 pub(crate) struct Shares {
     state: RefCell<State>,
     /// Keeps a claim from being made while a home of a former era may still give shares.
-    gate: EraGate,
+    gate: ClaimGuard,
 }
 
 impl Default for Shares {
@@ -54,7 +54,7 @@
         let lease_s = u64::try_from(LEASE_TTL_S).unwrap_or(0);
         Self {
             state: RefCell::default(),
-            gate: EraGate::new(SETTLED_KEY.into(), lease_s * 1_000),
+            gate: ClaimGuard::new(SETTLED_KEY.into(), lease_s * 1_000),
         }
     }
 }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -134,7 +134,7 @@
     ///
     /// If the body is a map whose keys are no text.
     #[must_use]
-    pub fn post<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
+    pub fn post_json<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
         let body = serde_json::to_vec(body).expect("plain structures serialize");
         Self::post_bytes(path, body, timeout)
     }
@@ -145,7 +145,7 @@
     ///
     /// If the body has a part of unknown length.
     #[must_use]
-    pub fn post_compact<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
+    pub fn post_postcard<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
         let body = postcard::to_stdvec(body).expect("plain structures serialize");
         Self::post_bytes(path, body, timeout)
     }
@@ -161,7 +161,7 @@
 }
 
 /// An answer, whatever its status.
-pub struct Answer {
+pub struct CallResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -185,9 +185,9 @@
     /// # Errors
     ///
     /// If it was not answered with success, or the answer cannot be decoded.
-    pub async fn json<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
-        let answer = self.answer(call).await?;
-        self.decode(answer)
+    pub async fn call_json<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
+        let answer = self.call_any_status(call).await?;
+        self.decode_json(answer)
     }
 
     /// Makes a call and decodes its answer in the compact form.
@@ -195,7 +195,7 @@
     /// # Errors
     ///
     /// If it was not answered with success, or the answer cannot be decoded.
-    pub async fn compact<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
+    pub async fn call_postcard<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
         let body = self.call(call).await?;
         postcard::from_bytes(&body).map_err(|error| self.unknown(&error))
     }
@@ -206,8 +206,8 @@
     ///
     /// If it was not answered with success.
     pub async fn call(&mut self, call: Call) -> Result<Bytes, CallError> {
-        let answer = self.answer(call).await?;
-        self.check(answer)
+        let answer = self.call_any_status(call).await?;
+        self.success_body(answer)
     }
 
     /// Makes a call and gives its answer, also one of failure.
@@ -217,7 +217,7 @@
     /// # Errors
     ///
     /// If it was not answered.
-    pub async fn answer(&mut self, call: Call) -> Result<Answer, CallError> {
+    pub async fn call_any_status(&mut self, call: Call) -> Result<CallResponse, CallError> {
         let bound = call.timeout;
         let mut open = match self.open.take().filter(|open| !open.sender.is_closed()) {
             Some(open) => open,
@@ -230,7 +230,7 @@
                 .collect()
                 .await
                 .map_err(|error| self.unknown(&error))?;
-            Ok(Answer {
+            Ok(CallResponse {
                 status: head.status,
                 headers: head.headers,
                 body: body.to_bytes(),
@@ -247,7 +247,7 @@
     /// # Errors
     ///
     /// If it is one of failure.
-    pub fn check(&self, answer: Answer) -> Result<Bytes, CallError> {
+    pub fn success_body(&self, answer: CallResponse) -> Result<Bytes, CallError> {
         if answer.status.is_success() {
             Ok(answer.body)
         } else {
@@ -264,8 +264,8 @@
     /// # Errors
     ///
     /// If the answer is one of failure, or cannot be decoded.
-    pub fn decode<A: DeserializeOwned>(&self, answer: Answer) -> Result<A, CallError> {
-        let body = self.check(answer)?;
+    pub fn decode_json<A: DeserializeOwned>(&self, answer: CallResponse) -> Result<A, CallError> {
+        let body = self.success_body(answer)?;
         serde_json::from_slice(&body).map_err(|error| self.unknown(&error))
     }
 
--- a/crates/calls/src/serve.rs
+++ b/crates/calls/src/serve.rs
@@ -84,7 +84,7 @@
 }
 
 /// Reads a question in the compact form; `None` if it is none.
-pub async fn read_compact<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
+pub async fn read_postcard<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
     postcard::from_bytes(&read(request).await?).ok()
 }
 
@@ -94,27 +94,27 @@
 }
 
 /// A JSON answer.
-pub fn json<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
+pub fn json_response<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
     written(serde_json::to_vec(answer))
 }
 
 /// An answer in the compact form.
-pub fn compact<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
+pub fn postcard_response<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
     written(postcard::to_stdvec(answer))
 }
 
 fn written<E: std::fmt::Display>(body: Result<Vec<u8>, E>) -> Response<Full<Bytes>> {
     match body {
-        Ok(body) => plain(StatusCode::OK, body),
+        Ok(body) => response(StatusCode::OK, body),
         Err(error) => {
             log::error!(reason:% = error; "an answer cannot be written");
-            plain(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
+            response(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
         }
     }
 }
 
 /// An answer with that body.
-pub fn plain(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+pub fn response(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -261,8 +261,8 @@
             connections.swap_remove(&peer)
         };
         let mut connection = pooled.unwrap_or_else(|| Connection::new(peer));
-        let call = Call::post(LIMITS_PATH.to_owned(), message, REPLY_TIMEOUT);
-        let reply = connection.json(call).await?;
+        let call = Call::post_json(LIMITS_PATH.to_owned(), message, REPLY_TIMEOUT);
+        let reply = connection.call_json(call).await?;
         let mut connections = self.connections.lock().expect("no holder panics");
         connections.insert(peer, connection);
         Ok(reply)
@@ -272,10 +272,10 @@
     pub(crate) async fn handle_request(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(message) = serve::read_json::<LimitMessage<Incarnation>>(request).await else {
             let text = "send a question on limits in JSON, as another entry does";
-            return serve::plain(StatusCode::BAD_REQUEST, text);
+            return serve::response(StatusCode::BAD_REQUEST, text);
         };
         let Some(queue) = self.shared.existing_queue(&message.service) else {
-            return serve::json(&LimitReply::<Incarnation> {
+            return serve::json_response(&LimitReply::<Incarnation> {
                 is_home: false,
                 reports: Vec::new(),
                 grants: Vec::new(),
@@ -286,7 +286,7 @@
         let grants =
             self.allocate_permits(&queue, message.from, &message.permit_requests, &members);
         let states = queue.limit_states();
-        serve::json(&LimitReply {
+        serve::json_response(&LimitReply {
             is_home: grants.is_some(),
             reports: backpressure::limit_reports(&states, self.shared.clock.now_ms()),
             grants: grants.unwrap_or_default(),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -234,7 +234,7 @@
         }
         let Some(query) = serve::read_json::<Query>(request).await else {
             let text = "send a question in JSON, as another entry does";
-            return serve::plain(StatusCode::BAD_REQUEST, text);
+            return serve::response(StatusCode::BAD_REQUEST, text);
         };
         self.add_peers([query.from]);
         self.shared.eras.on_era(query.position.era);
@@ -243,7 +243,7 @@
             // After a timeout, the reply says that there is no update.
             let _ = timeout(UPDATE_WAIT, self.wait_for_update(&query)).await;
         }
-        serve::json(&Reply {
+        serve::json_response(&Reply {
             view: self.newer_view(&query),
             peers: self.shuffled_addresses(),
             processor_share: self.shared.settings().processor_share,
@@ -358,6 +358,6 @@
     query: &Query,
     reply_timeout: Duration,
 ) -> Result<Reply, CallError> {
-    let call = Call::post("/".to_owned(), query, reply_timeout);
-    Connection::new(address).json(call).await
+    let call = Call::post_json("/".to_owned(), query, reply_timeout);
+    Connection::new(address).call_json(call).await
 }
--- a/crates/entry/src/peers/leadership.rs
+++ b/crates/entry/src/peers/leadership.rs
@@ -41,10 +41,10 @@
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let Some(update) = serve::read_json::<EngineUpdate>(request).await else {
-            return serve::plain(StatusCode::BAD_REQUEST, "send a notice in JSON");
+            return serve::response(StatusCode::BAD_REQUEST, "send a notice in JSON");
         };
         self.apply_engine_update(update);
-        serve::plain(StatusCode::OK, "")
+        serve::response(StatusCode::OK, "")
     }
 
     /// Accepts a transfer of leadership. An entry that is itself stopping refuses, so that the
@@ -54,14 +54,14 @@
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let Some(transfer) = serve::read_json::<LeadershipTransfer>(request).await else {
-            return serve::plain(StatusCode::BAD_REQUEST, "send a transfer in JSON");
+            return serve::response(StatusCode::BAD_REQUEST, "send a transfer in JSON");
         };
         if *self.shared.is_stopping.borrow() {
-            return serve::plain(StatusCode::SERVICE_UNAVAILABLE, "this entry stops too");
+            return serve::response(StatusCode::SERVICE_UNAVAILABLE, "this entry stops too");
         }
         log::info!(service = &*transfer.service, fence = transfer.fence; "accepted a leadership transfer");
         self.last_transfer.send_replace(Some(transfer));
-        serve::plain(StatusCode::OK, "")
+        serve::response(StatusCode::OK, "")
     }
 
     fn apply_engine_update(&self, update: EngineUpdate) {
@@ -99,7 +99,7 @@
             .shuffled_addresses()
             .into_iter()
             .map(|address| async move {
-                let call = Call::post(ENGINE_UPDATE_PATH.to_owned(), update, REPLY_TIMEOUT);
+                let call = Call::post_json(ENGINE_UPDATE_PATH.to_owned(), update, REPLY_TIMEOUT);
                 if let Err(error) = Connection::new(address).call(call).await {
                     log::debug!(reason:% = error; "a peer did not accept an engine update");
                 }
@@ -123,7 +123,7 @@
     fn transfer(&self, transfer: LeadershipTransfer) -> BoxFuture<'_, TransferResult> {
         Box::pin(async move {
             for address in self.shuffled_addresses() {
-                let call = Call::post(TRANSFER_PATH.to_owned(), &transfer, REPLY_TIMEOUT);
+                let call = Call::post_json(TRANSFER_PATH.to_owned(), &transfer, REPLY_TIMEOUT);
                 match Connection::new(address).call(call).await {
                     Ok(_) => return TransferResult::Accepted,
                     Err(CallError::Unknown { .. }) => return TransferResult::Unknown,
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -65,8 +65,8 @@
 
     fn send_update(&self, peer: SocketAddr, update: QuarantineUpdate) -> UpdateReply<'_> {
         Box::pin(async move {
-            let call = Call::post_compact(QUARANTINE_PATH.to_owned(), &update, REPLY_TIMEOUT);
-            let reply = Connection::new(peer).compact(call).await;
+            let call = Call::post_postcard(QUARANTINE_PATH.to_owned(), &update, REPLY_TIMEOUT);
+            let reply = Connection::new(peer).call_postcard(call).await;
             reply.map_err(|error| error.to_string())
         })
     }
@@ -87,11 +87,11 @@
     replicator: &Replicator,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    match serve::read_compact::<QuarantineUpdate>(request).await {
-        Some(update) => serve::compact(&replicator.apply_update(update)),
+    match serve::read_postcard::<QuarantineUpdate>(request).await {
+        Some(update) => serve::postcard_response(&replicator.apply_update(update)),
         None => {
             let text = "send news in the compact form, as an entry of this version does";
-            serve::plain(StatusCode::BAD_REQUEST, text)
+            serve::response(StatusCode::BAD_REQUEST, text)
         }
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -212,7 +212,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        async move { serve::plain(status, "") }
+        async move { serve::response(status, "") }
     }));
     let peer_listener = listen(shared.settings().peer_address)?;
     let (peers, replicator, limit_exchange) = (
@@ -239,7 +239,7 @@
         let metrics_shared = Arc::clone(shared);
         tokio::spawn(serve::serve(metrics_listener, move |_request| {
             let text = metrics_shared.metrics.encode_text();
-            async move { serve::plain(StatusCode::OK, text) }
+            async move { serve::response(StatusCode::OK, text) }
         }));
     }
     Ok(())
--- a/crates/groups/src/agent_clients.rs
+++ b/crates/groups/src/agent_clients.rs
@@ -10,7 +10,7 @@
 use berylhook_experts::demand::RankCounts;
 use berylhook_experts::switching::RankCommand;
 use berylhook_relay::counts::{CountsDecoder, CountsRequest};
-use berylhook_relay::{Answer, Question};
+use berylhook_relay::{RelayReply, RelayRequest};
 use futures_util::future::join_all;
 use indexmap::IndexMap;
 use rand::seq::SliceRandom;
@@ -33,7 +33,7 @@
 /// The result of polling one engine.
 pub(crate) struct PollResult {
     pub(crate) engine: SocketAddr,
-    pub(crate) reply: Answer,
+    pub(crate) reply: RelayReply,
     /// Whether counts were requested and no reply arrived in time.
     is_late: bool,
     pub(crate) counts: Option<RankCounts>,
@@ -69,15 +69,15 @@
 
     /// Polls the reports of all engines, and the counts of those in the counts window.
     pub(crate) async fn poll(&mut self, fence: u64) -> Vec<PollResult> {
-        let fence_peers = self.fence_peers();
+        let peer_agents = self.peer_agents();
         let ranks = self.clients.len();
         let counts_window = self.counts_window;
         let clients = self.clients.iter_mut().enumerate();
         let results = clients.map(|(index, (engine, client))| {
-            let fence_peers = &fence_peers;
+            let peer_agents = &peer_agents;
             let with_counts = counts_window.is_some_and(|window| window.includes(index, ranks));
             async move {
-                let (reply, counts) = client.poll(fence, fence_peers, with_counts).await;
+                let (reply, counts) = client.poll(fence, peer_agents, with_counts).await;
                 PollResult {
                     engine: *engine,
                     is_late: with_counts && reply.report.is_none(),
@@ -102,22 +102,28 @@
     /// knows the token of every leader that acts in the group. An agent of another group may
     /// not have received a request of the newest leader yet, and an agent that got its token
     /// from there would relay commands of a previous leader.
-    fn fence_peers(&self) -> Vec<SocketAddr> {
-        let is_needed = self.clients.values().any(AgentClient::lacks_fence);
+    fn peer_agents(&self) -> Vec<SocketAddr> {
+        let is_needed = self.clients.values().any(AgentClient::lacks_fencing_token);
         if !is_needed {
             return Vec::new();
         }
-        let with_fence = self.clients.values().filter(|client| !client.lacks_fence());
+        let with_fence = self
+            .clients
+            .values()
+            .filter(|client| !client.lacks_fencing_token());
         let mut addresses: Vec<SocketAddr> = with_fence.map(AgentClient::address).collect();
         addresses.shuffle(&mut rand::rng());
         addresses
     }
 
     /// Sends one request to each of the given agents.
-    pub(crate) async fn request(&mut self, requests: Vec<(SocketAddr, Question)>) -> Vec<Answer> {
+    pub(crate) async fn request(
+        &mut self,
+        requests: Vec<(SocketAddr, RelayRequest)>,
+    ) -> Vec<RelayReply> {
         // A client makes one call at a time, so each is moved out of the map until its
         // reply arrives.
-        let mut calls: Vec<(SocketAddr, Option<AgentClient>, Question)> = requests
+        let mut calls: Vec<(SocketAddr, Option<AgentClient>, RelayRequest)> = requests
             .into_iter()
             .map(|(engine, request)| (engine, self.clients.swap_remove(&engine), request))
             .collect();
@@ -140,21 +146,21 @@
     }
 }
 
-fn contains_map(request: &Question) -> bool {
-    let mut commands = request.orders.iter();
+fn contains_map(request: &RelayRequest) -> bool {
+    let mut commands = request.commands.iter();
     commands.any(|command| matches!(command, RankCommand::Prepare { .. }))
 }
 
 async fn request_from(
     client: &mut Option<AgentClient>,
-    request: &Question,
+    request: &RelayRequest,
     permits: &Semaphore,
-) -> Answer {
+) -> RelayReply {
     // The semaphore is never closed, so this cannot fail.
     let _permit = permits.acquire().await;
     match client {
         Some(client) => client.request(request).await,
-        None => Answer::default(),
+        None => RelayReply::default(),
     }
 }
 
@@ -164,7 +170,7 @@
     agent: Connection,
     counts: CountsDecoder,
     /// Whether the agent had no fencing token when it last replied.
-    lacks_fence: bool,
+    lacks_fencing_token: bool,
 }
 
 impl AgentClient {
@@ -174,7 +180,7 @@
             address,
             agent: Connection::new(address),
             counts: CountsDecoder::default(),
-            lacks_fence: false,
+            lacks_fencing_token: false,
         }
     }
 
@@ -184,22 +190,22 @@
     }
 
     /// Whether the agent relays no commands because it has no fencing token.
-    fn lacks_fence(&self) -> bool {
-        self.lacks_fence
+    fn lacks_fencing_token(&self) -> bool {
+        self.lacks_fencing_token
     }
 
     /// Sends a request to the agent. If the agent does not respond, returns an empty reply,
     /// which contains no report.
-    async fn request(&mut self, request: &Question) -> Answer {
-        let call = Call::post_compact("/".to_owned(), request, AGENT_TIMEOUT);
-        match self.agent.compact::<Answer>(call).await {
+    async fn request(&mut self, request: &RelayRequest) -> RelayReply {
+        let call = Call::post_postcard("/".to_owned(), request, AGENT_TIMEOUT);
+        match self.agent.call_postcard::<RelayReply>(call).await {
             Ok(reply) => {
-                self.lacks_fence = reply.lacks_fence;
+                self.lacks_fencing_token = reply.lacks_fencing_token;
                 reply
             }
             Err(error) => {
                 log::debug!(reason:% = error; "no reply from an agent");
-                Answer::default()
+                RelayReply::default()
             }
         }
     }
@@ -211,18 +217,18 @@
         fence: u64,
         others: &[SocketAddr],
         with_counts: bool,
-    ) -> (Answer, Option<RankCounts>) {
-        let is_other = |other: &&SocketAddr| self.lacks_fence && **other != self.address;
-        let fence_peers = others.iter().filter(is_other).copied();
-        let request = Question {
-            fence,
+    ) -> (RelayReply, Option<RankCounts>) {
+        let is_other = |other: &&SocketAddr| self.lacks_fencing_token && **other != self.address;
+        let peer_agents = others.iter().filter(is_other).copied();
+        let request = RelayRequest {
+            fencing_token: fence,
             counts: if with_counts {
                 self.counts.request()
             } else {
                 CountsRequest::Nothing
             },
-            fence_peers: fence_peers.take(MAX_FENCE_PEERS).collect(),
-            ..Question::default()
+            peer_agents: peer_agents.take(MAX_FENCE_PEERS).collect(),
+            ..RelayRequest::default()
         };
         let mut reply = self.request(&request).await;
         let update = reply.counts.take();
--- a/crates/groups/src/election.rs
+++ b/crates/groups/src/election.rs
@@ -13,7 +13,7 @@
 use berylhook_core::lease::HeldLease;
 use berylhook_core::time::MonoMs;
 use berylhook_platform::store::{Lease, Put, StoreClient, StoreError};
-use berylhook_relay::{fence_key, fence_number};
+use berylhook_relay::{fencing_token_key, parse_fencing_token};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
@@ -151,7 +151,12 @@
         is_store_reachable,
         renewal: tokio::spawn(renewal.run()),
     };
-    let result = claim_fencing_token(store, &fence_key(&keys.service, lease.era), lease.era).await;
+    let result = claim_fencing_token(
+        store,
+        &fencing_token_key(&keys.service, lease.era),
+        lease.era,
+    )
+    .await;
     match result {
         Ok(Some(fence)) => {
             term.fence = fence;
@@ -193,7 +198,9 @@
     era: u64,
 ) -> Result<Option<u64>, StoreError> {
     let item = store.item(key).await?;
-    let stored = item.as_ref().map_or(0, |item| fence_number(&item.value));
+    let stored = item
+        .as_ref()
+        .map_or(0, |item| parse_fencing_token(&item.value));
     let fence = elected_fencing_token(era, stored);
     let put = Put {
         key: Arc::clone(key),
--- a/crates/groups/src/group_loop.rs
+++ b/crates/groups/src/group_loop.rs
@@ -10,7 +10,7 @@
 use berylhook_experts::switching::{
     Epoch, ExpertMap, MapVersion, Pass, RankReport, SwitchStep, next_step,
 };
-use berylhook_relay::{Answer, Question};
+use berylhook_relay::{RelayReply, RelayRequest};
 use berylhook_traffic::configuration::ExpertModel;
 use berylhook_traffic::engine_update::Slowdown;
 use tokio::time::sleep;
@@ -202,12 +202,12 @@
     pub(crate) async fn request(
         &mut self,
         ranks: &[usize],
-        request: impl Fn(usize) -> Question,
-    ) -> Vec<Answer> {
+        request: impl Fn(usize) -> RelayRequest,
+    ) -> Vec<RelayReply> {
         let fence = self.leadership.fence;
         let requests = ranks.iter().map(|rank| {
-            let request = Question {
-                fence,
+            let request = RelayRequest {
+                fencing_token: fence,
                 ..request(*rank)
             };
             (self.ranks[*rank].address, request)
@@ -219,7 +219,10 @@
     }
 
     /// Sends requests to the agents of all ranks.
-    pub(crate) async fn request_all(&mut self, request: impl Fn(usize) -> Question) -> Vec<Answer> {
+    pub(crate) async fn request_all(
+        &mut self,
+        request: impl Fn(usize) -> RelayRequest,
+    ) -> Vec<RelayReply> {
         let all: Vec<usize> = (0..self.rank_count()).collect();
         self.request(&all, request).await
     }
@@ -304,9 +307,9 @@
 
     /// Reads the experts of each rank, and a report of each rank taken before its experts.
     async fn read_map(&mut self) -> (Option<ExpertMap>, Vec<Option<RankReport>>) {
-        let request = |_| Question {
+        let request = |_| RelayRequest {
             wants_experts: true,
-            ..Question::default()
+            ..RelayRequest::default()
         };
         let replies = self.request_all(request).await;
         let ranks: Option<Vec<Vec<Vec<u16>>>> =
@@ -369,7 +372,7 @@
     }
 }
 
-pub(crate) fn reports_from(replies: Vec<Answer>) -> Vec<Option<RankReport>> {
+pub(crate) fn reports_from(replies: Vec<RelayReply>) -> Vec<Option<RankReport>> {
     replies.into_iter().map(|reply| reply.report).collect()
 }
 
--- a/crates/groups/src/handover.rs
+++ b/crates/groups/src/handover.rs
@@ -19,7 +19,7 @@
 
 use std::sync::Arc;
 
-use berylhook_relay::era_floor;
+use berylhook_relay::era_base_token;
 use futures_util::future::BoxFuture;
 use serde::{Deserialize, Serialize};
 
@@ -35,7 +35,7 @@
 #[must_use]
 pub fn elected_fencing_token(era: u64, stored: u64) -> u64 {
     let next_election = (stored >> TRANSFER_BITS) + 1;
-    era_floor(era).max(next_election << TRANSFER_BITS)
+    era_base_token(era).max(next_election << TRANSFER_BITS)
 }
 
 /// Returns the fencing token of the leader to which a leader with the token `fence` transfers
--- a/crates/groups/src/leadership.rs
+++ b/crates/groups/src/leadership.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use berylhook_experts::switching::{MapVersion, VersionSource};
-use berylhook_relay::Answer;
+use berylhook_relay::RelayReply;
 use berylhook_traffic::engine_update::{EngineUpdate, GroupUpdate, Slowdowns};
 use indexmap::{IndexMap, IndexSet};
 
@@ -89,7 +89,7 @@
 
     /// Checks replies of agents for a later leader, and marks this one as succeeded if there
     /// is one.
-    pub(crate) fn check_fences<'a>(&self, mut replies: impl Iterator<Item = &'a Answer>) {
+    pub(crate) fn check_fences<'a>(&self, mut replies: impl Iterator<Item = &'a RelayReply>) {
         if let Some(later) = replies.find_map(|reply| reply.fenced_by) {
             log::info!(fence = self.fence, later; "an agent reports a later leader");
             self.is_succeeded.store(true, Ordering::Relaxed);
--- a/crates/groups/src/switch.rs
+++ b/crates/groups/src/switch.rs
@@ -10,7 +10,7 @@
     CommandOutcome, Epoch, ExpertMap, MapVersion, Pass, RankCommand, RankReport, SwitchStep,
     is_ready_to_switch, next_step,
 };
-use berylhook_relay::{Answer, Question};
+use berylhook_relay::{RelayReply, RelayRequest};
 use tokio::time::sleep;
 
 use crate::group_loop::{GroupLoop, PendingPause, reports_from};
@@ -111,9 +111,9 @@
     async fn do_ranks_reply(&mut self, prepared: &RankCommand) -> bool {
         let began = Instant::now();
         while began.elapsed() < COMMAND_CHECK_TIMEOUT && !self.leadership.is_succeeded() {
-            let request = |_| Question {
-                orders: vec![prepared.clone()],
-                ..Question::default()
+            let request = |_| RelayRequest {
+                commands: vec![prepared.clone()],
+                ..RelayRequest::default()
             };
             let replies = self.request_all(request).await;
             let unanswered = replies.iter().filter(|reply| !has_replied(reply));
@@ -165,17 +165,17 @@
                 .filter(is_not_ready)
                 .filter(|rank| is_copied || tries[*rank].is_due())
                 .collect();
-            let request = |rank: usize| Question {
-                orders: tries[rank]
+            let request = |rank: usize| RelayRequest {
+                commands: tries[rank]
                     .is_due()
                     .then(|| command.clone())
                     .into_iter()
                     .collect(),
-                ..Question::default()
+                ..RelayRequest::default()
             };
             let replies = self.request(&ranks_to_poll, request).await;
             for (rank, reply) in ranks_to_poll.into_iter().zip(replies) {
-                match reply.orders.first() {
+                match reply.outcomes.first() {
                     Some(CommandOutcome::Accepted) => tries[rank] = Attempt::Accepted,
                     // If an earlier command got no reply, the rank may have accepted that
                     // one and refuse the repeated command.
@@ -258,9 +258,9 @@
         let began = Instant::now();
         let command = RankCommand::Pause { epoch, pass };
         while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
-            let request = |_| Question {
-                orders: vec![command.clone()],
-                ..Question::default()
+            let request = |_| RelayRequest {
+                commands: vec![command.clone()],
+                ..RelayRequest::default()
             };
             let replies = self.request(&[rank], request).await;
             let report = replies.into_iter().find_map(|reply| reply.report);
@@ -287,7 +287,7 @@
         while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
             let mut latest_reports = match known.take() {
                 Some(latest_reports) => latest_reports,
-                None => reports_from(self.request_all(|_| Question::default()).await),
+                None => reports_from(self.request_all(|_| RelayRequest::default()).await),
             };
             match next_step(&latest_reports, newest) {
                 SwitchStep::Idle { .. } => return,
@@ -311,9 +311,9 @@
         latest_reports: &mut [Option<RankReport>],
     ) {
         let ranks: Vec<usize> = commands.iter().map(|(rank, _)| *rank).collect();
-        let request = |rank: usize| Question {
-            orders: commands_for(&commands, rank),
-            ..Question::default()
+        let request = |rank: usize| RelayRequest {
+            commands: commands_for(&commands, rank),
+            ..RelayRequest::default()
         };
         let replies = self.request(&ranks, request).await;
         for (rank, reply) in ranks.into_iter().zip(replies) {
@@ -349,9 +349,9 @@
             map: map.clone(),
         };
         while began.elapsed() < STEP_TIMEOUT && !self.leadership.is_succeeded() {
-            let request = |_| Question {
-                orders: vec![command.clone()],
-                ..Question::default()
+            let request = |_| RelayRequest {
+                commands: vec![command.clone()],
+                ..RelayRequest::default()
             };
             let reports = reports_from(self.request_all(request).await);
             let is_prepared = |report: &Option<RankReport>| {
@@ -369,7 +369,7 @@
     /// Whether the group has begun a pass with the version. All ranks begin a pass together,
     /// so one rank's report is enough.
     async fn has_switched_to(&mut self, version: MapVersion) -> bool {
-        let replies = self.request(&[0], |_| Question::default()).await;
+        let replies = self.request(&[0], |_| RelayRequest::default()).await;
         let reports = reports_from(replies);
         reports
             .iter()
@@ -397,8 +397,8 @@
     had_unanswered_command: bool,
 }
 
-fn has_replied(reply: &Answer) -> bool {
-    let outcome = reply.orders.first();
+fn has_replied(reply: &RelayReply) -> bool {
+    let outcome = reply.outcomes.first();
     reply.report.is_some() && outcome.is_some_and(|outcome| *outcome != CommandOutcome::Unknown)
 }
 
--- a/crates/groups/tests/restored_elections.rs
+++ b/crates/groups/tests/restored_elections.rs
@@ -7,7 +7,7 @@
 //! leader that was elected before.
 
 use berylhook_groups::handover::{elected_fencing_token, transferred_fencing_token};
-use berylhook_relay::Fence;
+use berylhook_relay::FencingGuard;
 use indexmap::{IndexMap, IndexSet};
 
 const CANDIDATES: usize = 3;
@@ -101,7 +101,7 @@
     random: Random,
     store: Store,
     candidates: [CandidateState; CANDIDATES],
-    agents: [Fence; AGENTS],
+    agents: [FencingGuard; AGENTS],
     used: IndexSet<u64>,
     /// The fencing tokens of all leaders that have begun to act, with their order.
     leader_order: IndexMap<u64, usize>,
@@ -129,12 +129,12 @@
             2 => self.store.write(|current| current.leader = None),
             3 => {
                 let agent = self.random.pick_index(AGENTS);
-                self.agents[agent] = Fence::default();
+                self.agents[agent] = FencingGuard::default();
             }
             4 => {
                 let agent = self.random.pick_index(AGENTS);
                 let era = self.store.era;
-                self.agents[agent].on_kept(self.store.current.fence(era).0, era);
+                self.agents[agent].on_stored_token(self.store.current.fence(era).0, era);
             }
             5 => self.transfer(),
             _ => {
@@ -210,7 +210,7 @@
             accepted if accepted < AGENTS => accepted,
             _ => self.random.pick_index(AGENTS),
         };
-        if !self.agents[agent].may_order() {
+        if !self.agents[agent].may_relay_commands() {
             return CandidateState::Leading { fence, accepted_by };
         }
         match self.agents[agent].check(fence) {
--- a/crates/keyvalue/src/era_gate.rs
+++ b/crates/keyvalue/src/era_gate.rs
@@ -15,13 +15,13 @@
 }
 
 /// Asked before each claim of something that a lease protects; see [`EraGuard`].
-pub struct EraGate {
+pub struct ClaimGuard {
     /// Where the mark stands that an era is settled.
     mark_key: Arc<str>,
     guard: Mutex<EraGuard>,
 }
 
-impl EraGate {
+impl ClaimGuard {
     /// A gate for leases of that length, whose mark stands under that key.
     #[must_use]
     pub fn new(mark_key: Arc<str>, lease_ms: u64) -> Self {
--- a/crates/keyvalue/src/kv.rs
+++ b/crates/keyvalue/src/kv.rs
@@ -56,7 +56,7 @@
 
 /// A read of a key range at one revision.
 #[derive(Clone, Debug, Default)]
-pub struct RangeAnswer {
+pub struct RangeResponse {
     /// The service's revision.
     pub revision: i64,
     /// The keys, in order.
@@ -96,7 +96,7 @@
 
 /// How a transaction ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TxnAnswer {
+pub struct TxnResponse {
     /// Whether the conditions held and the writes happened.
     pub succeeded: bool,
     /// The service's revision.
@@ -105,7 +105,7 @@
 
 /// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The lease.
     pub id: i64,
     /// Its time to live in seconds, as granted.
@@ -132,13 +132,13 @@
 /// The service as the rest of the system sees it.
 pub trait KeyValue: Send + Sync {
     /// Reads all keys that start with `prefix`.
-    fn range<'a>(&'a self, prefix: &'a str) -> KvFuture<'a, RangeAnswer>;
+    fn range<'a>(&'a self, prefix: &'a str) -> KvFuture<'a, RangeResponse>;
 
     /// Runs a transaction.
-    fn commit(&self, txn: Txn) -> KvFuture<'_, TxnAnswer>;
+    fn commit(&self, txn: Txn) -> KvFuture<'_, TxnResponse>;
 
     /// Grants a lease of `ttl_s` seconds.
-    fn grant(&self, ttl_s: i64) -> KvFuture<'_, Grant>;
+    fn grant(&self, ttl_s: i64) -> KvFuture<'_, LeaseGrant>;
 
     /// Renews a lease; answers its time to live in seconds.
     fn renew(&self, lease_id: i64) -> KvFuture<'_, i64>;
@@ -195,7 +195,7 @@
 /// # Errors
 ///
 /// If there is none.
-pub fn parse_base(base: &str) -> Result<SocketAddr, AddressError> {
+pub fn parse_base_url(base: &str) -> Result<SocketAddr, AddressError> {
     let trimmed = base.trim_end_matches('/');
     let address = trimmed.strip_prefix("http://").unwrap_or(trimmed);
     address.parse().map_err(|_| AddressError(base.to_owned()))
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -12,9 +12,9 @@
 mod kv;
 mod vms;
 
-pub use era_gate::{EraGate, era_of};
+pub use era_gate::{ClaimGuard, era_of};
 pub use kv::{
-    AddressError, Compare, Grant, KeyValue, Kv, KvError, KvFuture, Put, RangeAnswer, Txn,
-    TxnAnswer, Watch, WatchEvent, WatchFuture, WatchSource, parse_base,
+    AddressError, Compare, KeyValue, Kv, KvError, KvFuture, LeaseGrant, Put, RangeResponse, Txn,
+    TxnResponse, Watch, WatchEvent, WatchFuture, WatchSource, parse_base_url,
 };
 pub use vms::{HttpVmList, Vm, VmList, VmListError, VmState};
--- a/crates/keyvalue/src/vms.rs
+++ b/crates/keyvalue/src/vms.rs
@@ -78,7 +78,7 @@
         Box::pin(async move {
             let address = self.address.clone()?;
             let call = Call::get(self.path.clone(), CALL_TIMEOUT);
-            let answer = Connection::new(address).json(call).await;
+            let answer = Connection::new(address).call_json(call).await;
             answer.map_err(|error| VmListError(error.to_string()))
         })
     }
--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -28,7 +28,8 @@
     #[default]
     Nothing,
     /// The whole.
-    Whole,
+    #[serde(rename = "Whole")]
+    Full,
     /// What was added since this snapshot, or else the whole.
     Since(SnapshotId),
 }
@@ -72,7 +73,7 @@
         let snapshot = self.next;
         let difference = match request {
             CountsRequest::Nothing => return None,
-            CountsRequest::Whole => None,
+            CountsRequest::Full => None,
             CountsRequest::Since(base) => self.difference(base, &now),
         };
         let update = CountsUpdate {
@@ -110,7 +111,7 @@
     #[must_use]
     pub fn request(&self) -> CountsRequest {
         let known = self.last.as_ref();
-        known.map_or(CountsRequest::Whole, |(snapshot, _)| {
+        known.map_or(CountsRequest::Full, |(snapshot, _)| {
             CountsRequest::Since(*snapshot)
         })
     }
--- a/crates/relay/src/fence.rs
+++ b/crates/relay/src/fence.rs
@@ -25,7 +25,7 @@
 
 /// Below every fencing number of leaders elected in that era, above all of former ones.
 #[must_use]
-pub fn era_floor(era: u64) -> u64 {
+pub fn era_base_token(era: u64) -> u64 {
     era << ERA_SHIFT
 }
 
@@ -36,7 +36,7 @@
 /// sent before may find its condition to hold by chance; under one key for all eras it would
 /// put a former number in place of a newer one, which would then be taken twice.
 #[must_use]
-pub fn fence_key(service: &str, era: u64) -> Arc<str> {
+pub fn fencing_token_key(service: &str, era: u64) -> Arc<str> {
     match era {
         0 => format!("berylhook/fence/{service}").into(),
         era => format!("berylhook/fence/{service}/era-{era}").into(),
@@ -54,7 +54,7 @@
 
 /// The highest fencing number known, and where from.
 #[derive(Debug, Default)]
-pub struct Fence {
+pub struct FencingGuard {
     highest: AtomicU64,
     /// Whether the store's number was read.
     is_learnt: AtomicBool,
@@ -62,7 +62,7 @@
     is_learnt_from_peer: AtomicBool,
 }
 
-impl Fence {
+impl FencingGuard {
     /// Lets a leader with that number through and remembers it.
     ///
     /// # Errors
@@ -82,15 +82,15 @@
     /// After a restore the store may keep the number of a leader that was succeeded since
     /// the copy. So the leaders of former eras are all refused, and the one that still acts
     /// is elected anew.
-    pub fn on_kept(&self, kept: u64, era: u64) -> u64 {
-        let number = kept.max(era_floor(era));
+    pub fn on_stored_token(&self, kept: u64, era: u64) -> u64 {
+        let number = kept.max(era_base_token(era));
         self.highest.fetch_max(number, Ordering::SeqCst);
         self.is_learnt.store(true, Ordering::SeqCst);
         number
     }
 
     /// Whether orders may be relayed: enough is known to refuse a former leader's.
-    pub fn may_order(&self) -> bool {
+    pub fn may_relay_commands(&self) -> bool {
         self.is_learnt.load(Ordering::SeqCst) || self.is_learnt_from_peer.load(Ordering::SeqCst)
     }
 
@@ -111,10 +111,10 @@
     /// every agent has answered it, so whoever has run since knows the number of
     /// every leader that acts. Second-hand knowledge does not count: two agents
     /// that start in turn would tell each other what neither has seen.
-    pub(crate) async fn learn_from_peers(&self, fence_peers: &[SocketAddr]) {
-        for peer in fence_peers {
+    pub(crate) async fn learn_from_peers(&self, peer_agents: &[SocketAddr]) {
+        for peer in peer_agents {
             let call = Call::get(FENCE_PATH.to_owned(), PEER_TIMEOUT);
-            match Connection::new(*peer).json::<FenceState>(call).await {
+            match Connection::new(*peer).call_json::<FenceState>(call).await {
                 Ok(state) if state.is_first_hand => {
                     let number = state.number;
                     self.highest.fetch_max(number, Ordering::SeqCst);
@@ -137,7 +137,7 @@
         loop {
             match kept_fence(&mut store, &service).await {
                 Ok((kept, era)) => {
-                    let number = self.on_kept(kept, era);
+                    let number = self.on_stored_token(kept, era);
                     log::info!(number, era; "fencing number read from the store");
                     return;
                 }
@@ -154,11 +154,11 @@
 async fn kept_fence(store: &mut StoreClient, service: &str) -> Result<(u64, u64), StoreError> {
     let mut era = store.era().unwrap_or_default();
     loop {
-        let item = store.item(&fence_key(service, era)).await?;
+        let item = store.item(&fencing_token_key(service, era)).await?;
         // The era is known from the first answer on; a restore may fall between two.
         let told = store.era().unwrap_or_default();
         if told == era {
-            return Ok((item.map_or(0, |item| fence_number(&item.value)), era));
+            return Ok((item.map_or(0, |item| parse_fencing_token(&item.value)), era));
         }
         era = told;
     }
@@ -169,7 +169,7 @@
 /// A value that is no number was not written by a leader; the next one that is
 /// elected replaces it.
 #[must_use]
-pub fn fence_number(value: &[u8]) -> u64 {
+pub fn parse_fencing_token(value: &[u8]) -> u64 {
     let text = std::str::from_utf8(value).unwrap_or_default();
     text.trim().parse().unwrap_or_else(|_| {
         log::error!(value = text; "the fencing number in the store cannot be read");
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -30,33 +30,37 @@
 
 use crate::counts::{CountsEncoder, CountsRequest, CountsUpdate};
 use crate::fence::FENCE_PATH;
-pub use crate::fence::{Fence, era_floor, fence_key, fence_number};
+pub use crate::fence::{FencingGuard, era_base_token, fencing_token_key, parse_fencing_token};
 use crate::settings::RelaySettings;
 
 /// What a leader asks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Question {
+pub struct RelayRequest {
     /// The leader's fencing number.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// Orders to give first, one after the other.
-    pub orders: Vec<RankCommand>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<RankCommand>,
     /// Which counts to read.
     pub counts: CountsRequest,
     /// Whether to read which experts the rank holds.
     pub wants_experts: bool,
     /// Agents beside other ranks, for an agent that has no fencing number from
     /// the store.
-    pub fence_peers: Vec<SocketAddr>,
+    #[serde(rename = "fence_peers")]
+    pub peer_agents: Vec<SocketAddr>,
 }
 
 /// What the engine said; what it did not answer is missing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Answer {
+pub struct RelayReply {
     /// The higher fencing number of another leader, if the agent knows one;
     /// nothing was relayed then.
     pub fenced_by: Option<u64>,
     /// What became of the orders.
-    pub orders: Vec<CommandOutcome>,
+    #[serde(rename = "orders")]
+    pub outcomes: Vec<CommandOutcome>,
     /// The engine's report, read after the orders.
     pub report: Option<RankReport>,
     /// Its counts.
@@ -65,7 +69,8 @@
     pub experts: Option<Vec<Vec<u16>>>,
     /// Whether the agent relays no orders for want of a fencing number; a
     /// question that names some of these agents helps.
-    pub lacks_fence: bool,
+    #[serde(rename = "lacks_fence")]
+    pub lacks_fencing_token: bool,
 }
 
 /// The engine beside the agent, and what was told of it.
@@ -75,19 +80,23 @@
 }
 
 /// Relays a question to the engine.
-async fn ask_engine(beside: &mut Beside, question: &Question, may_order: bool) -> Answer {
+async fn ask_engine(
+    beside: &mut Beside,
+    question: &RelayRequest,
+    may_relay_commands: bool,
+) -> RelayReply {
     let Beside { engine, encoder } = beside;
-    let mut answer = Answer {
-        lacks_fence: !may_order,
-        ..Answer::default()
+    let mut answer = RelayReply {
+        lacks_fencing_token: !may_relay_commands,
+        ..RelayReply::default()
     };
-    for order in &question.orders {
-        let given = if may_order {
+    for order in &question.commands {
+        let given = if may_relay_commands {
             engine.send_command(order).await
         } else {
             CommandOutcome::Refused
         };
-        answer.orders.push(given);
+        answer.outcomes.push(given);
     }
     answer.report = told("report", engine.report().await).flatten();
     if question.counts != CountsRequest::Nothing {
@@ -125,42 +134,42 @@
 }
 
 async fn relay(settings: &RelaySettings) -> anyhow::Result<()> {
-    let address = settings.listen;
+    let address = settings.listen_address;
     let listener = serve::listen(address)
         .with_context(|| format!("cannot listen on {address}; check [listen] in the settings"))?;
-    log::info!(listen:% = address, engine:% = settings.engine; "relaying");
+    log::info!(listen:% = address, engine:% = settings.engine_address; "relaying");
     let beside = Arc::new(Mutex::new(Beside {
-        engine: EngineClient::new(settings.engine),
+        engine: EngineClient::new(settings.engine_address),
         encoder: CountsEncoder::new(rand::random()),
     }));
-    let fence = Arc::new(Fence::default());
+    let fence = Arc::new(FencingGuard::default());
     let service = Arc::clone(&settings.service);
-    tokio::spawn(Arc::clone(&fence).learn(settings.store, service));
+    tokio::spawn(Arc::clone(&fence).learn(settings.store_address, service));
     tokio::spawn(serve::serve(listener, move |request| {
         let beside = Arc::clone(&beside);
         let fence = Arc::clone(&fence);
         async move {
             if request.uri().path() == FENCE_PATH {
-                return serve::json(&fence.state());
+                return serve::json_response(&fence.state());
             }
-            let Some(question) = serve::read_compact::<Question>(request).await else {
+            let Some(question) = serve::read_postcard::<RelayRequest>(request).await else {
                 let text = "send a question as a leader of this version does";
-                return serve::plain(berylhook_calls::StatusCode::BAD_REQUEST, text);
+                return serve::response(berylhook_calls::StatusCode::BAD_REQUEST, text);
             };
             // Held from the check to the engine's answer: a question of a newer
             // leader waits until what was let through has reached the engine.
             let mut beside = beside.lock().await;
-            if !fence.may_order() {
-                fence.learn_from_peers(&question.fence_peers).await;
+            if !fence.may_relay_commands() {
+                fence.learn_from_peers(&question.peer_agents).await;
             }
-            if let Err(higher) = fence.check(question.fence) {
-                return serve::compact(&Answer {
+            if let Err(higher) = fence.check(question.fencing_token) {
+                return serve::postcard_response(&RelayReply {
                     fenced_by: Some(higher),
-                    ..Answer::default()
+                    ..RelayReply::default()
                 });
             }
-            let may_order = fence.may_order();
-            serve::compact(&ask_engine(&mut beside, &question, may_order).await)
+            let may_relay_commands = fence.may_relay_commands();
+            serve::postcard_response(&ask_engine(&mut beside, &question, may_relay_commands).await)
         }
     }));
     stopped().await
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
     /// Where controllers ask.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The engine beside the agent.
-    pub engine: SocketAddr,
+    pub engine_address: SocketAddr,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// The service that the engine belongs to.
     pub service: Arc<str>,
     /// Level of the logs, such as `info`.
@@ -40,9 +40,9 @@
         };
         let engine = section(&file, "engine", &["address", "service"])?;
         Ok(Self {
-            listen: address(&file, "listen")?,
-            engine: engine.parse("address", ADDRESS_REMEDY)?,
-            store: address(&file, "store")?,
+            listen_address: address(&file, "listen")?,
+            engine_address: engine.parse("address", ADDRESS_REMEDY)?,
+            store_address: address(&file, "store")?,
             service: Arc::clone(&engine.required("service")?.value),
             log_level,
         })
