--- a/crates/agent/tests/relay.rs
+++ b/crates/agent/tests/relay.rs
@@ -23,7 +23,7 @@
     agent.signal(Signal::Reload);
     tokio::time::sleep(Duration::from_millis(300)).await;
 
-    assert!(!agent.has_ended());
+    assert!(!agent.has_exited());
     agent.signal(Signal::Terminate);
     assert_eq!(agent.wait().expect("it ends by itself"), 0);
 }
--- a/crates/berylhook/tests/at_most_once.rs
+++ b/crates/berylhook/tests/at_most_once.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use berylhook_test_support::calls::Caller;
-use berylhook_test_support::cluster::{Cluster, DESK_KEY, until, until_pushing};
+use berylhook_test_support::cluster::{Cluster, DESK_KEY, until, until_plain_service_ready};
 use berylhook_test_support::{Fault, Link, Outage, PlainService, Signal, VmListStandIn};
 
 use common::{a_shard_of, attempt, fresh_key, fresh_key_of, home_of};
@@ -24,11 +24,11 @@
 async fn a_repeat_at_another_entry_gets_the_first_runs_answer() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let first = cluster.entry("entry-1");
-    let second = cluster.entry("entry-2");
-    until_pushing(&first).await;
-    until_pushing(&second).await;
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let first = cluster.start_entry("entry-1");
+    let second = cluster.start_entry("entry-2");
+    until_plain_service_ready(&first).await;
+    until_plain_service_ready(&second).await;
     let caller = Caller::new(DESK_KEY);
     let key = fresh_key();
 
@@ -69,14 +69,18 @@
     let service = PlainService::start().await;
     let cut = Link::start(cluster.key_value.address()).await;
     let former_url = format!("http://{}", cut.address);
-    let former =
-        cluster.agent_with_key_value("push-1", "guide-push", service.server.address, &former_url);
+    let former = cluster.start_agent_with_key_value(
+        "push-1",
+        "guide-push",
+        service.server.address,
+        &former_url,
+    );
     cluster
         .vms
         .add("push-1", former.address, "cairo-a", "guide-push");
-    let believer = cluster.entry("entry-1");
-    until_pushing(&believer).await;
-    let successor = cluster.agent("push-2", "guide-push", service.server.address);
+    let believer = cluster.start_entry("entry-1");
+    until_plain_service_ready(&believer).await;
+    let successor = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
         a_shard_of(&cluster.key_value, "push-2").is_some()
     })
@@ -85,15 +89,15 @@
     let caller = Caller::new(DESK_KEY);
     let (warm_up, _) = attempt(&caller, believer.address, &fresh_key_of(shard), "warm-up").await;
 
-    cut.set(Fault::FreezeAll);
+    cut.set_fault(Fault::FreezeAll);
     until("the successor is home", || async {
         home_of(&cluster.key_value, shard).as_deref() == Some("push-2")
     })
     .await;
     let other_list = VmListStandIn::start().await;
     other_list.add("push-2", successor.address, "cairo-a", "guide-push");
-    let informed = cluster.entry_with_list("entry-2", &other_list);
-    until_pushing(&informed).await;
+    let informed = cluster.start_entry_with_list("entry-2", &other_list);
+    until_plain_service_ready(&informed).await;
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let key = fresh_key_of(shard);
     let (first, _) = attempt(&caller, believer.address, &key, "a").await;
@@ -115,10 +119,10 @@
 async fn a_successor_runs_no_key_from_before_its_time() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let former = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
-    let _successor = cluster.agent("push-2", "guide-push", service.server.address);
+    let former = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
+    let _successor = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
         a_shard_of(&cluster.key_value, "push-2").is_some()
     })
@@ -162,9 +166,9 @@
 async fn in_a_long_outage_fresh_keys_are_refused_and_known_ones_answered() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
     let caller = Caller::new(DESK_KEY);
     let known = fresh_key();
     let (before, _) = attempt(&caller, entry.address, &known, "a").await;
@@ -179,7 +183,7 @@
     let (refused, _) = attempt(&caller, entry.address, &refused_key, "b").await;
     let (repeat, _) = attempt(&caller, entry.address, &known, "c").await;
     cluster.key_value.set_outage(Outage::None);
-    until_pushing(&entry).await;
+    until_plain_service_ready(&entry).await;
 
     assert_eq!(before.outcome, "done");
     assert_eq!(refused.outcome, "not-run", "{}", refused.body);
@@ -199,10 +203,10 @@
 async fn a_planned_move_refuses_nothing_and_forgets_nothing() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let mut leaving = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
-    let _staying = cluster.agent("push-2", "guide-push", service.server.address);
+    let mut leaving = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
+    let _staying = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
         a_shard_of(&cluster.key_value, "push-2").is_some()
     })
@@ -247,9 +251,9 @@
 async fn a_key_reused_for_another_request_is_refused() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
     let caller = Caller::new(DESK_KEY);
     let key = fresh_key();
     let headers = [("idempotency-key", key.as_str())];
@@ -277,9 +281,9 @@
     const SHARD: u32 = 3;
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    cluster.key_value.doubt_write_of("/0003/home");
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
+    cluster.key_value.fail_after_write_of("/0003/home");
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
     until("the claim is in doubt", || async {
         cluster.key_value.outage() == Outage::Refusing
     })
--- a/crates/berylhook/tests/catalogue.rs
+++ b/crates/berylhook/tests/catalogue.rs
@@ -6,11 +6,11 @@
 use berylhook_test_support::cluster::{
     Cluster, DESK_KEY, EntryProcess, catalogue, store_section, until, until_ready, until_serving,
 };
-use berylhook_test_support::command::{self, Ran, TemporaryFile, berylhook};
+use berylhook_test_support::command::{self, CommandOutput, TemporaryFile, berylhook};
 use berylhook_test_support::{Daemon, Engine, EngineConfig, Outage, Signal};
 use serde_json::Value;
 
-fn apply(cluster: &Cluster, file: &TemporaryFile, more: &[&str]) -> Ran {
+fn apply(cluster: &Cluster, file: &TemporaryFile, more: &[&str]) -> CommandOutput {
     let url = cluster.key_value.url();
     let mut arguments = vec!["catalogue", "apply", "--key-value", &url, file.path()];
     arguments.extend_from_slice(more);
@@ -43,7 +43,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_reaches_every_entry_although_the_watches_are_silent() {
     let cluster = Cluster::start().await;
-    let entries = ["entry-1", "entry-2", "entry-3", "entry-4"].map(|name| cluster.entry(name));
+    let entries =
+        ["entry-1", "entry-2", "entry-3", "entry-4"].map(|name| cluster.start_entry(name));
     for entry in &entries {
         until_ready(entry).await;
     }
@@ -77,13 +78,13 @@
 async fn an_invalid_newer_value_hides_nothing_from_a_process_born_later() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
     let key = "berylhook/catalogue/entry/briefing-llm/0000000002";
 
     cluster
         .key_value
         .put_raw(key, b"{\"settings\": {\"class\": \"urgent\"}}");
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let url = cluster.key_value.url();
     let history = berylhook(&[
@@ -117,8 +118,8 @@
 async fn a_diskless_restart_in_an_outage_reverts_nothing() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let mut entries = ["entry-1", "entry-2", "entry-3"].map(|name| cluster.entry(name));
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let mut entries = ["entry-1", "entry-2", "entry-3"].map(|name| cluster.start_entry(name));
     for entry in &entries {
         until_serving(entry, "briefing-llm").await;
     }
@@ -158,8 +159,8 @@
 async fn entries_that_all_restart_in_an_outage_get_the_catalogue_from_agents() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let mut entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let mut entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
     cluster.key_value.set_outage(Outage::Silent);
@@ -178,7 +179,7 @@
 async fn a_process_that_reaches_neither_service_nor_peers_is_not_ready() {
     let cluster = Cluster::start().await;
     cluster.key_value.set_outage(Outage::Refusing);
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     until("it is alive", || async {
         caller.get(entry.address, "/healthz").await.status == 200
@@ -238,7 +239,7 @@
     let cluster = Cluster::start().await;
     let changed = get(&cluster).replace("class = interactive", "class = batch");
 
-    cluster.key_value.lose_answers(1);
+    cluster.key_value.lose_responses(1);
     let ran = apply(
         &cluster,
         &TemporaryFile::new(&changed),
@@ -291,8 +292,8 @@
 async fn a_new_entry_is_served_without_a_restart() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "drafter", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "drafter", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
 
     let more = catalogue()
--- a/crates/berylhook/tests/common/load.rs
+++ b/crates/berylhook/tests/common/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_test_support::calls::Answered;
+use berylhook_test_support::calls::CallResult;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
 use super::poison::Fleet;
@@ -12,7 +12,7 @@
 
 /// Sends requests at a steady rate, at each entry in turn and over each path in turn, and
 /// returns their answers.
-pub async fn send_steadily(fleet: &Fleet, paths: &[&str], lasting: Duration) -> Vec<Answered> {
+pub async fn send_steadily(fleet: &Fleet, paths: &[&str], lasting: Duration) -> Vec<CallResult> {
     let mut requests = FuturesUnordered::new();
     let mut answers = Vec::new();
     let mut ticks = tokio::time::interval(PAUSE);
--- a/crates/berylhook/tests/common/mod.rs
+++ b/crates/berylhook/tests/common/mod.rs
@@ -12,8 +12,8 @@
 use berylhook_caller::IdempotencyKey;
 use berylhook_core::ledger::shard_of;
 use berylhook_test_support::KeyValueStandIn;
-use berylhook_test_support::calls::{Answered, Caller};
-use berylhook_test_support::history::{Event, Operation, Told};
+use berylhook_test_support::calls::{CallResult, Caller};
+use berylhook_test_support::history::{Event, Operation, ReportedOutcome};
 
 pub const ACCOUNT: &str = "paddle-desk";
 
@@ -56,7 +56,7 @@
     entry: SocketAddr,
     key: &str,
     name: &str,
-) -> (Answered, Event) {
+) -> (CallResult, Event) {
     let from = Instant::now();
     let headers = [("idempotency-key", key), ("x-attempt", name)];
     let answered = caller
@@ -66,7 +66,7 @@
         key: key.to_owned(),
         operation: Operation::Attempt {
             attempt: name.to_owned(),
-            told: Told::of(&answered),
+            reported: ReportedOutcome::of(&answered),
         },
         from,
         to: Instant::now(),
--- a/crates/berylhook/tests/common/poison.rs
+++ b/crates/berylhook/tests/common/poison.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use berylhook_test_support::calls::{Answered, Caller};
-use berylhook_test_support::{Behaviour, KeyValueStandIn, POISON, PlatformTarget};
+use berylhook_test_support::calls::{CallResult, Caller};
+use berylhook_test_support::{Behaviour, KeyValueStandIn, POISON_BODY, PlatformTarget};
 
 use super::entry::{Entry, KEY, configuration, route, start_entry, until_ready};
 
@@ -39,7 +39,7 @@
         };
         for number in 0..targets {
             let target = PlatformTarget::start(&format!("i-{number}")).await;
-            target.set_behaviour(Behaviour::EndsUnderPoison);
+            target.set_behaviour(Behaviour::ExitsOnPoison);
             target.register(&fleet.store, "push", "ready");
             fleet.targets.push(target);
         }
@@ -58,11 +58,11 @@
 
     pub fn ended(&self) -> usize {
         let targets = self.targets.iter();
-        targets.filter(|target| target.has_ended()).count()
+        targets.filter(|target| target.has_exited()).count()
     }
 
     /// Sends a request through one of the entries.
-    pub async fn send(&self, entry: usize, path: &str, attempt: &str, body: &str) -> Answered {
+    pub async fn send(&self, entry: usize, path: &str, attempt: &str, body: &str) -> CallResult {
         self.send_within(entry, path, attempt, body, 3_000).await
     }
 
@@ -74,7 +74,7 @@
         attempt: &str,
         body: &str,
         deadline_ms: u64,
-    ) -> Answered {
+    ) -> CallResult {
         let deadline_ms = deadline_ms.to_string();
         let headers = [
             ("host", "desk.example"),
@@ -92,7 +92,7 @@
 pub async fn put_on_trial(fleet: &Fleet) {
     for number in 0..2 {
         fleet
-            .send(0, "/unsafe/draft", &format!("early-{number}"), POISON)
+            .send(0, "/unsafe/draft", &format!("early-{number}"), POISON_BODY)
             .await;
         tokio::time::sleep(NEWS).await;
     }
@@ -102,7 +102,7 @@
 /// Puts the guilty request where it is refused.
 pub async fn put_on_hold(fleet: &Fleet) {
     put_on_trial(fleet).await;
-    fleet.send(0, "/unsafe/draft", "early-2", POISON).await;
+    fleet.send(0, "/unsafe/draft", "early-2", POISON_BODY).await;
     tokio::time::sleep(NEWS).await;
     assert_eq!(fleet.ended(), ENDS_ALLOWED);
 }
--- a/crates/berylhook/tests/entry.rs
+++ b/crates/berylhook/tests/entry.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use berylhook_test_support::calls::{Answered, Caller};
+use berylhook_test_support::calls::{CallResult, Caller};
 use berylhook_test_support::{
-    Behaviour, EVENTS, KeyValueStandIn, Outage, PlatformTarget, Signal, free_address,
+    Behaviour, EVENTS_PER_STREAM, KeyValueStandIn, Outage, PlatformTarget, Signal, free_address,
 };
 use serde_json::Value;
 
@@ -36,7 +36,7 @@
     (store, entry)
 }
 
-async fn post(entry: &Entry, path: &str) -> Answered {
+async fn post(entry: &Entry, path: &str) -> CallResult {
     let headers = [
         ("host", "desk.example"),
         ("berylhook-attempt-id", "attempt-1"),
@@ -55,7 +55,7 @@
 
     let answered = post(&entry, "/unsafe/a?b=c").await;
 
-    assert_eq!((answered.status, answered.is_whole), (200, true));
+    assert_eq!((answered.status, answered.is_complete), (200, true));
     let runs = target.runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].request, "POST /unsafe/a?b=c");
@@ -102,7 +102,10 @@
         PlatformTarget::start("i-2").await,
     ];
     let (_store, entry) = start(&[&targets[0], &targets[1]]).await;
-    for behaviour in [Behaviour::LosesAnswers, Behaviour::AnswersAnother] {
+    for behaviour in [
+        Behaviour::DropsResponses,
+        Behaviour::RespondsWithWrongAttemptId,
+    ] {
         let before = targets[0].runs().len() + targets[1].runs().len();
         for target in &targets {
             target.set_behaviour(behaviour);
@@ -121,7 +124,7 @@
 async fn an_answer_without_the_targets_mark_is_not_passed_on() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
-    target.set_behaviour(Behaviour::AnswersUnmarked);
+    target.set_behaviour(Behaviour::RespondsWithoutSeal);
 
     assert_eq!(post(&entry, "/unsafe/").await.status, 502);
 }
@@ -135,9 +138,9 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
-    target.set_behaviour(Behaviour::RefusesWithoutWord);
+    target.set_behaviour(Behaviour::RejectsWithoutReason);
     let without_word = post(&entry, "/unsafe/").await;
-    target.set_behaviour(Behaviour::SaysNotRun);
+    target.set_behaviour(Behaviour::RejectsAsNotExecuted);
     let with_word = post(&entry, "/unsafe/").await;
 
     assert_eq!(without_word.status, 502);
@@ -153,19 +156,19 @@
     ];
     let (_store, entry) = start(&[&targets[0], &targets[1]]).await;
     for behaviour in [
-        Behaviour::LosesAnswers,
+        Behaviour::DropsResponses,
         Behaviour::Hangs,
-        Behaviour::SaysNotRun,
+        Behaviour::RejectsAsNotExecuted,
     ] {
         targets[0].set_behaviour(behaviour);
         for _ in 0..2 {
             assert_eq!(post(&entry, "/safe/").await.status, 200, "{behaviour:?}");
         }
-        targets[0].set_behaviour(Behaviour::Answers);
+        targets[0].set_behaviour(Behaviour::Responds);
     }
 }
 
-fn ids(answered: &Answered) -> Vec<u64> {
+fn ids(answered: &CallResult) -> Vec<u64> {
     let lines = answered.body.lines();
     lines
         .filter_map(|line| line.strip_prefix("id: ")?.parse().ok())
@@ -183,21 +186,21 @@
     ];
     let (_store, entry) = start(&[&targets[0], &targets[1]]).await;
     for target in &targets {
-        target.set_behaviour(Behaviour::BreaksAfter(3));
+        target.set_behaviour(Behaviour::CutsStreamAfter(3));
     }
     let streaming = post(&entry, "/stream/");
     let mending = async {
         until(async || targets.iter().any(|target| !target.runs().is_empty())).await;
         // The one that has not been asked yet answers the resumption whole.
         for target in targets.iter().filter(|target| target.runs().is_empty()) {
-            target.set_behaviour(Behaviour::Answers);
+            target.set_behaviour(Behaviour::Responds);
         }
     };
 
     let (answered, ()) = tokio::join!(streaming, mending);
 
-    assert_eq!((answered.status, answered.is_whole), (200, true));
-    assert_eq!(ids(&answered), (1..=EVENTS).collect::<Vec<_>>());
+    assert_eq!((answered.status, answered.is_complete), (200, true));
+    assert_eq!(ids(&answered), (1..=EVENTS_PER_STREAM).collect::<Vec<_>>());
     let resumed = targets.iter().flat_map(PlatformTarget::runs);
     let resumed_after: Vec<_> = resumed
         .filter_map(|run| run.header("last-event-id").map(str::to_owned))
@@ -209,12 +212,12 @@
 async fn a_stream_that_may_not_be_resumed_is_cut_visibly() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
-    target.set_behaviour(Behaviour::BreaksAfter(3));
+    target.set_behaviour(Behaviour::CutsStreamAfter(3));
 
     let answered = post(&entry, "/once/stream").await;
 
     assert_eq!(answered.status, 200);
-    assert!(!answered.is_whole);
+    assert!(!answered.is_complete);
     assert_eq!(ids(&answered), [1, 2, 3]);
     assert_eq!(target.runs().len(), 1);
 }
@@ -324,7 +327,7 @@
     // A build for tests outlives the panic of a task, the one that runs does not.
     let output = entry.daemon.output();
     assert!(!output.contains("panicked"), "{output}");
-    assert!(!entry.daemon.has_ended(), "{output}");
+    assert!(!entry.daemon.has_exited(), "{output}");
     assert_eq!(post(&entry, "/safe/").await.status, 200);
 }
 
@@ -371,8 +374,8 @@
     });
     let ready = Caller::new(KEY).get(entry.ready, "/-/readyz").await;
 
-    assert!(answered.is_whole);
-    assert_eq!(ids(&answered).len() as u64, EVENTS);
+    assert!(answered.is_complete);
+    assert_eq!(ids(&answered).len() as u64, EVENTS_PER_STREAM);
     assert_eq!(ready.status, 503);
     assert_eq!(entry.daemon.wait().expect("it ends by itself"), 0);
 }
@@ -386,14 +389,14 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     assert_eq!(post(&entry, "/safe/").await.status, 200);
-    assert!(!entry.daemon.has_ended());
+    assert!(!entry.daemon.has_exited());
 }
 
 #[tokio::test]
 async fn metrics_and_logs_tell_what_became_of_a_request() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
-    target.set_behaviour(Behaviour::LosesAnswers);
+    target.set_behaviour(Behaviour::DropsResponses);
 
     post(&entry, "/unsafe/").await;
     until(async || entry.daemon.output().contains("request ended")).await;
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use berylhook_test_support::{
-    Daemon, EXPERTS, KeyValueStandIn, Outage, PlatformGroup, Signal, free_address,
+    Daemon, EXPERT_COUNT, KeyValueStandIn, Outage, PlatformGroup, Signal, free_address,
 };
 use serde_json::json;
 
@@ -19,7 +19,7 @@
         "services": [{"name": "llm", "max-conns": 100, "engine": {
             "slots": 12, "stride": 4, "step_ms": 4.55, "per_seq_ms": 0.9, "context_per_k": 0.02,
             "read_per_s": 61400.0, "usual": {"prompt": 800, "answer": 100},
-            "sets": 1, "experts": EXPERTS, "placements": 6, "spare": 2,
+            "sets": 1, "experts": EXPERT_COUNT, "placements": 6, "spare": 2,
             "expert-mb": 2_500.0, "link-mbps": 180_000.0,
         }}],
         "limits": {
@@ -96,10 +96,10 @@
 
 /// Shifts the demand and waits until the favourite stands on most ranks.
 async fn shift(fleet: &Fleet, favourite: usize) {
-    fleet.group.shift_to(favourite);
+    fleet.group.set_hot_expert(favourite);
     let expert = u16::try_from(favourite).expect("few experts");
     let began = Instant::now();
-    while fleet.group.holders_of(expert) < RANKS - 1 {
+    while fleet.group.replicas_of(expert) < RANKS - 1 {
         assert!(began.elapsed() < PATIENCE, "the map does not follow");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn a_map_follows_the_demand_after_the_store_was_restored() {
     let mut fleet = start_fleet().await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     let _first = start_entry(&fleet, "entry-1");
     shift(&fleet, 3).await;
     let _second = start_entry(&fleet, "entry-2");
@@ -241,22 +241,22 @@
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
     let hung = PlatformGroup::start("g-1", &engines).await;
     hung.register(&fleet.store, "llm");
-    hung.let_copies_end(false);
+    hung.set_copies_complete(false);
     let store = fleet.store.address();
     let start = |engine: &SocketAddr| start_agent(*engine, fleet.agent_port, store);
     let _agents: Vec<Daemon> = engines.iter().map(start).collect();
     let _entry = start_entry(&fleet, "entry-1");
-    hung.shift_to(5);
-    while hung.prepares() == 0 {
+    hung.set_hot_expert(5);
+    while hung.prepare_commands() == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    let before = hung.prepares();
+    let before = hung.prepare_commands();
     for favourite in 1..=SHIFTS {
         shift(&fleet, favourite).await;
     }
 
-    let rounds = (hung.prepares() - before) / RANKS as u64;
+    let rounds = (hung.prepare_commands() - before) / RANKS as u64;
     assert!(rounds < SHIFTS as u64, "{rounds} tries of the other group");
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -355,13 +355,13 @@
     shift(&fleet, 3).await;
     // One more switch may follow the last holder.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let holds = fleet.group.holds();
+    let holds = fleet.group.pause_commands();
 
-    fleet.group.mute_orders_to(Some(RANKS - 1));
-    fleet.group.shift_to(7);
+    fleet.group.drop_command_replies_of(Some(RANKS - 1));
+    fleet.group.set_hot_expert(7);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let held_meanwhile = fleet.group.holds() - holds;
-    fleet.group.mute_orders_to(None);
+    let held_meanwhile = fleet.group.pause_commands() - holds;
+    fleet.group.drop_command_replies_of(None);
     shift(&fleet, 7).await;
 
     assert_eq!(held_meanwhile, 0);
@@ -380,7 +380,9 @@
 
     shift(&fleet, 3).await;
 
-    let by_rank: Vec<u64> = (0..RANKS).map(|rank| fleet.group.holds_of(rank)).collect();
+    let by_rank: Vec<u64> = (0..RANKS)
+        .map(|rank| fleet.group.pause_commands_of(rank))
+        .collect();
     let (least, others) = by_rank.split_last().expect("ranks");
     assert!(*least > 0, "{by_rank:?}");
     assert!(others.iter().all(|holds| *holds == 0), "{by_rank:?}");
--- a/crates/berylhook/tests/leaving.rs
+++ b/crates/berylhook/tests/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use berylhook_test_support::calls::{Answered, Caller};
+use berylhook_test_support::calls::{CallResult, Caller};
 use berylhook_test_support::cluster::{Cluster, DESK_KEY, until, until_serving};
 use berylhook_test_support::{Engine, EngineConfig, Signal};
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn stream(entry: std::net::SocketAddr, prompt: &str) -> tokio::task::JoinHandle<Answered> {
+fn stream(entry: std::net::SocketAddr, prompt: &str) -> tokio::task::JoinHandle<CallResult> {
     let prompt = prompt.to_owned();
     tokio::spawn(async move {
         let caller = Caller::new(DESK_KEY);
@@ -34,8 +34,8 @@
     let cluster = Cluster::start().await;
     let leaving = Engine::start(slow_engine()).await;
     let staying = Engine::start(EngineConfig::default()).await;
-    let _first = cluster.agent("target-1", "briefing-llm", leaving.server.address);
-    let entry = cluster.entry("entry-1");
+    let _first = cluster.start_agent("target-1", "briefing-llm", leaving.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = leaving.runs().len();
     let in_flight = stream(entry.address, "in flight");
@@ -43,7 +43,7 @@
         leaving.runs().len() > runs_before
     })
     .await;
-    let _second = cluster.agent("target-2", "briefing-llm", staying.server.address);
+    let _second = cluster.start_agent("target-2", "briefing-llm", staying.server.address);
 
     cluster.vms.mark_leaving("target-1");
     until("the mark has arrived", || async {
@@ -64,10 +64,10 @@
     let in_flight = in_flight.await.expect("the stream ends");
 
     assert_eq!(leaving.runs().len(), runs_at_mark);
-    assert!(in_flight.is_whole);
+    assert!(in_flight.is_complete);
     assert_eq!(
         in_flight.streamed_text(),
-        Engine::answer("in flight", TOKENS)
+        Engine::response_text("in flight", TOKENS)
     );
 }
 
@@ -79,8 +79,8 @@
 async fn an_agent_that_is_told_to_stop_finishes_its_streams() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
-    let mut agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let mut agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     let in_flight = stream(entry.address, "in flight");
@@ -102,10 +102,10 @@
     let code = agent.daemon.wait().expect("it ends by itself");
 
     assert_eq!(refused.outcome, "not-run", "{}", refused.body);
-    assert!(in_flight.is_whole);
+    assert!(in_flight.is_complete);
     assert_eq!(
         in_flight.streamed_text(),
-        Engine::answer("in flight", TOKENS)
+        Engine::response_text("in flight", TOKENS)
     );
     assert_eq!(engine.runs().len(), runs_before + 1);
     assert_eq!(code, 0);
@@ -121,8 +121,8 @@
     let mut cluster = Cluster::start().await;
     cluster.entry_settings = "drain_delay_ms = 1000\n".to_owned();
     let engine = Engine::start(slow_engine()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let mut entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let mut entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     let in_flight = stream(entry.address, "in flight");
@@ -144,10 +144,10 @@
     let code = entry.daemon.wait().expect("it ends by itself");
 
     assert_eq!(late.outcome, "done", "{}", late.body);
-    assert!(in_flight.is_whole);
+    assert!(in_flight.is_complete);
     assert_eq!(
         in_flight.streamed_text(),
-        Engine::answer("in flight", TOKENS)
+        Engine::response_text("in flight", TOKENS)
     );
     assert_eq!(code, 0);
 }
@@ -161,8 +161,8 @@
     let mut cluster = Cluster::start().await;
     cluster.entry_settings = "drain_delay_ms = 0\ndrain_bound_ms = 300\n".to_owned();
     let engine = Engine::start(slow_engine()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let mut entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let mut entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     engine.set_stalled(true);
@@ -177,5 +177,5 @@
     let hanging = hanging.await.expect("the call ends");
 
     assert_eq!(code, 0);
-    assert!(!hanging.is_whole);
+    assert!(!hanging.is_complete);
 }
--- a/crates/berylhook/tests/limits.rs
+++ b/crates/berylhook/tests/limits.rs
@@ -24,8 +24,11 @@
     let limited = catalogue().replace("[account paddle-desk]\n", &limits);
     store_catalogue(&cluster.key_value, &limited);
     let engine = Engine::start(EngineConfig::default()).await;
-    let agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entries = vec![cluster.entry("entry-1"), cluster.entry("entry-2")];
+    let agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entries = vec![
+        cluster.start_entry("entry-1"),
+        cluster.start_entry("entry-2"),
+    ];
     for entry in &entries {
         until_ready(entry).await;
     }
@@ -140,8 +143,8 @@
     );
     store_catalogue(&cluster.key_value, &limited);
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
     let caller = Caller::new(DESK_KEY);
 
@@ -175,8 +178,8 @@
         ..EngineConfig::default()
     })
     .await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     engine.set_stalled(true);
     let address = entry.address;
--- a/crates/berylhook/tests/not_run.rs
+++ b/crates/berylhook/tests/not_run.rs
@@ -24,18 +24,18 @@
     store_catalogue(&cluster.key_value, &no_retries);
     let engine = Engine::start(EngineConfig::default()).await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
 
-    linked.link.set(Fault::FreezeOpen);
+    linked.link.set_fault(Fault::FreezeOpen);
     let caller = Caller::new(DESK_KEY);
     let answered = caller
         .complete(entry.address, "briefing-llm", "late order", 3, false)
         .await;
-    linked.link.set(Fault::None);
+    linked.link.set_fault(Fault::None);
     until("the late order has been decided", || async {
         linked.agent.daemon.output().contains("refused: revoked")
             || engine.runs().len() > runs_before
@@ -56,8 +56,8 @@
 async fn a_restarted_agent_does_not_answer_for_its_former_self() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let mut agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
+    let mut agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     until("the service answers", || async {
         let answered = caller
@@ -95,7 +95,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn with_no_live_target_the_refusal_is_not_run_and_says_when_to_come_back() {
     let cluster = Cluster::start().await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
 
     let caller = Caller::new(DESK_KEY);
@@ -117,8 +117,8 @@
 async fn a_repeatable_request_moves_to_another_target_before_its_first_byte() {
     let cluster = Cluster::start().await;
     let stuck = Engine::start(EngineConfig::default()).await;
-    let agent = cluster.agent("target-1", "briefing-llm", stuck.server.address);
-    let entry = cluster.entry("entry-1");
+    let agent = cluster.start_agent("target-1", "briefing-llm", stuck.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     stuck.set_stalled(true);
     let runs_before = stuck.runs().len();
@@ -134,12 +134,12 @@
     })
     .await;
     let healthy = Engine::start(EngineConfig::default()).await;
-    let _second = cluster.agent("target-2", "briefing-llm", healthy.server.address);
+    let _second = cluster.start_agent("target-2", "briefing-llm", healthy.server.address);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     agent.daemon.signal(Signal::Kill);
     let answered = call.await.expect("the call ends");
 
     assert_eq!(answered.outcome, "done", "{}", answered.body);
     let text = answered.json()["choices"][0]["text"].clone();
-    assert_eq!(text, Engine::answer("moved", 5));
+    assert_eq!(text, Engine::response_text("moved", 5));
 }
--- a/crates/berylhook/tests/once_history.rs
+++ b/crates/berylhook/tests/once_history.rs
@@ -9,9 +9,9 @@
 
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::cluster::{
-    AgentProcess, Cluster, DESK_KEY, EntryProcess, until_pushing,
+    AgentProcess, Cluster, DESK_KEY, EntryProcess, until_plain_service_ready,
 };
-use berylhook_test_support::history::{Event, Recorder, Told};
+use berylhook_test_support::history::{Event, Recorder, ReportedOutcome};
 use berylhook_test_support::{Fault, Link, Outage, PlainService, Signal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -40,15 +40,18 @@
         let mut agents = Vec::new();
         let mut links = Vec::new();
         for name in ["push-1", "push-2", "push-3"] {
-            let agent = cluster.unlisted_agent(name, "guide-push", service.server.address);
+            let agent = cluster.start_unlisted_agent(name, "guide-push", service.server.address);
             let link = Link::start(agent.address).await;
             cluster.vms.add(name, link.address, "cairo-a", "guide-push");
             agents.push(agent);
             links.push(link);
         }
-        let entries = vec![cluster.entry("entry-1"), cluster.entry("entry-2")];
+        let entries = vec![
+            cluster.start_entry("entry-1"),
+            cluster.start_entry("entry-2"),
+        ];
         for entry in &entries {
-            until_pushing(entry).await;
+            until_plain_service_ready(entry).await;
         }
         Self {
             cluster,
@@ -78,23 +81,23 @@
                 tokio::time::sleep(lasting).await;
                 self.cluster.key_value.set_outage(Outage::None);
             }
-            3 => self.cluster.key_value.lose_answers(3),
+            3 => self.cluster.key_value.lose_responses(3),
             4 => {
-                self.links[which].set(Fault::FreezeOpen);
+                self.links[which].set_fault(Fault::FreezeOpen);
                 tokio::time::sleep(lasting).await;
-                self.links[which].set(Fault::None);
+                self.links[which].set_fault(Fault::None);
             }
             5 => {
-                self.links[which].set(Fault::FreezeAnswers);
+                self.links[which].set_fault(Fault::FreezeResponses);
                 tokio::time::sleep(lasting).await;
-                self.links[which].set(Fault::None);
+                self.links[which].set_fault(Fault::None);
             }
             6 => {
                 let entry = which % self.entries.len();
                 self.entries[entry].daemon.signal(Signal::Kill);
                 self.entries[entry].restart();
             }
-            _ => self.service.drop_answers(2),
+            _ => self.service.drop_responses(2),
         }
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
@@ -121,7 +124,7 @@
             let name = format!("{seed}.{number}.{repeat}");
             let (answered, event) = attempt(&caller, entry, &key, &name).await;
             work.events.push(event);
-            is_done = Told::of(&answered) == Told::Done;
+            is_done = ReportedOutcome::of(&answered) == ReportedOutcome::Done;
             if is_done {
                 break;
             }
@@ -179,12 +182,12 @@
 
     println!(
         "seed {seed}: done {}, not run {}, unknown {}",
-        recorder.told(Told::Done),
-        recorder.told(Told::NotRun),
-        recorder.told(Told::Unknown),
+        recorder.count_reported(ReportedOutcome::Done),
+        recorder.count_reported(ReportedOutcome::NotRun),
+        recorder.count_reported(ReportedOutcome::Unknown),
     );
     assert_eq!(recorder.violations(), Vec::<String>::new());
-    assert!(recorder.told(Told::Done) > 0);
+    assert!(recorder.count_reported(ReportedOutcome::Done) > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/berylhook/tests/path.rs
+++ b/crates/berylhook/tests/path.rs
@@ -8,8 +8,8 @@
 async fn a_model_request_is_answered_whole() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(DESK_KEY);
@@ -20,15 +20,15 @@
     assert_eq!(answered.status, 200, "{}", answered.body);
     assert_eq!(answered.outcome, "done");
     let text = answered.json()["choices"][0]["text"].clone();
-    assert_eq!(text, Engine::answer("river conditions", 12));
+    assert_eq!(text, Engine::response_text("river conditions", 12));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_passed_on_whole() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(CLAIMS_KEY);
@@ -37,17 +37,20 @@
         .await;
 
     assert_eq!(answered.status, 200, "{}", answered.body);
-    assert!(answered.is_whole);
+    assert!(answered.is_complete);
     assert!(answered.body.ends_with("data: [DONE]\n\n"));
-    assert_eq!(answered.streamed_text(), Engine::answer("broken bag", 40));
+    assert_eq!(
+        answered.streamed_text(),
+        Engine::response_text("broken bag", 40)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_must_not_be_repeated_runs_once_and_repeats_its_answer() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     berylhook_test_support::cluster::until("the service answers", || async {
         let answered = caller
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use berylhook_test_support::{Behaviour, Outage, POISON, PlatformTarget};
+use berylhook_test_support::{Behaviour, Outage, POISON_BODY, PlatformTarget};
 use futures_util::future::join_all;
 
 use crate::common::entry::{start_entry, until, until_ready};
@@ -28,7 +28,7 @@
 
         for number in 0..8 {
             fleet
-                .send(number, path, &format!("{path}-{number}"), POISON)
+                .send(number, path, &format!("{path}-{number}"), POISON_BODY)
                 .await;
             tokio::time::sleep(NEWS).await;
         }
@@ -47,8 +47,8 @@
 async fn the_log_tells_that_a_request_has_come_again() {
     let fleet = Fleet::start(1, 3).await;
 
-    fleet.send(0, "/unsafe/draft", "first", POISON).await;
-    fleet.send(0, "/unsafe/draft", "second", POISON).await;
+    fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
+    fleet.send(0, "/unsafe/draft", "second", POISON_BODY).await;
 
     let digest_of = |attempt: &str| {
         let output = fleet.entries[0].daemon.output();
@@ -67,14 +67,16 @@
 #[tokio::test]
 async fn copies_at_all_entries_run_one_after_the_other_once_a_target_has_ended() {
     let fleet = Fleet::start(4, 12).await;
-    fleet.send(0, "/unsafe/draft", "first", POISON).await;
+    fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(NEWS).await;
 
     let copies = (0..12).map(|number| {
         let fleet = &fleet;
         async move {
             let attempt = format!("copy-{number}");
-            fleet.send(number, "/unsafe/draft", &attempt, POISON).await
+            fleet
+                .send(number, "/unsafe/draft", &attempt, POISON_BODY)
+                .await
         }
     });
     let answers = join_all(copies).await;
@@ -88,11 +90,11 @@
 #[tokio::test]
 async fn the_caller_is_told_that_it_did_not_run_and_when_coming_back_can_help() {
     let fleet = Fleet::start(2, 6).await;
-    let ran = fleet.send(0, "/unsafe/draft", "first", POISON).await;
+    let ran = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     put_on_hold_after_first(&fleet).await;
 
     let began = std::time::Instant::now();
-    let held = fleet.send(1, "/unsafe/draft", "last", POISON).await;
+    let held = fleet.send(1, "/unsafe/draft", "last", POISON_BODY).await;
 
     assert_eq!((ran.status, ran.retry_after), (502, None));
     assert_eq!(held.status, 503);
@@ -110,7 +112,7 @@
     for number in 0..2 {
         tokio::time::sleep(NEWS).await;
         fleet
-            .send(0, "/unsafe/draft", &format!("more-{number}"), POISON)
+            .send(0, "/unsafe/draft", &format!("more-{number}"), POISON_BODY)
             .await;
     }
     tokio::time::sleep(NEWS).await;
@@ -125,7 +127,7 @@
     put_on_hold(&fleet).await;
 
     fleet.start_entry().await;
-    let later = fleet.send(1, "/unsafe/draft", "later", POISON).await;
+    let later = fleet.send(1, "/unsafe/draft", "later", POISON_BODY).await;
 
     assert_eq!((later.status, fleet.ended()), (503, ENDS_ALLOWED));
 }
@@ -138,7 +140,7 @@
     fleet.entries.clear();
 
     fleet.start_entry().await;
-    let later = fleet.send(0, "/unsafe/draft", "later", POISON).await;
+    let later = fleet.send(0, "/unsafe/draft", "later", POISON_BODY).await;
 
     assert_eq!((later.status, fleet.ended()), (503, ENDS_ALLOWED));
 }
@@ -152,7 +154,7 @@
     fleet.entries.push(alone);
 
     put_on_hold(&fleet).await;
-    let there = fleet.send(1, "/unsafe/draft", "there", POISON).await;
+    let there = fleet.send(1, "/unsafe/draft", "there", POISON_BODY).await;
 
     assert_eq!((there.status, fleet.ended()), (503, ENDS_ALLOWED));
 }
@@ -162,7 +164,7 @@
 #[tokio::test]
 async fn without_the_store_peers_tell_and_a_request_on_trial_waits_for_the_store() {
     let fleet = Fleet::start(2, 6).await;
-    fleet.send(0, "/unsafe/draft", "first", POISON).await;
+    fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(NEWS).await;
     fleet.store.set_outage(Outage::Refusing);
     tokio::time::sleep(NEWS).await;
@@ -172,7 +174,7 @@
         let attempt = format!("away-{number}");
         statuses.push(
             fleet
-                .send(number, "/unsafe/draft", &attempt, POISON)
+                .send(number, "/unsafe/draft", &attempt, POISON_BODY)
                 .await
                 .status,
         );
@@ -209,10 +211,13 @@
     });
     let guilty = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        fleet.send(0, "/unsafe/draft", "guilty", POISON).await
+        fleet.send(0, "/unsafe/draft", "guilty", POISON_BODY).await
     };
     let (cut, _) = tokio::join!(join_all(neighbours), guilty);
-    assert!(cut.iter().any(|answer| !answer.is_whole), "some were cut");
+    assert!(
+        cut.iter().any(|answer| !answer.is_complete),
+        "some were cut"
+    );
     for target in &fleet.targets[1..] {
         target.register(&fleet.store, "push", "ready");
     }
@@ -250,7 +255,7 @@
         }
         tokio::time::sleep(Duration::from_millis(60)).await;
         for target in &fleet.targets {
-            target.end();
+            target.kill();
         }
     };
 
@@ -269,7 +274,7 @@
 async fn a_target_that_loses_answers_and_lives_makes_no_suspects() {
     let fleet = Fleet::start(1, 3).await;
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::LosesAnswers);
+        target.set_behaviour(Behaviour::DropsResponses);
     }
 
     for number in 0..6 {
@@ -279,7 +284,7 @@
     }
     tokio::time::sleep(NEWS).await;
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::Answers);
+        target.set_behaviour(Behaviour::Responds);
     }
 
     assert_eq!(
@@ -302,11 +307,11 @@
 async fn a_younger_target_at_the_address_proves_the_end_of_the_former() {
     let fleet = Fleet::start(1, 1).await;
     let former = &fleet.targets[0];
-    former.set_behaviour(Behaviour::LosesAnswers);
+    former.set_behaviour(Behaviour::DropsResponses);
     fleet.send(0, "/unsafe/draft", "lost", "a draft").await;
     tokio::time::sleep(NEWS).await;
 
-    former.end();
+    former.kill();
     tokio::time::sleep(Duration::from_millis(100)).await;
     let younger = PlatformTarget::start_at("i-younger", former.address()).await;
     younger.register(&fleet.store, "push", "ready");
@@ -325,12 +330,14 @@
     let fleet = Fleet::start(2, 4).await;
     put_on_trial(&fleet).await;
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::Answers);
+        target.set_behaviour(Behaviour::Responds);
     }
 
     for number in 0..4 {
         let attempt = format!("mended-{number}");
-        let answered = fleet.send(number, "/unsafe/draft", &attempt, POISON).await;
+        let answered = fleet
+            .send(number, "/unsafe/draft", &attempt, POISON_BODY)
+            .await;
         assert_eq!(answered.status, 200, "{number}");
         tokio::time::sleep(NEWS).await;
     }
@@ -346,17 +353,17 @@
     let mut fleet = Fleet::start(1, 6).await;
     put_on_trial(&fleet).await;
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::Answers);
+        target.set_behaviour(Behaviour::Responds);
     }
     for number in 0..2 {
         let attempt = format!("mended-{number}");
-        fleet.send(0, "/unsafe/draft", &attempt, POISON).await;
+        fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY).await;
         tokio::time::sleep(NEWS).await;
     }
     fleet.entries.clear();
 
     fleet.start_entry().await;
-    fleet.send(0, "/unsafe/draft", "later", POISON).await;
+    fleet.send(0, "/unsafe/draft", "later", POISON_BODY).await;
 
     let output = fleet.entries[0].daemon.output();
     assert!(!output.contains("a suspect runs alone"), "{output}");
@@ -372,16 +379,16 @@
     }
     let stuck = tokio::time::timeout(
         Duration::from_millis(500),
-        fleet.send(1, "/unsafe/draft", "stuck", POISON),
+        fleet.send(1, "/unsafe/draft", "stuck", POISON_BODY),
     );
     assert!(stuck.await.is_err(), "it runs and hangs");
     fleet.entries.pop();
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::Answers);
+        target.set_behaviour(Behaviour::Responds);
     }
 
     until(async || {
-        let answered = fleet.send(0, "/unsafe/draft", "next", POISON).await;
+        let answered = fleet.send(0, "/unsafe/draft", "next", POISON_BODY).await;
         answered.status == 200
     })
     .await;
@@ -394,7 +401,7 @@
     let fleet = Fleet::start(1, 6).await;
     for number in 0..6 {
         let attempt = format!("left-{number}");
-        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON);
+        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
         // Once it is held back it is answered at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         // Others come to the targets meanwhile.
@@ -421,7 +428,7 @@
     let fleet = Fleet::start(2, 8).await;
     for number in 0..8 {
         let attempt = format!("left-{number}");
-        let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON);
+        let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON_BODY);
         // Once it is held back it is answered at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(NEWS).await;
@@ -439,7 +446,7 @@
     for number in 0..8 {
         let attempt = format!("late-{number}");
         fleet
-            .send_within(number, "/unsafe/draft", &attempt, POISON, 20)
+            .send_within(number, "/unsafe/draft", &attempt, POISON_BODY, 20)
             .await;
         tokio::time::sleep(NEWS).await;
     }
--- a/crates/berylhook/tests/poison_operators.rs
+++ b/crates/berylhook/tests/poison_operators.rs
@@ -4,7 +4,7 @@
 
 use std::process::Command;
 
-use berylhook_test_support::{Behaviour, POISON, binary};
+use berylhook_test_support::{Behaviour, POISON_BODY, binary};
 
 use crate::common::entry::until;
 use crate::common::poison::{ENDS_ALLOWED, Fleet, NEWS, put_on_hold};
@@ -37,7 +37,7 @@
     let listed = quarantine(&fleet, "list", &[]);
     let digest = first_digest(&fleet);
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::Answers);
+        target.set_behaviour(Behaviour::Responds);
     }
     quarantine(&fleet, "lift", &[&digest]);
     tokio::time::sleep(NEWS).await;
@@ -45,7 +45,9 @@
     assert!(listed.contains("held"), "{listed}");
     assert_eq!(listed.matches("i-").count(), ENDS_ALLOWED, "{listed}");
     for entry in 0..2 {
-        let answered = fleet.send(entry, "/unsafe/draft", "lifted", POISON).await;
+        let answered = fleet
+            .send(entry, "/unsafe/draft", "lifted", POISON_BODY)
+            .await;
         assert_eq!(answered.status, 200);
     }
 }
@@ -53,12 +55,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_pin_a_request_before_it_ends_three_targets() {
     let fleet = Fleet::start(2, 4).await;
-    fleet.send(0, "/unsafe/draft", "first", POISON).await;
+    fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(NEWS).await;
 
     quarantine(&fleet, "pin", &[&first_digest(&fleet)]);
     tokio::time::sleep(NEWS).await;
-    let answered = fleet.send(1, "/unsafe/draft", "next", POISON).await;
+    let answered = fleet.send(1, "/unsafe/draft", "next", POISON_BODY).await;
 
     assert_eq!((answered.status, answered.retry_after), (503, None));
     assert_eq!(fleet.ended(), 1);
@@ -86,7 +88,9 @@
 async fn the_logs_lead_from_a_request_to_its_digest_and_the_metrics_count_it() {
     let fleet = Fleet::start(1, 5).await;
     put_on_hold(&fleet).await;
-    fleet.send(0, "/unsafe/draft", "held-attempt", POISON).await;
+    fleet
+        .send(0, "/unsafe/draft", "held-attempt", POISON_BODY)
+        .await;
     until(async || {
         fleet.entries[0]
             .daemon
@@ -97,7 +101,7 @@
 
     let output = Command::new(binary("berylhook").expect("built"))
         .args(["causes", "--by", "digest"])
-        .arg(&fleet.entries[0].daemon.log)
+        .arg(&fleet.entries[0].daemon.log_path)
         .output()
         .expect("it runs");
 
--- a/crates/berylhook/tests/poison_own.rs
+++ b/crates/berylhook/tests/poison_own.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use berylhook_test_support::calls::{Answered, Caller};
+use berylhook_test_support::calls::{CallResult, Caller};
 use berylhook_test_support::cluster::{
     AgentProcess, Cluster, DESK_KEY, EntryProcess, until, until_ready,
 };
@@ -83,7 +83,7 @@
         for number in 0..ENGINES {
             let engine = Engine::start(config).await;
             let name = format!("target-{number}");
-            agents.push(cluster.agent(&name, "briefing-llm", engine.server.address));
+            agents.push(cluster.start_agent(&name, "briefing-llm", engine.server.address));
             engines.push(Some(engine));
         }
         let engines = Arc::new(Mutex::new(engines));
@@ -105,7 +105,7 @@
 
     async fn start_entry(&mut self) {
         let name = format!("entry-{}", self.entries.len());
-        let entry = self.cluster.entry(&name);
+        let entry = self.cluster.start_entry(&name);
         until_ready(&entry).await;
         self.entries.push(entry);
     }
@@ -115,7 +115,7 @@
         engines.iter().filter(|engine| engine.is_none()).count()
     }
 
-    async fn send(&self, entry: usize, stream: bool) -> Answered {
+    async fn send(&self, entry: usize, stream: bool) -> CallResult {
         let entry = &self.entries[entry % self.entries.len()];
         let caller = Caller::new(DESK_KEY);
         caller
@@ -260,7 +260,7 @@
         let service = PlainService::start().await;
         service.set_delay(Duration::from_secs(5));
         let name = format!("push-{number}");
-        agents.push(cluster.agent(&name, "guide-push", service.server.address));
+        agents.push(cluster.start_agent(&name, "guide-push", service.server.address));
         services.push(Some(service));
     }
     let services = Arc::new(Mutex::new(services));
@@ -268,7 +268,7 @@
         let services = services.lock().expect("no holder panics");
         services.iter().filter(|service| service.is_none()).count()
     };
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let running = Arc::clone(&services);
--- a/crates/berylhook/tests/poison_turns.rs
+++ b/crates/berylhook/tests/poison_turns.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use berylhook_test_support::{Behaviour, POISON, PlatformTarget};
+use berylhook_test_support::{Behaviour, POISON_BODY, PlatformTarget};
 
 use crate::common::entry::{start_entry, until_ready};
 use crate::common::poison::{ENDS_ALLOWED, Fleet, NEWS};
@@ -19,11 +19,11 @@
 async fn a_request_whose_time_is_over_when_its_turn_comes_is_not_sent() {
     for path in ["/unsafe/draft", "/once/stream"] {
         let fleet = Fleet::start(1, 4).await;
-        fleet.send(0, path, "first", POISON).await;
+        fleet.send(0, path, "first", POISON_BODY).await;
         tokio::time::sleep(NEWS).await;
         fleet.store.hold_reads_of("berylhook/quarantine-lock/");
 
-        let waiting = fleet.send_within(0, path, "second", POISON, DEADLINE_MS);
+        let waiting = fleet.send_within(0, path, "second", POISON_BODY, DEADLINE_MS);
         let releasing = async {
             tokio::time::sleep(TURN_AFTER).await;
             fleet.store.release_reads();
@@ -42,12 +42,12 @@
     for ends_after_ms in [200, 400, 600] {
         let fleet = Fleet::start(2, 8).await;
         for target in &fleet.targets {
-            target.set_ends_after(Duration::from_millis(ends_after_ms));
+            target.set_exit_delay(Duration::from_millis(ends_after_ms));
         }
 
         for number in 0..8 {
             let attempt = format!("left-{number}");
-            let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON);
+            let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON_BODY);
             // Once it is held back it is answered at once.
             let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
             tokio::time::sleep(NEWS).await;
@@ -66,17 +66,17 @@
     let alone = start_entry(&fleet.store, &[]);
     until_ready(&alone).await;
     fleet.entries.push(alone);
-    fleet.send(0, "/unsafe/draft", "first", POISON).await;
+    fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(NEWS).await;
     fleet.store.mute_watches(true);
     for number in 1..ENDS_ALLOWED {
         let attempt = format!("early-{number}");
-        fleet.send(0, "/unsafe/draft", &attempt, POISON).await;
+        fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY).await;
         tokio::time::sleep(NEWS).await;
     }
     fleet.store.hold_reads_of("berylhook/quarantine-lock/");
 
-    let answered = fleet.send(1, "/unsafe/draft", "late", POISON).await;
+    let answered = fleet.send(1, "/unsafe/draft", "late", POISON_BODY).await;
 
     assert_eq!((answered.status, fleet.ended()), (503, ENDS_ALLOWED));
 }
@@ -89,16 +89,16 @@
     let mut others: Vec<PlatformTarget> = Vec::new();
     for number in 0..6 {
         let attempt = format!("left-{number}");
-        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON);
+        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
         // Once it is held back it is answered at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(Duration::from_millis(60)).await;
         let is_free = |ended: &&PlatformTarget| {
-            ended.has_ended() && others.iter().all(|it| it.address() != ended.address())
+            ended.has_exited() && others.iter().all(|it| it.address() != ended.address())
         };
         if let Some(ended) = fleet.targets.iter().find(is_free) {
             let other = PlatformTarget::start_at("i-other", ended.address()).await;
-            other.set_behaviour(Behaviour::IsAnother);
+            other.set_behaviour(Behaviour::IsOtherIncarnation);
             others.push(other);
         }
         for other in 0..12 {
@@ -117,11 +117,11 @@
 /// Another incarnation listens at the address of a target that has ended.
 async fn take_addresses(fleet: &Fleet, others: &mut Vec<PlatformTarget>) {
     let is_free = |ended: &&PlatformTarget| {
-        ended.has_ended() && others.iter().all(|it| it.address() != ended.address())
+        ended.has_exited() && others.iter().all(|it| it.address() != ended.address())
     };
     if let Some(ended) = fleet.targets.iter().find(is_free) {
         let other = PlatformTarget::start_at("i-other", ended.address()).await;
-        other.set_behaviour(Behaviour::IsAnother);
+        other.set_behaviour(Behaviour::IsOtherIncarnation);
         others.push(other);
     }
 }
@@ -134,7 +134,7 @@
     let mut others: Vec<PlatformTarget> = Vec::new();
     for number in 0..6 {
         let attempt = format!("left-{number}");
-        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON);
+        let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
         // Once it is held back it is answered at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(Duration::from_millis(60)).await;
@@ -151,18 +151,18 @@
 async fn an_end_with_a_lost_answer_is_noticed_although_the_address_is_taken_at_once() {
     let fleet = Fleet::start(1, 6).await;
     for target in &fleet.targets {
-        target.set_behaviour(Behaviour::HandsOverUnderPoison);
+        target.set_behaviour(Behaviour::IsReplacedOnPoison);
     }
 
     for number in 0..6 {
         let attempt = format!("lost-{number}");
-        fleet.send(0, "/unsafe/draft", &attempt, POISON).await;
+        fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY).await;
         tokio::time::sleep(NEWS).await;
     }
 
     let ended = fleet
         .targets
         .iter()
-        .filter(|it| it.ended_under_poison().is_some());
+        .filter(|it| it.exited_on_poison().is_some());
     assert_eq!(ended.count(), ENDS_ALLOWED);
 }
--- a/crates/berylhook/tests/readiness.rs
+++ b/crates/berylhook/tests/readiness.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use berylhook_test_support::calls::Caller;
-use berylhook_test_support::{KeyValueStandIn, Outage, POISON};
+use berylhook_test_support::{KeyValueStandIn, Outage, POISON_BODY};
 use futures_util::future::join_all;
 use tokio::net::TcpStream;
 
@@ -75,7 +75,7 @@
     fleet.store.release_reads();
     until_ready(&later).await;
     fleet.entries.push(later);
-    let answered = fleet.send(0, "/unsafe/draft", "later", POISON).await;
+    let answered = fleet.send(0, "/unsafe/draft", "later", POISON_BODY).await;
 
     assert!(!was_ready);
     assert_eq!((answered.status, fleet.ended()), (503, ENDS_ALLOWED));
@@ -90,7 +90,7 @@
     let later = start_entry(&fleet.store, &[]);
     until_configured(&later).await;
     fleet.entries.push(later);
-    let answered = fleet.send(0, "/unsafe/draft", "later", POISON).await;
+    let answered = fleet.send(0, "/unsafe/draft", "later", POISON_BODY).await;
 
     assert_eq!((answered.status, fleet.ended()), (503, ENDS_ALLOWED));
     assert_eq!(answered.retry_after.as_deref(), Some("1.000"));
@@ -110,7 +110,9 @@
     let mut statuses = Vec::new();
     for entry in 0..2 {
         let attempt = format!("later-{entry}");
-        let answered = fleet.send(entry, "/unsafe/draft", &attempt, POISON).await;
+        let answered = fleet
+            .send(entry, "/unsafe/draft", &attempt, POISON_BODY)
+            .await;
         statuses.push(answered.status);
     }
 
@@ -126,7 +128,7 @@
         fleet.store.set_outage(outage);
 
         fleet.start_entry().await;
-        let answered = fleet.send(1, "/unsafe/draft", "later", POISON).await;
+        let answered = fleet.send(1, "/unsafe/draft", "later", POISON_BODY).await;
 
         let seen = (answered.status, fleet.ended());
         assert_eq!(seen, (503, ENDS_ALLOWED), "{outage:?}");
--- a/crates/berylhook/tests/resting_own.rs
+++ b/crates/berylhook/tests/resting_own.rs
@@ -10,8 +10,8 @@
 async fn an_agent_leaves_a_target_alone_that_asks_for_rest() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     let post = async || {
         caller
@@ -19,13 +19,13 @@
             .await
     };
     until("the service answers", async || post().await.status == 200).await;
-    service.set_rest(Some("8"));
+    service.set_backoff(Some("8"));
 
     let first = post().await;
     let later = join_all((0..10).map(|_| post())).await;
 
     assert_eq!(first.status, 503);
-    assert_eq!(service.refused(), 1);
+    assert_eq!(service.refused_count(), 1);
     assert!(later.iter().all(|answered| answered.outcome == "not-run"));
     let told = later.iter().map(|answered| answered.retry_after.as_deref());
     let told_s = told.map(|after| after.unwrap_or_default().parse().unwrap_or(0.0));
@@ -37,8 +37,8 @@
 async fn an_agent_sends_on_after_the_rest() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let _agent = cluster.agent("push-1", "guide-push", service.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     let post = async || {
         caller
@@ -46,10 +46,10 @@
             .await
     };
     until("the service answers", async || post().await.status == 200).await;
-    service.set_rest(Some("0.3"));
+    service.set_backoff(Some("0.3"));
     post().await;
 
-    service.set_rest(None);
+    service.set_backoff(None);
 
     until("the service answers again", async || {
         post().await.status == 200
--- a/crates/berylhook/tests/resting_targets.rs
+++ b/crates/berylhook/tests/resting_targets.rs
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn a_target_that_asks_for_rest_gets_it() {
     let fleet = Fleet::start(1, 2).await;
-    fleet.targets[0].set_rest(Some("3"));
+    fleet.targets[0].set_backoff(Some("3"));
     let paths = ["/unsafe/", "/safe/", "/stream/", "/once/stream"];
 
     let answers = send_steadily(&fleet, &paths, Duration::from_millis(2_800)).await;
@@ -50,7 +50,7 @@
 async fn callers_are_told_when_to_come_back_where_all_targets_rest() {
     let fleet = Fleet::start(1, 2).await;
     for target in &fleet.targets {
-        target.set_rest(Some("3"));
+        target.set_backoff(Some("3"));
     }
     let paths = ["/unsafe/", "/stream/"];
 
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn the_end_of_a_rest_is_tried_by_one_request() {
     let fleet = Fleet::start(1, 2).await;
-    fleet.targets[0].set_rest(Some("1"));
+    fleet.targets[0].set_backoff(Some("1"));
 
     let answers = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(5)).await;
 
@@ -91,9 +91,9 @@
 #[tokio::test]
 async fn a_target_is_used_in_full_again_after_its_rest() {
     let fleet = Fleet::start(1, 2).await;
-    fleet.targets[0].set_rest(Some("0.5"));
+    fleet.targets[0].set_backoff(Some("0.5"));
     send_steadily(&fleet, &["/unsafe/"], Duration::from_millis(500)).await;
-    fleet.targets[0].set_rest(None);
+    fleet.targets[0].set_backoff(None);
     send_steadily(&fleet, &["/unsafe/"], Duration::from_secs(2)).await;
     let before = fleet.targets[0].runs().len();
 
@@ -120,7 +120,7 @@
 async fn streams_go_on_at_the_other_engines_while_one_rests() {
     let mut fleet = Fleet::start(0, 3).await;
     fleet.store.put_raw("op/config", &with_engines());
-    fleet.targets[0].set_rest(Some("3"));
+    fleet.targets[0].set_backoff(Some("3"));
     fleet.start_entry().await;
 
     let answers = send_steadily(&fleet, &["/stream/"], Duration::from_millis(2_800)).await;
@@ -138,7 +138,7 @@
 async fn a_target_that_says_that_it_leaves_gets_nothing_more() {
     let fleet = Fleet::start(1, 2).await;
     fleet.store.set_outage(Outage::Silent);
-    fleet.targets[0].leave();
+    fleet.targets[0].announce_leaving();
     let paths = ["/unsafe/", "/safe/", "/stream/", "/once/stream"];
 
     let answers = send_steadily(&fleet, &paths, Duration::from_secs(2)).await;
@@ -154,13 +154,13 @@
 #[tokio::test]
 async fn a_stream_that_breaks_off_goes_on_at_a_target_that_does_not_rest() {
     let fleet = Fleet::start(1, 3).await;
-    fleet.targets[0].set_rest(Some("3"));
-    fleet.targets[1].set_behaviour(Behaviour::BreaksAfter(2));
+    fleet.targets[0].set_backoff(Some("3"));
+    fleet.targets[1].set_behaviour(Behaviour::CutsStreamAfter(2));
 
     let answers = send_steadily(&fleet, &["/stream/"], Duration::from_millis(2_800)).await;
 
     assert!(!fleet.targets[1].runs().is_empty());
     let got = in_rest(&fleet.targets[0], Duration::from_secs(3));
     assert!(got <= ALLOWED, "{got} requests in three seconds of rest");
-    assert!(answers.iter().all(|it| it.status == 200 && it.is_whole));
+    assert!(answers.iter().all(|it| it.status == 200 && it.is_complete));
 }
--- a/crates/berylhook/tests/restored.rs
+++ b/crates/berylhook/tests/restored.rs
@@ -5,9 +5,11 @@
 use std::time::Duration;
 
 use berylhook_test_support::calls::Caller;
-use berylhook_test_support::cluster::{Cluster, DESK_KEY, until as until_true, until_pushing};
+use berylhook_test_support::cluster::{
+    Cluster, DESK_KEY, until as until_true, until_plain_service_ready,
+};
 use berylhook_test_support::{
-    Fault, KeyValueStandIn, Link, POISON, PlainService, PlatformTarget, StoreCopy,
+    Fault, KeyValueStandIn, Link, POISON_BODY, PlainService, PlatformTarget, StoreSnapshot,
 };
 
 use crate::common::entry::{KEY, configuration, route, start_entry, until, until_ready};
@@ -28,7 +30,7 @@
 }
 
 /// What a store has that was up some seconds ago.
-fn copy_with(store: &KeyValueStandIn, targets: &[&PlatformTarget]) -> StoreCopy {
+fn copy_with(store: &KeyValueStandIn, targets: &[&PlatformTarget]) -> StoreSnapshot {
     store.put_raw(
         "op/config",
         &configuration(1, &[route("old", "safe", 2, false)]),
@@ -36,7 +38,7 @@
     for target in targets {
         target.register(store, "push", "ready");
     }
-    store.copy()
+    store.snapshot()
 }
 
 /// Guards against an entry that goes back with the store: to an older configuration, to a
@@ -84,17 +86,17 @@
 #[tokio::test]
 async fn a_hold_that_a_restore_has_lost_is_kept_again() {
     let fleet = Fleet::start(2, 6).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     put_on_hold(&fleet).await;
     let ended = fleet.ended();
 
     fleet.store.restore(&copy);
-    for target in fleet.targets.iter().filter(|target| !target.has_ended()) {
+    for target in fleet.targets.iter().filter(|target| !target.has_exited()) {
         target.register(&fleet.store, "push", "ready");
     }
     until(async || !fleet.store.keys("berylhook/quarantine/hold/").is_empty()).await;
     tokio::time::sleep(NEWS).await;
-    let again = fleet.send(1, "/unsafe/draft", "again", POISON).await;
+    let again = fleet.send(1, "/unsafe/draft", "again", POISON_BODY).await;
 
     assert_eq!((again.status, fleet.ended()), (503, ended));
 }
@@ -105,15 +107,16 @@
 async fn a_key_runs_once_although_the_claim_of_its_home_is_lost() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let copy = cluster.key_value.copy();
+    let copy = cluster.key_value.snapshot();
     let cut = Link::start(cluster.key_value.address()).await;
     let url = format!("http://{}", cut.address);
-    let former = cluster.agent_with_key_value("push-1", "guide-push", service.server.address, &url);
+    let former =
+        cluster.start_agent_with_key_value("push-1", "guide-push", service.server.address, &url);
     cluster
         .vms
         .add("push-1", former.address, "cairo-a", "guide-push");
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
     until_true("the first agent is home", || async {
         a_shard_of(&cluster.key_value, "push-1").is_some()
     })
@@ -123,15 +126,15 @@
     let key = fresh_key_of(shard);
     let (first, _) = attempt(&caller, entry.address, &key, "a").await;
 
-    cut.set(Fault::FreezeAll);
+    cut.set_fault(Fault::FreezeAll);
     cluster.key_value.restore(&copy);
-    let successor = cluster.agent("push-2", "guide-push", service.server.address);
+    let successor = cluster.start_agent("push-2", "guide-push", service.server.address);
     until_true("the successor is home", || async {
         home_of(&cluster.key_value, shard).as_deref() == Some("push-2")
     })
     .await;
-    let informed = cluster.entry("entry-2");
-    until_pushing(&informed).await;
+    let informed = cluster.start_entry("entry-2");
+    until_plain_service_ready(&informed).await;
     let (repeat, _) = attempt(&caller, informed.address, &key, "b").await;
     drop(successor);
 
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -23,9 +23,9 @@
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     let streams: Vec<_> = (0..8)
@@ -46,12 +46,12 @@
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
 
-    linked.link.set(Fault::FreezeOpen);
+    linked.link.set_fault(Fault::FreezeOpen);
 
     for stream in streams {
         let (prompt, answered) = stream.await.expect("the stream ends");
-        assert!(answered.is_whole, "{}", answered.body);
-        assert_eq!(answered.streamed_text(), Engine::answer(&prompt, 60));
+        assert!(answered.is_complete, "{}", answered.body);
+        assert_eq!(answered.streamed_text(), Engine::response_text(&prompt, 60));
     }
     assert!(entry.daemon.output().contains("resumed at event"));
     until_serving(&entry, "briefing-llm").await;
@@ -66,12 +66,12 @@
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
-    linked.link.set(Fault::FreezeAll);
+    linked.link.set_fault(Fault::FreezeAll);
     let caller = Caller::new(DESK_KEY);
     let sent = caller
         .complete(entry.address, "briefing-llm", "into the hole", 5, false)
@@ -97,9 +97,9 @@
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     let call = tokio::spawn(async move {
@@ -113,10 +113,10 @@
     })
     .await;
 
-    linked.link.set(Fault::FreezeOpen);
+    linked.link.set_fault(Fault::FreezeOpen);
     let answered = call.await.expect("the call ends");
 
     assert_eq!(answered.outcome, "done", "{}", answered.body);
     let text = answered.json()["choices"][0]["text"].clone();
-    assert_eq!(text, Engine::answer("again", 60));
+    assert_eq!(text, Engine::response_text("again", 60));
 }
--- a/crates/berylhook/tests/whole_answers.rs
+++ b/crates/berylhook/tests/whole_answers.rs
@@ -38,8 +38,8 @@
 async fn a_stream_survives_the_death_of_its_agent() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
-    let mut agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let mut agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
 
     for death in 1..=DEATHS {
         until_serving(&entry, "briefing-llm").await;
@@ -64,9 +64,9 @@
         agent.restart();
         let answered = call.await.expect("the call ends");
 
-        let expected = Engine::answer(&prompt, 150);
+        let expected = Engine::response_text(&prompt, 150);
         assert_eq!(engine.runs().len(), runs_before + 1);
-        if answered.is_whole {
+        if answered.is_complete {
             assert_eq!(answered.streamed_text(), expected);
             return;
         }
@@ -91,8 +91,8 @@
     let no_resume = catalogue().replace("resume = yes\n", "");
     store_catalogue(&cluster.key_value, &no_resume);
     let engine = Engine::start(EngineConfig::default()).await;
-    let _agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
     engine.cut_streams_after(Some(7));
@@ -102,8 +102,11 @@
         .await;
 
     assert_eq!(answered.status, 200);
-    assert!(!answered.is_whole, "{answered:?}");
-    assert_eq!(answered.streamed_text(), Engine::answer("cut off", 7));
+    assert!(!answered.is_complete, "{answered:?}");
+    assert_eq!(
+        answered.streamed_text(),
+        Engine::response_text("cut off", 7)
+    );
     assert!(answered.body.contains("answer_lost"), "{}", answered.body);
 }
 
@@ -117,9 +120,9 @@
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
 
     let callers: Vec<_> = (0..48)
@@ -134,12 +137,13 @@
                     let answered = caller
                         .complete(address, "briefing-llm", &prompt, 60, true)
                         .await;
-                    let expected = Engine::answer(&prompt, 60);
+                    let expected = Engine::response_text(&prompt, 60);
                     let text = answered.streamed_text();
-                    let is_right = text == expected || !answered.is_whole || answered.status != 200;
+                    let is_right =
+                        text == expected || !answered.is_complete || answered.status != 200;
                     if !is_right || !expected.starts_with(&text) {
                         wrong.push((prompt, answered));
-                    } else if answered.is_whole && answered.status == 200 {
+                    } else if answered.is_complete && answered.status == 200 {
                         whole += 1;
                     }
                 }
@@ -150,13 +154,13 @@
     for fault in [
         Fault::FreezeOpen,
         Fault::Cut,
-        Fault::FreezeAnswers,
+        Fault::FreezeResponses,
         Fault::FreezeAll,
     ] {
         tokio::time::sleep(Duration::from_millis(120)).await;
-        linked.link.set(fault);
+        linked.link.set_fault(fault);
         tokio::time::sleep(Duration::from_millis(300)).await;
-        linked.link.set(Fault::None);
+        linked.link.set_fault(Fault::None);
     }
     let mut wrong = Vec::new();
     let mut whole = 0;
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use berylhook_test_support::calls::{Answered, Caller};
+use berylhook_test_support::calls::{CallResult, Caller};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::task::JoinHandle;
@@ -93,7 +93,7 @@
     /// When its answer ended, or its caller left.
     pub ended_at: Instant,
     /// `None` if the caller left.
-    pub response: Option<Answered>,
+    pub response: Option<CallResult>,
 }
 
 impl Attempt {
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn is_served(&self) -> bool {
         let response = self.response.as_ref();
-        response.is_some_and(|it| it.status == 200 && it.is_whole)
+        response.is_some_and(|it| it.status == 200 && it.is_complete)
     }
 }
 
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_test_support::calls::Answered;
-use berylhook_test_support::{EVENTS, POISON};
+use berylhook_test_support::calls::CallResult;
+use berylhook_test_support::{EVENTS_PER_STREAM, POISON_BODY};
 use indexmap::IndexMap;
 
 use crate::callers::{Attempt, RequestedRoute};
@@ -92,9 +92,9 @@
     let (mut runs, mut ends) = (Vec::new(), Vec::new());
     for target in world.all_targets() {
         let own = target.stand_in.runs();
-        let guilty = own.iter().filter(|run| run.body == POISON);
+        let guilty = own.iter().filter(|run| run.body == POISON_BODY);
         runs.extend(guilty.map(|run| run.began));
-        ends.extend(target.stand_in.ended_under_poison());
+        ends.extend(target.stand_in.exited_on_poison());
     }
     ends.sort();
     (runs, ends)
@@ -125,10 +125,10 @@
 fn answered_wrongly(attempt: &Attempt) -> Option<&'static str> {
     let response = attempt.response.as_ref().filter(|it| it.status == 200)?;
     match attempt.route {
-        _ if !response.is_marked => Some("was answered without a target's mark"),
+        _ if !response.has_seal => Some("was answered without a target's mark"),
         _ if response.attempt_id.as_deref() != Some(&attempt.id) => Some("got another's answer"),
         RequestedRoute::Kind(kind) if kind.is_stream() => stream_fault(attempt, response),
-        _ if response.is_whole && !response.body.contains(&attempt.id) => {
+        _ if response.is_complete && !response.body.contains(&attempt.id) => {
             Some("got another's body")
         }
         _ => None,
@@ -136,13 +136,13 @@
 }
 
 /// Events come in order from the first on; a whole stream has all of them.
-fn stream_fault(attempt: &Attempt, response: &Answered) -> Option<&'static str> {
+fn stream_fault(attempt: &Attempt, response: &CallResult) -> Option<&'static str> {
     let data = response.body.lines();
     let data: Vec<&str> = data
         .filter_map(|line| line.strip_prefix("data: "))
         .collect();
     // The last event of a stream that was cut may be cut too.
-    let complete = if response.is_whole {
+    let complete = if response.is_complete {
         data.len()
     } else {
         data.len().saturating_sub(1)
@@ -152,9 +152,11 @@
         .iter()
         .enumerate()
         .all(|(index, data)| *data == expected(index));
-    match response.is_whole {
+    match response.is_complete {
         _ if !in_order => Some("got events out of order, or another's"),
-        true if data.len() as u64 != EVENTS => Some("got a whole stream that lacks events"),
+        true if data.len() as u64 != EVENTS_PER_STREAM => {
+            Some("got a whole stream that lacks events")
+        }
         _ => None,
     }
 }
@@ -185,7 +187,7 @@
         .sent_at
         .checked_sub(CALM_BEFORE)
         .unwrap_or(attempt.sent_at);
-    let is_cut = response.status == 0 || (response.status == 200 && !response.is_whole);
+    let is_cut = response.status == 0 || (response.status == 200 && !response.is_complete);
     let is_undisturbed = (evidence.is_undisturbed)(from, attempt.ended_at);
     (is_cut && ran > 0 && is_undisturbed).then_some("was cut off by a planned change")
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use berylhook_test_support::calls::Caller;
-use berylhook_test_support::{Behaviour, EXPERTS, Fault, Outage, POISON, Signal};
+use berylhook_test_support::{Behaviour, EXPERT_COUNT, Fault, Outage, POISON_BODY, Signal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::task::JoinSet;
@@ -64,17 +64,17 @@
     Fault::Cut,
     Fault::FreezeOpen,
     Fault::FreezeAll,
-    Fault::FreezeAnswers,
+    Fault::FreezeResponses,
     Fault::Delay,
 ];
 
 const BEHAVIOURS: [Behaviour; 7] = [
-    Behaviour::SaysNotRun,
-    Behaviour::RefusesWithoutWord,
-    Behaviour::LosesAnswers,
-    Behaviour::AnswersAnother,
-    Behaviour::AnswersUnmarked,
-    Behaviour::BreaksAfter(3),
+    Behaviour::RejectsAsNotExecuted,
+    Behaviour::RejectsWithoutReason,
+    Behaviour::DropsResponses,
+    Behaviour::RespondsWithWrongAttemptId,
+    Behaviour::RespondsWithoutSeal,
+    Behaviour::CutsStreamAfter(3),
     Behaviour::Hangs,
 ];
 
@@ -98,7 +98,7 @@
             15 | 16 => Self::ChangeConfiguration,
             17 => Self::KillAgent(which),
             18 => Self::PauseAgent(which),
-            _ => Self::Shift(which % EXPERTS),
+            _ => Self::Shift(which % EXPERT_COUNT),
         }
     }
 
@@ -133,19 +133,19 @@
                 sleep(time).await;
                 world.store.set_outage(Outage::None);
             }
-            Self::StoreLosesAnswers(count) => world.store.lose_answers(count),
+            Self::StoreLosesAnswers(count) => world.store.lose_responses(count),
             Self::StoreLink(index, fault) => {
-                entry(index).store_link.set(fault);
+                entry(index).store_link.set_fault(fault);
                 sleep(time).await;
-                entry(index).store_link.set(Fault::None);
+                entry(index).store_link.set_fault(Fault::None);
             }
             Self::TargetLink(index, fault) => {
                 let Some(target) = world.target(index) else {
                     return;
                 };
-                target.link.set(fault);
+                target.link.set_fault(fault);
                 sleep(time).await;
-                target.link.set(Fault::None);
+                target.link.set_fault(Fault::None);
             }
             Self::TargetBehaves(index, behaviour) => {
                 let Some(target) = world.target(index) else {
@@ -153,7 +153,7 @@
                 };
                 target.stand_in.set_behaviour(behaviour);
                 sleep(time).await;
-                target.stand_in.set_behaviour(Behaviour::EndsUnderPoison);
+                target.stand_in.set_behaviour(Behaviour::ExitsOnPoison);
             }
             Self::ReplaceTarget(index) => replace_target(&world, index).await,
             Self::ChangeConfiguration => world.change_configuration(),
@@ -163,7 +163,7 @@
                 sleep(time).await;
                 agent(index).signal(Signal::Continue);
             }
-            Self::Shift(expert) => world.group.shift_to(expert),
+            Self::Shift(expert) => world.group.set_hot_expert(expert),
         }
     }
 }
@@ -238,7 +238,7 @@
             ("berylhook-deadline-ms", "2000"),
         ];
         let caller = Caller::new(KEY);
-        let sent = caller.post(entry.callers, "/unsafe/", POISON, &headers);
+        let sent = caller.post(entry.callers, "/unsafe/", POISON_BODY, &headers);
         // What the caller is told does not matter here.
         let _ = timeout(patience, sent).await;
     }
@@ -262,17 +262,17 @@
 /// Ends whatever overlapping faults may have left behind.
 pub(crate) async fn end_all(world: &Arc<World>) {
     world.store.set_outage(Outage::None);
-    world.store.lose_answers(0);
+    world.store.lose_responses(0);
     for entry in &world.entries {
         entry.slot.signal(Signal::Continue);
-        entry.store_link.set(Fault::None);
+        entry.store_link.set_fault(Fault::None);
     }
     for agent in &world.agents {
         agent.signal(Signal::Continue);
     }
     for target in world.all_targets() {
-        target.link.set(Fault::None);
-        target.stand_in.set_behaviour(Behaviour::EndsUnderPoison);
+        target.link.set_fault(Fault::None);
+        target.stand_in.set_behaviour(Behaviour::ExitsOnPoison);
     }
     // A process that was told to stop while it was paused ends only now.
     sleep(Duration::from_millis(300)).await;
--- a/crates/soak/src/pressure.rs
+++ b/crates/soak/src/pressure.rs
@@ -86,13 +86,13 @@
             (LIMIT_BINDS_AFTER, LIMIT_PER_S * LIMIT_BINDS_S * 3 / 2 + 5)
         }
         Pressure::Rest => {
-            stand_in.set_rest(Some(&REST.as_secs().to_string()));
+            stand_in.set_backoff(Some(&REST.as_secs().to_string()));
             sleep(REST).await;
-            stand_in.set_rest(None);
+            stand_in.set_backoff(None);
             (ON_ITS_WAY, IN_REST * world.entries.len())
         }
         Pressure::Leaving => {
-            stand_in.leave();
+            stand_in.announce_leaving();
             sleep(LEAVING_LASTS).await;
             (ON_ITS_WAY, IN_REST * world.entries.len())
         }
--- a/crates/soak/src/restores.rs
+++ b/crates/soak/src/restores.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use berylhook_test_support::{Outage, StoreCopy};
+use berylhook_test_support::{Outage, StoreSnapshot};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
@@ -41,7 +41,7 @@
     let began = Instant::now();
     while began.elapsed() < length {
         sleep(COPY_EVERY).await;
-        copies.push_back(world.store.copy());
+        copies.push_back(world.store.snapshot());
         if copies.len() > COPIES {
             copies.pop_front();
         }
@@ -58,7 +58,7 @@
     world.drop_lapsed();
 }
 
-async fn restore(world: &Arc<World>, copy: &StoreCopy, random: &mut StdRng) {
+async fn restore(world: &Arc<World>, copy: &StoreSnapshot, random: &mut StdRng) {
     world.store.set_outage(Outage::Refusing);
     sleep(Duration::from_millis(random.random_range(AWAY_MS))).await;
     world.store.restore(copy);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -8,7 +8,7 @@
 
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::{
-    Behaviour, Daemon, EXPERTS, KeyValueStandIn, Link, PlatformGroup, PlatformTarget, Signal,
+    Behaviour, Daemon, EXPERT_COUNT, KeyValueStandIn, Link, PlatformGroup, PlatformTarget, Signal,
     free_address,
 };
 use serde_json::{Value, json};
@@ -99,7 +99,7 @@
 
     /// Starts the process again if it has ended; says so if nobody had it end.
     async fn supervise(&self, world: &World) {
-        let has_ended = self.daemon.lock().expect("no holder panics").has_ended();
+        let has_ended = self.daemon.lock().expect("no holder panics").has_exited();
         if !has_ended {
             return;
         }
@@ -226,7 +226,7 @@
         let number = self.incarnations.fetch_add(1, Ordering::SeqCst);
         let stand_in = PlatformTarget::start(&format!("i-{number}")).await;
         let link = Link::start(stand_in.address()).await;
-        stand_in.set_behaviour(Behaviour::EndsUnderPoison);
+        stand_in.set_behaviour(Behaviour::ExitsOnPoison);
         let target = Target {
             stand_in,
             link,
@@ -265,7 +265,7 @@
     async fn replace_ended(&self) {
         let ended: Vec<Arc<Target>> = {
             let targets = lock(&self.targets);
-            let ended = targets.iter().filter(|it| it.stand_in.has_ended());
+            let ended = targets.iter().filter(|it| it.stand_in.has_exited());
             ended.cloned().collect()
         };
         for target in ended {
@@ -406,12 +406,12 @@
     async fn check_map(&self, time: Duration) {
         let holders = |favourite: usize| {
             let expert = u16::try_from(favourite).expect("few experts");
-            self.group.holders_of(expert)
+            self.group.replicas_of(expert)
         };
-        let Some(favourite) = (0..EXPERTS).find(|favourite| holders(*favourite) == 1) else {
+        let Some(favourite) = (0..EXPERT_COUNT).find(|favourite| holders(*favourite) == 1) else {
             return self.note_broken("every expert stands on two ranks".to_owned());
         };
-        self.group.shift_to(favourite);
+        self.group.set_hot_expert(favourite);
         let began = Instant::now();
         while holders(favourite) < 2 {
             if began.elapsed() > time {
@@ -522,7 +522,7 @@
                 "slots": 12, "stride": 4, "step_ms": 4.55, "per_seq_ms": 0.9,
                 "context_per_k": 0.02, "read_per_s": 61_400.0,
                 "usual": {"prompt": 800, "answer": 100},
-                "sets": 1, "experts": EXPERTS, "placements": 6, "spare": 2,
+                "sets": 1, "experts": EXPERT_COUNT, "placements": 6, "spare": 2,
                 "expert-mb": 2_500.0, "link-mbps": 180_000.0,
             }},
         ],
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -5,29 +5,29 @@
 
 use berylhook_soak::callers::{Attempt, REQUEST_KINDS, RequestedRoute};
 use berylhook_soak::checks::{Observations, violations};
-use berylhook_test_support::EVENTS;
-use berylhook_test_support::calls::Answered;
+use berylhook_test_support::EVENTS_PER_STREAM;
+use berylhook_test_support::calls::CallResult;
 use indexmap::IndexMap;
 
 const SAFE: usize = 0;
 const UNSAFE: usize = 1;
 const STREAM: usize = 2;
 
-fn response(status: u16, body: &str) -> Answered {
-    Answered {
+fn response(status: u16, body: &str) -> CallResult {
+    CallResult {
         status,
         outcome: String::new(),
         retry_after: None,
         attempt_id: Some("a-1".to_owned()),
-        is_marked: status == 200,
+        has_seal: status == 200,
         body: body.to_owned(),
-        is_whole: status != 0,
-        first_byte: Duration::ZERO,
+        is_complete: status != 0,
+        time_to_first_byte: Duration::ZERO,
         took: Duration::ZERO,
     }
 }
 
-fn attempt(kind: usize, response: Answered) -> Attempt {
+fn attempt(kind: usize, response: CallResult) -> Attempt {
     let sent_at = Instant::now();
     Attempt {
         id: "a-1".to_owned(),
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_sound_history_shows_nothing() {
-    let whole = events(1..=EVENTS);
+    let whole = events(1..=EVENTS_PER_STREAM);
     let history = [
         (SAFE, response(200, "{\"served\":\"a-1\"}")),
         (UNSAFE, response(200, "{\"served\":\"a-1\"}")),
@@ -92,7 +92,7 @@
 #[test]
 fn answers_that_must_not_be_are_found() {
     let mut unmarked = response(200, "{\"served\":\"a-1\"}");
-    unmarked.is_marked = false;
+    unmarked.has_seal = false;
     assert_found(attempt(SAFE, unmarked), 1, "was answered without");
     let mut of_another = response(200, "{\"served\":\"a-1\"}");
     of_another.attempt_id = Some("a-2".to_owned());
@@ -108,8 +108,8 @@
 
 #[test]
 fn streams_that_must_not_be_are_found() {
-    let doubled = events([1, 2, 2].into_iter().chain(3..=EVENTS));
-    let lacking = events(1..EVENTS);
+    let doubled = events([1, 2, 2].into_iter().chain(3..=EVENTS_PER_STREAM));
+    let lacking = events(1..EVENTS_PER_STREAM);
     assert_found(
         attempt(STREAM, response(200, &doubled)),
         1,
@@ -121,7 +121,7 @@
 #[test]
 fn an_answer_that_is_cut_counts_only_where_nothing_else_was_wrong() {
     let mut cut = response(200, &events(1..4));
-    cut.is_whole = false;
+    cut.is_complete = false;
 
     assert_found(attempt(STREAM, cut.clone()), 1, "was cut off");
     assert_eq!(
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_caller_that_is_held_back_for_minutes_is_found() {
-    let held = Answered {
+    let held = CallResult {
         retry_after: Some("299.500".to_owned()),
         ..response(503, "")
     };
--- a/crates/test-support/examples/failed_vm.rs
+++ b/crates/test-support/examples/failed_vm.rs
@@ -7,8 +7,10 @@
 use std::time::{Duration, Instant};
 
 use berylhook_test_support::calls::Caller;
-use berylhook_test_support::cluster::{Cluster, DESK_KEY, until, until_pushing, until_serving};
-use berylhook_test_support::history::Told;
+use berylhook_test_support::cluster::{
+    Cluster, DESK_KEY, until, until_plain_service_ready, until_serving,
+};
+use berylhook_test_support::history::ReportedOutcome;
 use berylhook_test_support::{Engine, EngineConfig, Fault, PlainService, Signal};
 
 const EVERY: Duration = Duration::from_millis(5);
@@ -31,9 +33,9 @@
     cluster.agent_settings = format!("lease_ttl_s = {LEASE_TTL_S}\n");
     let service = PlainService::start().await;
     let agents = ["push-1", "push-2", "push-3"]
-        .map(|name| cluster.agent(name, "guide-push", service.server.address));
-    let entry = cluster.entry("entry-1");
-    until_pushing(&entry).await;
+        .map(|name| cluster.start_agent(name, "guide-push", service.server.address));
+    let entry = cluster.start_entry("entry-1");
+    until_plain_service_ready(&entry).await;
     until("the shards are spread", || async {
         let homes = cluster.key_value.keys("berylhook/homes/guide-push/");
         homes.iter().filter(|key| key.ends_with("/home")).count() == 16
@@ -69,10 +71,10 @@
             counted.took.push(answered.took);
             continue;
         }
-        match Told::of(&answered) {
-            Told::Done => counted.done += 1,
-            Told::NotRun => counted.not_run += 1,
-            Told::Unknown => counted.unknown += 1,
+        match ReportedOutcome::of(&answered) {
+            ReportedOutcome::Done => counted.done += 1,
+            ReportedOutcome::NotRun => counted.not_run += 1,
+            ReportedOutcome::Unknown => counted.unknown += 1,
         }
         if answered.outcome != "done" {
             counted.last_bad = counted.last_bad.max(sent - failed_at);
@@ -103,9 +105,9 @@
     })
     .await;
     let linked = cluster
-        .linked_agent("target-1", "briefing-llm", engine.server.address)
+        .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
-    let entry = cluster.entry("entry-1");
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     for (what, fault) in [
         ("open connections frozen", Fault::FreezeOpen),
@@ -124,13 +126,13 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        linked.link.set(fault);
+        linked.link.set_fault(fault);
         let since = Instant::now();
         let mut done = 0;
         let mut longest = Duration::ZERO;
         for call in calls {
             let answered = call.await.expect("the call ends");
-            if answered.outcome == "done" && answered.is_whole {
+            if answered.outcome == "done" && answered.is_complete {
                 done += 1;
             } else {
                 longest = longest.max(since.elapsed());
@@ -141,7 +143,7 @@
             longest.as_secs_f64(),
             since.elapsed().as_secs_f64()
         );
-        linked.link.set(Fault::None);
+        linked.link.set_fault(Fault::None);
         until_serving(&entry, "briefing-llm").await;
     }
 }
--- a/crates/test-support/examples/load.rs
+++ b/crates/test-support/examples/load.rs
@@ -91,8 +91,8 @@
                 let answered = caller
                     .complete(address, "briefing-llm", "x", STREAM_TOKENS, true)
                     .await;
-                assert!(answered.is_whole, "{}", answered.body);
-                answered.first_byte
+                assert!(answered.is_complete, "{}", answered.body);
+                answered.time_to_first_byte
             })
         })
         .collect();
@@ -140,8 +140,8 @@
         report_lag: Duration::from_millis(100),
     })
     .await;
-    let agent = cluster.agent("target-1", "briefing-llm", engine.server.address);
-    let entry = cluster.entry("entry-1");
+    let agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
+    let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     println!(
         "idle: entry {} kB, agent {} kB resident",
--- a/crates/test-support/examples/quickstart.rs
+++ b/crates/test-support/examples/quickstart.rs
@@ -7,9 +7,10 @@
 //! With `--serve` it stays up for curl until Ctrl-C.
 
 use anyhow::{Result, ensure};
-use berylhook_test_support::calls::{Answered, Caller};
+use berylhook_test_support::calls::{CallResult, Caller};
 use berylhook_test_support::cluster::{
-    AgentProcess, Cluster, DESK_KEY, EntryProcess, catalogue, until_pushing, until_serving,
+    AgentProcess, Cluster, DESK_KEY, EntryProcess, catalogue, until_plain_service_ready,
+    until_serving,
 };
 use berylhook_test_support::command::{TemporaryFile, berylhook};
 use berylhook_test_support::{Engine, EngineConfig, PlainService};
@@ -37,14 +38,17 @@
     ];
     let service = PlainService::start().await;
     let agents = vec![
-        cluster.agent("target-1", "briefing-llm", engines[0].server.address),
-        cluster.agent("target-2", "briefing-llm", engines[1].server.address),
-        cluster.agent("push-1", "guide-push", service.server.address),
+        cluster.start_agent("target-1", "briefing-llm", engines[0].server.address),
+        cluster.start_agent("target-2", "briefing-llm", engines[1].server.address),
+        cluster.start_agent("push-1", "guide-push", service.server.address),
+    ];
+    let entries = vec![
+        cluster.start_entry("entry-1"),
+        cluster.start_entry("entry-2"),
     ];
-    let entries = vec![cluster.entry("entry-1"), cluster.entry("entry-2")];
     for entry in &entries {
         until_serving(entry, "briefing-llm").await;
-        until_pushing(entry).await;
+        until_plain_service_ready(entry).await;
     }
     Ok(Running {
         cluster,
@@ -55,12 +59,12 @@
     })
 }
 
-fn show(what: &str, answered: &Answered) {
+fn show(what: &str, answered: &CallResult) {
     println!(
         "\n{what}: status {}, outcome {}, whole {}\n{}",
         answered.status,
         answered.outcome,
-        answered.is_whole,
+        answered.is_complete,
         answered.body.trim_end()
     );
 }
@@ -73,7 +77,7 @@
         .complete(first, "briefing-llm", "river conditions", 5, true)
         .await;
     show("a streamed briefing", &stream);
-    ensure!(stream.is_whole && stream.outcome == "done");
+    ensure!(stream.is_complete && stream.outcome == "done");
     let key = uuid::Uuid::now_v7().to_string();
     let headers = [("idempotency-key", key.as_str())];
     let path = "/guide-push/confirm";
--- a/crates/test-support/examples/slopes.rs
+++ b/crates/test-support/examples/slopes.rs
@@ -60,10 +60,10 @@
         let agents: Vec<_> = (0..count)
             .map(|number| {
                 let name = format!("target-{number}");
-                cluster.agent(&name, "briefing-llm", engine.server.address)
+                cluster.start_agent(&name, "briefing-llm", engine.server.address)
             })
             .collect();
-        let entry = cluster.entry("entry-1");
+        let entry = cluster.start_entry("entry-1");
         until_serving(&entry, "briefing-llm").await;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let before = entry.daemon.cpu_ms();
--- a/crates/test-support/examples/spread.rs
+++ b/crates/test-support/examples/spread.rs
@@ -61,7 +61,7 @@
 async fn measure(count: usize) {
     let cluster = Cluster::start().await;
     let entries: Vec<_> = (0..count)
-        .map(|number| cluster.entry(&format!("entry-{number:03}")))
+        .map(|number| cluster.start_entry(&format!("entry-{number:03}")))
         .collect();
     for entry in &entries {
         until_ready(entry).await;
--- a/crates/test-support/src/calls.rs
+++ b/crates/test-support/src/calls.rs
@@ -20,7 +20,7 @@
 
 /// What came back.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct CallResult {
     /// HTTP status; 0 if there was no answer at all.
     pub status: u16,
     /// The outcome header.
@@ -30,18 +30,18 @@
     /// The attempt that the answer says it belongs to.
     pub attempt_id: Option<String>,
     /// Whether it bears a target's mark.
-    pub is_marked: bool,
+    pub has_seal: bool,
     /// What came of the body.
     pub body: String,
     /// Whether the body ended properly.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Time to the first byte of the body.
-    pub first_byte: Duration,
+    pub time_to_first_byte: Duration,
     /// Time to the end.
     pub took: Duration,
 }
 
-impl Answered {
+impl CallResult {
     /// The body as JSON.
     #[must_use]
     pub fn json(&self) -> Value {
@@ -65,10 +65,10 @@
             outcome: String::new(),
             retry_after: None,
             attempt_id: None,
-            is_marked: false,
+            has_seal: false,
             body: String::new(),
-            is_whole: false,
-            first_byte: began.elapsed(),
+            is_complete: false,
+            time_to_first_byte: began.elapsed(),
             took: began.elapsed(),
         }
     }
@@ -95,7 +95,7 @@
         prompt: &str,
         tokens: usize,
         stream: bool,
-    ) -> Answered {
+    ) -> CallResult {
         let body = serde_json::json!({
             "model": model,
             "prompt": prompt,
@@ -113,7 +113,7 @@
         path: &str,
         body: &str,
         headers: &[(&str, &str)],
-    ) -> Answered {
+    ) -> CallResult {
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{entry}{path}"))
@@ -130,7 +130,7 @@
     }
 
     /// Gets a path.
-    pub async fn get(&self, entry: SocketAddr, path: &str) -> Answered {
+    pub async fn get(&self, entry: SocketAddr, path: &str) -> CallResult {
         let request = Request::builder()
             .uri(format!("http://{entry}{path}"))
             .header("authorization", format!("Bearer {}", self.bearer))
@@ -139,32 +139,32 @@
         self.send(request).await
     }
 
-    async fn send(&self, request: Request<Full<Bytes>>) -> Answered {
+    async fn send(&self, request: Request<Full<Bytes>>) -> CallResult {
         let began = Instant::now();
         let Ok(response) = self.client.request(request).await else {
-            return Answered::none(began);
+            return CallResult::none(began);
         };
         let header = |name: &str| {
             let value = response.headers().get(name)?;
             value.to_str().ok().map(str::to_owned)
         };
-        let mut answered = Answered {
+        let mut answered = CallResult {
             status: response.status().as_u16(),
             outcome: header("berylhook-outcome").unwrap_or_default(),
             retry_after: header("retry-after"),
             attempt_id: header("berylhook-attempt-id"),
-            is_marked: header("berylhook-response-seal").is_some(),
-            ..Answered::none(began)
+            has_seal: header("berylhook-response-seal").is_some(),
+            ..CallResult::none(began)
         };
         let mut body = response.into_body();
         let mut received = BytesMut::new();
-        answered.is_whole = loop {
+        answered.is_complete = loop {
             match body.frame().await {
                 None => break true,
                 Some(Err(_)) => break false,
                 Some(Ok(frame)) => {
                     if received.is_empty() {
-                        answered.first_byte = began.elapsed();
+                        answered.time_to_first_byte = began.elapsed();
                     }
                     if let Ok(data) = frame.into_data() {
                         received.extend_from_slice(&data);
--- a/crates/test-support/src/cluster.rs
+++ b/crates/test-support/src/cluster.rs
@@ -159,8 +159,8 @@
     ///
     /// If the binary has not been built.
     #[must_use]
-    pub fn entry(&self, name: &str) -> EntryProcess {
-        self.entry_with_list(name, &self.vms)
+    pub fn start_entry(&self, name: &str) -> EntryProcess {
+        self.start_entry_with_list(name, &self.vms)
     }
 
     /// Starts an entry that reads another list of VMs, and lists it in both.
@@ -169,7 +169,7 @@
     ///
     /// If the binary has not been built.
     #[must_use]
-    pub fn entry_with_list(&self, name: &str, vms: &VmListStandIn) -> EntryProcess {
+    pub fn start_entry_with_list(&self, name: &str, vms: &VmListStandIn) -> EntryProcess {
         let address = free_address();
         let digest_address = free_address();
         let settings = format!(
@@ -191,15 +191,20 @@
 
     /// Starts an agent beside `target` and lists it.
     #[must_use]
-    pub fn agent(&self, name: &str, service: &str, target: SocketAddr) -> AgentProcess {
-        let agent = self.unlisted_agent(name, service, target);
+    pub fn start_agent(&self, name: &str, service: &str, target: SocketAddr) -> AgentProcess {
+        let agent = self.start_unlisted_agent(name, service, target);
         self.vms.add(name, agent.address, "cairo-a", service);
         agent
     }
 
     /// Starts an agent beside `target` and lists a link in front of it.
-    pub async fn linked_agent(&self, name: &str, service: &str, target: SocketAddr) -> LinkedAgent {
-        let agent = self.unlisted_agent(name, service, target);
+    pub async fn start_linked_agent(
+        &self,
+        name: &str,
+        service: &str,
+        target: SocketAddr,
+    ) -> LinkedAgent {
+        let agent = self.start_unlisted_agent(name, service, target);
         let link = Link::start(agent.address).await;
         self.vms.add(name, link.address, "cairo-a", service);
         LinkedAgent { agent, link }
@@ -211,8 +216,13 @@
     ///
     /// If the binary has not been built.
     #[must_use]
-    pub fn unlisted_agent(&self, name: &str, service: &str, target: SocketAddr) -> AgentProcess {
-        self.agent_with_key_value(name, service, target, &self.key_value.url())
+    pub fn start_unlisted_agent(
+        &self,
+        name: &str,
+        service: &str,
+        target: SocketAddr,
+    ) -> AgentProcess {
+        self.start_agent_with_key_value(name, service, target, &self.key_value.url())
     }
 
     /// Starts an agent that reaches the key-value service at `key_value`.
@@ -221,7 +231,7 @@
     ///
     /// If the binary has not been built.
     #[must_use]
-    pub fn agent_with_key_value(
+    pub fn start_agent_with_key_value(
         &self,
         name: &str,
         service: &str,
@@ -292,7 +302,7 @@
 }
 
 /// Waits until an entry serves calls that must not be repeated.
-pub async fn until_pushing(entry: &EntryProcess) {
+pub async fn until_plain_service_ready(entry: &EntryProcess) {
     let caller = Caller::new(DESK_KEY);
     until("the plain service answers", || async {
         let answered = caller
--- a/crates/test-support/src/command.rs
+++ b/crates/test-support/src/command.rs
@@ -8,7 +8,7 @@
 
 /// What a command did.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandOutput {
     /// Its exit code.
     pub code: i32,
     /// What it printed.
@@ -19,13 +19,13 @@
 
 /// Runs `berylhook` with these arguments.
 #[must_use]
-pub fn berylhook(arguments: &[&str]) -> Ran {
+pub fn berylhook(arguments: &[&str]) -> CommandOutput {
     let path = binary("berylhook").expect("the binary is built");
     let output = Command::new(path)
         .args(arguments)
         .output()
         .expect("the binary runs");
-    Ran {
+    CommandOutput {
         code: output.status.code().unwrap_or(-1),
         stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
         stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -30,7 +30,7 @@
     child: Child,
     settings: PathBuf,
     /// Where its output goes.
-    pub log: PathBuf,
+    pub log_path: PathBuf,
 }
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -47,9 +47,9 @@
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
         let stem = format!("berylhook-test-{}-{number}", std::process::id());
         let settings_path = std::env::temp_dir().join(format!("{stem}.ini"));
-        let log = std::env::temp_dir().join(format!("{stem}.log"));
+        let log_path = std::env::temp_dir().join(format!("{stem}.log"));
         fs::write(&settings_path, settings).context("the settings file cannot be written")?;
-        let output = fs::File::create(&log).context("the log file cannot be made")?;
+        let output = fs::File::create(&log_path).context("the log file cannot be made")?;
         let child = Command::new(path)
             .args(arguments)
             .arg(&settings_path)
@@ -61,7 +61,7 @@
         Ok(Self {
             child,
             settings: settings_path,
-            log,
+            log_path,
         })
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -112,7 +112,7 @@
     /// What it has printed so far.
     #[must_use]
     pub fn output(&self) -> String {
-        fs::read_to_string(&self.log).unwrap_or_default()
+        fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
     /// Peak or current resident memory in kB, as the kernel counts it.
@@ -150,7 +150,7 @@
         self.kill();
         let _ = fs::remove_file(&self.settings);
         if !std::thread::panicking() {
-            let _ = fs::remove_file(&self.log);
+            let _ = fs::remove_file(&self.log_path);
         }
     }
 }
--- a/crates/test-support/src/engine.rs
+++ b/crates/test-support/src/engine.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 
 use crate::daemon::free_address;
-use crate::http::{self, NoAnswer, Response, Server};
+use crate::http::{self, NoResponse, Response, Server};
 
 /// How an engine behaves.
 #[derive(Clone, Copy, Debug)]
@@ -115,7 +115,7 @@
 
     /// The text of token `index` of the answer to `prompt`.
     #[must_use]
-    pub fn token(prompt: &str, index: usize) -> String {
+    pub fn token_text(prompt: &str, index: usize) -> String {
         let sum = prompt
             .bytes()
             .fold(17u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte));
@@ -127,15 +127,15 @@
 
     /// The whole answer to `prompt`.
     #[must_use]
-    pub fn answer(prompt: &str, tokens: usize) -> String {
+    pub fn response_text(prompt: &str, tokens: usize) -> String {
         (0..tokens)
-            .map(|index| Self::token(prompt, index))
+            .map(|index| Self::token_text(prompt, index))
             .collect()
     }
 }
 
 impl Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoAnswer> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         if self.unhealthy.load(Ordering::SeqCst) {
@@ -168,7 +168,7 @@
         reports[0].1.clone()
     }
 
-    async fn complete(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoAnswer> {
+    async fn complete(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let id = header(&request, "x-request-id");
         let stream_id = header(&request, "x-stream-id");
         let question: Value =
@@ -219,7 +219,7 @@
         let mut tokens = generation.tokens.clone();
         let total = generation.total;
         let _ = tokens.wait_for(|done| *done >= total).await;
-        let text = Engine::answer(&generation.prompt, total);
+        let text = Engine::response_text(&generation.prompt, total);
         let body = json!({
             "object": "chat.completion",
             "choices": [{
@@ -255,11 +255,11 @@
             let mut tokens = generation.tokens.clone();
             for index in from..generation.total {
                 if tokens.wait_for(|done| *done > index).await.is_err() {
-                    let _ = sender.send(Err(NoAnswer)).await;
+                    let _ = sender.send(Err(NoResponse)).await;
                     return;
                 }
                 if index as u64 >= cut_after {
-                    let _ = sender.send(Err(NoAnswer)).await;
+                    let _ = sender.send(Err(NoResponse)).await;
                     return;
                 }
                 let event = event(&generation.prompt, index);
@@ -276,7 +276,7 @@
 }
 
 fn event(prompt: &str, index: usize) -> Bytes {
-    let token = Engine::token(prompt, index);
+    let token = Engine::token_text(prompt, index);
     let body = json!({
         "object": "chat.completion.chunk",
         "choices": [{"index": 0, "text": token, "delta": {"content": token}}],
--- a/crates/test-support/src/group_model.rs
+++ b/crates/test-support/src/group_model.rs
@@ -47,66 +47,66 @@
     pub data_centres: usize,
     /// An entry's traffic at a virtual second as a part of the busiest one's; 0 while
     /// it is restarted and callers go to the others.
-    pub weight: fn(usize, u64) -> f64,
+    pub entry_weight: fn(usize, u64) -> f64,
     /// Whether entries know each other.
-    pub know_each_other: bool,
+    pub is_membership_shared: bool,
     /// Requests a second over all entries, by the virtual second.
     pub arrivals_per_s: fn(u64) -> f64,
     /// Skew of the map, by the virtual millisecond.
     pub skew: fn(u64) -> f64,
     /// Whether engines tell their load with their answers.
-    pub tells_load: bool,
+    pub reports_load: bool,
     /// Time to the first event that callers find acceptable.
-    pub goal_ms: u64,
+    pub objective_ms: u64,
     /// Pause between events that callers find acceptable.
-    pub pause_goal_ms: f64,
+    pub pause_objective_ms: f64,
     /// Length of the play.
-    pub length_ms: u64,
+    pub duration_ms: u64,
     /// Seed of all that is random.
     pub seed: u64,
 }
 
 /// How requests ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OutcomeCounts {
     /// Answered in time and without a long pause.
-    pub in_goal: u64,
+    pub within_objective: u64,
     /// Answered late.
     pub late: u64,
     /// Refused, for the second time.
     pub refused: u64,
     /// Left by their callers.
-    pub left: u64,
+    pub abandoned: u64,
     /// Sent to a rank whose slots were taken, whatever came of them.
     pub queued: u64,
     /// Sent to another data centre.
-    pub far: u64,
+    pub cross_data_centre: u64,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// Requests that ended.
     #[must_use]
     pub fn total(&self) -> u64 {
-        self.in_goal + self.late + self.refused + self.left
+        self.within_objective + self.late + self.refused + self.abandoned
     }
 
     /// Part of the requests that were answered in goal.
     #[must_use]
     #[allow(clippy::cast_precision_loss)] // some thousands
-    pub fn in_goal_part(&self) -> f64 {
-        self.in_goal as f64 / self.total().max(1) as f64
+    pub fn within_objective_fraction(&self) -> f64 {
+        self.within_objective as f64 / self.total().max(1) as f64
     }
 }
 
-impl Sum for Tally {
+impl Sum for OutcomeCounts {
     fn sum<I: Iterator<Item = Self>>(tallies: I) -> Self {
         tallies.fold(Self::default(), |sum, tally| Self {
-            in_goal: sum.in_goal + tally.in_goal,
+            within_objective: sum.within_objective + tally.within_objective,
             late: sum.late + tally.late,
             refused: sum.refused + tally.refused,
-            left: sum.left + tally.left,
+            abandoned: sum.abandoned + tally.abandoned,
             queued: sum.queued + tally.queued,
-            far: sum.far + tally.far,
+            cross_data_centre: sum.cross_data_centre + tally.cross_data_centre,
         })
     }
 }
@@ -161,18 +161,18 @@
     /// Refused callers, by the time at which they come back.
     back: Vec<(u64, Request)>,
     next_ticket: u64,
-    tally: Tally,
+    tally: OutcomeCounts,
 }
 
 /// Plays a scenario to its end.
 #[must_use]
-pub fn play(scenario: &Scenario) -> Tally {
+pub fn simulate(scenario: &Scenario) -> OutcomeCounts {
     let targets: Vec<Target> = (0..scenario.ranks)
         .map(|rank| target(scenario, rank))
         .collect();
     let entry = |index| {
         let all = (0..scenario.entries).map(|other| member(scenario, other, None));
-        let others = all.filter(|_| scenario.know_each_other);
+        let others = all.filter(|_| scenario.is_membership_shared);
         let known = Membership::new(member(scenario, index, None), others);
         let mut dispatcher = Dispatcher::new(known, Some(&scenario.engine));
         dispatcher.set_targets(targets.iter());
@@ -192,7 +192,7 @@
         targets,
         back: Vec::new(),
         next_ticket: 0,
-        tally: Tally::default(),
+        tally: OutcomeCounts::default(),
     };
     play.run();
     play.tally
@@ -200,8 +200,8 @@
 
 /// Plays a scenario with each seed and adds up how requests ended.
 #[must_use]
-pub fn play_all(seeds: &[u64], scenario: impl Fn(u64) -> Scenario) -> Tally {
-    seeds.iter().map(|seed| play(&scenario(*seed))).sum()
+pub fn simulate_all(seeds: &[u64], scenario: impl Fn(u64) -> Scenario) -> OutcomeCounts {
+    seeds.iter().map(|seed| simulate(&scenario(*seed))).sum()
 }
 
 fn data_centre(scenario: &Scenario, index: usize) -> Arc<str> {
@@ -235,7 +235,7 @@
 impl Play<'_> {
     fn run(&mut self) {
         let mut pass_ends_ms = 0;
-        for now_ms in 0..self.scenario.length_ms {
+        for now_ms in 0..self.scenario.duration_ms {
             if now_ms % 1_000 == 0 {
                 self.share(now_ms / 1_000);
             }
@@ -254,10 +254,11 @@
         for entry in &mut self.entries {
             entry.demand_per_s = entry.meter.observe(entry.arrivals);
         }
-        if !self.scenario.know_each_other {
+        if !self.scenario.is_membership_shared {
             return;
         }
-        let is_there = |entry: &usize| (self.scenario.weight)(*entry, second.max(1) - 1) > 0.0;
+        let is_there =
+            |entry: &usize| (self.scenario.entry_weight)(*entry, second.max(1) - 1) > 0.0;
         let there: Vec<Member> = (0..self.entries.len())
             .filter(is_there)
             .map(|entry| member(self.scenario, entry, self.entries[entry].demand_per_s))
@@ -273,7 +274,7 @@
     fn entry_at(&mut self, now_ms: u64) -> usize {
         loop {
             let entry = self.random.random_range(0..self.entries.len());
-            let weight = (self.scenario.weight)(entry, now_ms / 1_000);
+            let weight = (self.scenario.entry_weight)(entry, now_ms / 1_000);
             if weight >= 1.0 || self.random.random::<f64>() < weight {
                 return entry;
             }
@@ -354,7 +355,7 @@
         clippy::cast_sign_loss
     )]
     fn patience_ms(&self) -> u64 {
-        (self.scenario.goal_ms as f64 * PATIENCE_SHARE) as u64
+        (self.scenario.objective_ms as f64 * PATIENCE_SHARE) as u64
     }
 
     fn send(&mut self, target: &Target, request: Request, now_ms: u64) {
@@ -362,7 +363,7 @@
         let load = self.ranks[rank].load();
         self.tally.queued += u64::from(load.running + load.waiting >= target.slots);
         let here = data_centre(self.scenario, request.entry);
-        self.tally.far += u64::from(target.data_centre != here);
+        self.tally.cross_data_centre += u64::from(target.data_centre != here);
         self.ranks[rank].queue.push_back(Stream {
             request,
             sent_ms: now_ms,
@@ -431,16 +432,16 @@
         match stream.last_event_ms.replace(now_ms) {
             None => {
                 let first_ms = now_ms - stream.request.arrived_ms;
-                stream.is_late |= first_ms > self.scenario.goal_ms;
+                stream.is_late |= first_ms > self.scenario.objective_ms;
                 dispatcher.on_first_event(FirstEvent {
-                    load: self.scenario.tells_load.then_some(load),
+                    load: self.scenario.reports_load.then_some(load),
                     latency_ms: (now_ms - stream.sent_ms) as f64,
                 });
             }
             Some(last_ms) => {
                 let pause_ms = (now_ms - last_ms) as f64;
-                stream.is_late |= pause_ms > self.scenario.pause_goal_ms;
-                dispatcher.on_event_gap(pause_ms, self.scenario.pause_goal_ms, MonoMs(now_ms));
+                stream.is_late |= pause_ms > self.scenario.pause_objective_ms;
+                dispatcher.on_event_gap(pause_ms, self.scenario.pause_objective_ms, MonoMs(now_ms));
             }
         }
         stream.request.events_left -= 1;
@@ -453,7 +454,7 @@
         if stream.is_late {
             self.tally.late += 1;
         } else {
-            self.tally.in_goal += 1;
+            self.tally.within_objective += 1;
         }
     }
 
@@ -468,7 +469,7 @@
                 let target = &self.targets[rank].incarnation;
                 let dispatcher = &mut self.entries[stream.request.entry].dispatcher;
                 dispatcher.release(target, None, MonoMs(now_ms));
-                self.tally.left += 1;
+                self.tally.abandoned += 1;
             } else {
                 self.ranks[rank].running.push(stream);
             }
--- a/crates/test-support/src/history.rs
+++ b/crates/test-support/src/history.rs
@@ -1,7 +1,7 @@
 //! Recorded histories of concurrent calls, checked by a library.
 //!
 //! A history holds what callers were told and what really happened beside the
-//! target. It is linearizable against [`OnceSpec`] exactly if some order of
+//! target. It is linearizable against [`AtMostOnceSpec`] exactly if some order of
 //! events, consistent with real time, keeps the promises: a key takes effect
 //! at most once, "done" is said only of an effect that happened, and "not
 //! run" only of an attempt that had none and never gets one.
@@ -14,11 +14,11 @@
 use todc_utils::specifications::Specification;
 
 use crate::PlainRun;
-use crate::calls::Answered;
+use crate::calls::CallResult;
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ReportedOutcome {
     /// It ran and the answer is whole.
     Done,
     /// It did not run.
@@ -27,12 +27,12 @@
     Unknown,
 }
 
-impl Told {
+impl ReportedOutcome {
     /// What the answer to a call tells; no answer at all tells nothing.
     #[must_use]
-    pub fn of(answered: &Answered) -> Self {
+    pub fn of(answered: &CallResult) -> Self {
         match answered.outcome.as_str() {
-            "done" if answered.is_whole => Self::Done,
+            "done" if answered.is_complete => Self::Done,
             "not-run" => Self::NotRun,
             _ => Self::Unknown,
         }
@@ -47,7 +47,7 @@
         /// Names the attempt.
         attempt: String,
         /// What its caller was told.
-        told: Told,
+        reported: ReportedOutcome,
     },
     /// The target ran the request of this attempt.
     Effect {
@@ -57,7 +57,7 @@
 }
 
 /// The promises about one key.
-pub struct OnceSpec;
+pub struct AtMostOnceSpec;
 
 /// The state of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -66,7 +66,7 @@
     denied: BTreeSet<String>,
 }
 
-impl Specification for OnceSpec {
+impl Specification for AtMostOnceSpec {
     type State = KeyState;
     type Operation = Operation;
 
@@ -82,13 +82,13 @@
                 next.ran = Some(attempt.clone());
                 allowed
             }
-            Operation::Attempt { attempt, told } => match told {
-                Told::Done => state.ran.is_some(),
-                Told::NotRun => {
+            Operation::Attempt { attempt, reported } => match reported {
+                ReportedOutcome::Done => state.ran.is_some(),
+                ReportedOutcome::NotRun => {
                     next.denied.insert(attempt.clone());
                     state.ran.as_ref() != Some(attempt)
                 }
-                Told::Unknown => true,
+                ReportedOutcome::Unknown => true,
             },
         };
         (is_allowed, next)
@@ -136,9 +136,9 @@
 
     /// How often each thing was told.
     #[must_use]
-    pub fn told(&self, which: Told) -> usize {
+    pub fn count_reported(&self, which: ReportedOutcome) -> usize {
         let is_that = |event: &&Event| match event.operation {
-            Operation::Attempt { told, .. } => told == which,
+            Operation::Attempt { reported: told, .. } => told == which,
             Operation::Effect { .. } => false,
         };
         self.events.iter().filter(is_that).count()
@@ -181,5 +181,5 @@
         .into_iter()
         .map(|(_, _, process, action)| (process, action))
         .collect();
-    WGLChecker::<OnceSpec>::is_linearizable(History::from_actions(actions))
+    WGLChecker::<AtMostOnceSpec>::is_linearizable(History::from_actions(actions))
 }
--- a/crates/test-support/src/http.rs
+++ b/crates/test-support/src/http.rs
@@ -17,22 +17,23 @@
 
 /// The connection is closed without an answer.
 #[derive(Debug)]
-pub struct NoAnswer;
+pub struct NoResponse;
 
-impl std::fmt::Display for NoAnswer {
+impl std::fmt::Display for NoResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("closed without an answer, as the test asked")
     }
 }
 
-impl std::error::Error for NoAnswer {}
+impl std::error::Error for NoResponse {}
 
 /// An answer of a stand-in.
-pub type Response = hyper::Response<BoxBody<Bytes, NoAnswer>>;
+pub type Response = hyper::Response<BoxBody<Bytes, NoResponse>>;
 
 /// What a stand-in does with a request.
-pub(crate) type Handler =
-    Arc<dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response, NoAnswer>> + Send + Sync>;
+pub(crate) type Handler = Arc<
+    dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response, NoResponse>> + Send + Sync,
+>;
 
 /// A running server; it stops when dropped.
 pub struct Server {
@@ -95,7 +96,7 @@
 /// An answer whose body is sent as it is produced; an `Err` cuts it off.
 pub(crate) fn stream(
     content_type: &str,
-    chunks: mpsc::Receiver<Result<Bytes, NoAnswer>>,
+    chunks: mpsc::Receiver<Result<Bytes, NoResponse>>,
 ) -> Response {
     let frames = futures_util::stream::unfold(chunks, |mut chunks| async move {
         let chunk = chunks.recv().await?;
--- a/crates/test-support/src/kv.rs
+++ b/crates/test-support/src/kv.rs
@@ -16,7 +16,7 @@
 use tokio::sync::broadcast;
 
 use self::question::Question;
-use crate::http::{self, NoAnswer, Response, Server};
+use crate::http::{self, NoResponse, Response, Server};
 
 /// How the service fails at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// What the service held at one moment.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     revision: i64,
     next_lease: i64,
     keys: BTreeMap<Vec<u8>, Stored>,
@@ -63,7 +63,7 @@
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
     outage: Outage,
-    lose_answers: u32,
+    lose_responses: u32,
     /// The write of a key with this in it loses its answer, and an outage
     /// begins.
     doubted_key: Option<String>,
@@ -128,13 +128,13 @@
     }
 
     /// The next `count` writes take effect, but their answers are lost.
-    pub fn lose_answers(&self, count: u32) {
-        self.shared.lock().lose_answers = count;
+    pub fn lose_responses(&self, count: u32) {
+        self.shared.lock().lose_responses = count;
     }
 
     /// The next write of a key that contains `part` takes effect, its answer is
     /// lost, and the service refuses every call until the outage is ended.
-    pub fn doubt_write_of(&self, part: &str) {
+    pub fn fail_after_write_of(&self, part: &str) {
         self.shared.lock().doubted_key = Some(part.to_owned());
     }
 
@@ -199,9 +199,9 @@
 
     /// A copy of all that it holds.
     #[must_use]
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.shared.lock();
-        StoreCopy {
+        StoreSnapshot {
             revision: state.revision,
             next_lease: state.next_lease,
             keys: state.keys.clone(),
@@ -212,7 +212,7 @@
 
     /// Comes back from a copy, in the next era: what was written since is gone, leases too,
     /// and revisions and the numbers of leases are given out again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    pub fn restore(&self, copy: &StoreSnapshot) {
         let now = Instant::now();
         let mut state = self.shared.lock();
         state.era += 1;
@@ -266,7 +266,7 @@
         self.state.lock().expect("no handler panics")
     }
 
-    async fn answer(self: Arc<Self>, question: &Question) -> Result<Response, NoAnswer> {
+    async fn answer(self: Arc<Self>, question: &Question) -> Result<Response, NoResponse> {
         let outage = self.lock().outage;
         match outage {
             Outage::Silent => std::future::pending().await,
@@ -285,7 +285,7 @@
         let _ = self.changes.send(());
         let is_write = !question.call.starts_with("GET");
         if is_write && (self.take_lost_answer() || self.take_doubt(&question.body)) {
-            return Err(NoAnswer);
+            return Err(NoResponse);
         }
         Ok(http::json(status, &answer))
     }
@@ -311,10 +311,10 @@
 
     fn take_lost_answer(&self) -> bool {
         let mut state = self.lock();
-        if state.lose_answers == 0 {
+        if state.lose_responses == 0 {
             return false;
         }
-        state.lose_answers -= 1;
+        state.lose_responses -= 1;
         true
     }
 
@@ -353,7 +353,7 @@
     }
 
     /// Waits for events behind a revision, for as long as the call says.
-    async fn watch(self: Arc<Self>, question: &Question) -> Result<Response, NoAnswer> {
+    async fn watch(self: Arc<Self>, question: &Question) -> Result<Response, NoResponse> {
         let prefix = question.query("prefix");
         let after = question.number("after");
         let wait = Duration::from_millis(u64::try_from(question.number("wait-ms")).unwrap_or(0));
@@ -372,7 +372,7 @@
                     return Ok(None);
                 }
                 if self.lock().era != era {
-                    return Err(NoAnswer);
+                    return Err(NoResponse);
                 }
                 let (events, revision) = self.lock().events_since(&prefix, after);
                 if !events.is_empty() && !self.is_silent() {
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -27,7 +27,7 @@
     /// Nothing gets through on any connection; all stay open.
     FreezeAll,
     /// Answers do not get through; what the dialling side sends does.
-    FreezeAnswers,
+    FreezeResponses,
     /// Everything gets through late.
     Delay,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Changes what happens from now on.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.fault.send_modify(|state| {
             state.fault = fault;
             match fault {
@@ -194,7 +194,7 @@
     match state.fault {
         _ if number < state.frozen_below => true,
         Fault::FreezeAll => true,
-        Fault::FreezeAnswers => direction == Direction::Answer,
+        Fault::FreezeResponses => direction == Direction::Answer,
         _ => false,
     }
 }
--- a/crates/test-support/src/plain.rs
+++ b/crates/test-support/src/plain.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tokio::sync::watch;
 
-use crate::http::{self, NoAnswer, Response, Server};
+use crate::http::{self, NoResponse, Response, Server};
 
 /// One effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     runs: Mutex<Vec<PlainRun>>,
     delay: Mutex<Duration>,
     hung: watch::Sender<bool>,
-    drop_answers: Mutex<u32>,
+    drop_responses: Mutex<u32>,
     rest: Mutex<Option<String>>,
     refused: AtomicUsize,
 }
@@ -47,7 +47,7 @@
             runs: Mutex::new(Vec::new()),
             delay: Mutex::new(Duration::ZERO),
             hung: watch::Sender::new(false),
-            drop_answers: Mutex::new(0),
+            drop_responses: Mutex::new(0),
             rest: Mutex::new(None),
             refused: AtomicUsize::new(0),
         });
@@ -77,24 +77,28 @@
     }
 
     /// It refuses all requests and asks for that rest, or not any more.
-    pub fn set_rest(&self, rest: Option<&str>) {
+    pub fn set_backoff(&self, rest: Option<&str>) {
         *self.shared.rest.lock().expect("no handler panics") = rest.map(str::to_owned);
     }
 
     /// The requests that it refused.
     #[must_use]
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         self.shared.refused.load(Ordering::SeqCst)
     }
 
     /// The next `count` requests take effect, then lose their connection.
-    pub fn drop_answers(&self, count: u32) {
-        *self.shared.drop_answers.lock().expect("no handler panics") = count;
+    pub fn drop_responses(&self, count: u32) {
+        *self
+            .shared
+            .drop_responses
+            .lock()
+            .expect("no handler panics") = count;
     }
 }
 
 impl Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoAnswer> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let path = request.uri().path().to_owned();
         if path == "/load" {
             let body = json!({"running": 0, "waiting": 0, "slots": 32});
@@ -123,7 +127,7 @@
             at: Instant::now(),
         });
         if self.takes_drop() {
-            return Err(NoAnswer);
+            return Err(NoResponse);
         }
         let delay = *self.delay.lock().expect("no handler panics");
         tokio::time::sleep(delay).await;
@@ -139,7 +143,7 @@
     }
 
     fn takes_drop(&self) -> bool {
-        let mut left = self.drop_answers.lock().expect("no handler panics");
+        let mut left = self.drop_responses.lock().expect("no handler panics");
         if *left == 0 {
             return false;
         }
--- a/crates/test-support/src/platform_group.rs
+++ b/crates/test-support/src/platform_group.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
 
-use crate::http::{self, NoAnswer, Response, Server};
+use crate::http::{self, NoResponse, Response, Server};
 use crate::kv::KeyValueStandIn;
 
 /// Time of a pass.
@@ -22,7 +22,7 @@
 const CHOICES: u64 = 400;
 
 /// Experts of the only set.
-pub const EXPERTS: usize = 16;
+pub const EXPERT_COUNT: usize = 16;
 
 /// Unix time of the first start of each engine, in milliseconds.
 const FIRST_START_UNIX_MS: u64 = 1_790_000_000_000;
@@ -74,12 +74,12 @@
     pub async fn start(name: &str, addresses: &[SocketAddr]) -> Self {
         let size = addresses.len();
         let first: Vec<Vec<u16>> = (0..size)
-            .map(|rank| (0..EXPERTS).filter(move |expert| expert % size == rank))
+            .map(|rank| (0..EXPERT_COUNT).filter(move |expert| expert % size == rank))
             .map(|experts| experts.map(|it| u16::try_from(it).expect("few")).collect())
             .collect();
         let rank = Rank {
             map: first.clone(),
-            counts: vec![0; EXPERTS],
+            counts: vec![0; EXPERT_COUNT],
             ..Rank::default()
         };
         let state = Arc::new(Mutex::new(State {
@@ -99,8 +99,10 @@
             let state = Arc::clone(&state);
             let handler = Arc::new(move |request: hyper::Request<hyper::body::Incoming>| {
                 let state = Arc::clone(&state);
-                let answered: futures_util::future::BoxFuture<'static, Result<Response, NoAnswer>> =
-                    Box::pin(async move { answer(&state, rank, request).await });
+                let answered: futures_util::future::BoxFuture<
+                    'static,
+                    Result<Response, NoResponse>,
+                > = Box::pin(async move { answer(&state, rank, request).await });
                 answered
             });
             servers.push(Server::start_at(*address, handler).await);
@@ -127,13 +129,13 @@
     }
 
     /// Callers begin to ask for what this expert knows.
-    pub fn shift_to(&self, favourite: usize) {
+    pub fn set_hot_expert(&self, favourite: usize) {
         self.lock().favourite = favourite;
     }
 
     /// Ranks that hold the expert, by the map in use.
     #[must_use]
-    pub fn holders_of(&self, expert: u16) -> usize {
+    pub fn replicas_of(&self, expert: u16) -> usize {
         let state = self.lock();
         let map = &state.ranks[0].map;
         map.iter().filter(|held| held.contains(&expert)).count()
@@ -157,29 +159,29 @@
         }
         let own = &mut state.ranks[rank];
         own.restarts += 1;
-        own.counts = vec![0; EXPERTS];
+        own.counts = vec![0; EXPERT_COUNT];
     }
 
     /// From now on copies of experts end, or never do.
-    pub fn let_copies_end(&self, copies_end: bool) {
+    pub fn set_copies_complete(&self, copies_end: bool) {
         self.lock().copies_end = copies_end;
     }
 
     /// Prepare orders that its ranks have accepted.
     #[must_use]
-    pub fn prepares(&self) -> u64 {
+    pub fn prepare_commands(&self) -> u64 {
         self.lock().prepares
     }
 
     /// Hold orders that its ranks have accepted.
     #[must_use]
-    pub fn holds(&self) -> u64 {
+    pub fn pause_commands(&self) -> u64 {
         self.lock().ranks.iter().map(|rank| rank.holds).sum()
     }
 
     /// Hold orders that were accepted so far by that rank.
     #[must_use]
-    pub fn holds_of(&self, rank: usize) -> u64 {
+    pub fn pause_commands_of(&self, rank: usize) -> u64 {
         self.lock().ranks[rank].holds
     }
 
@@ -189,7 +191,7 @@
     }
 
     /// From now on that rank carries orders out without an answer; `None` ends that.
-    pub fn mute_orders_to(&self, rank: Option<usize>) {
+    pub fn drop_command_replies_of(&self, rank: Option<usize>) {
         self.lock().mute_rank = rank;
     }
 
@@ -258,7 +260,7 @@
     state: &Arc<Mutex<State>>,
     rank: usize,
     request: hyper::Request<hyper::body::Incoming>,
-) -> Result<Response, NoAnswer> {
+) -> Result<Response, NoResponse> {
     let wants_lists = request.uri().query().is_some();
     let call = (request.method().clone(), request.uri().path().to_owned());
     let body = http::body(request).await;
@@ -270,7 +272,7 @@
             let order = serde_json::from_slice(&body).unwrap_or_default();
             let status = obey(state, rank, &order);
             if state.lock().expect("no panics").mute_rank == Some(rank) {
-                return Err(NoAnswer);
+                return Err(NoResponse);
             }
             http::json(status, &json!({}))
         }
--- a/crates/test-support/src/platform_target.rs
+++ b/crates/test-support/src/platform_target.rs
@@ -12,11 +12,11 @@
 use tokio::sync::mpsc;
 
 use crate::daemon::free_address;
-use crate::http::{self, NoAnswer, Response, Server};
+use crate::http::{self, NoResponse, Response, Server};
 use crate::kv::KeyValueStandIn;
 
 /// Events of a whole stream.
-pub const EVENTS: u64 = 8;
+pub const EVENTS_PER_STREAM: u64 = 8;
 
 /// Time between two events.
 const EVENT_PAUSE: Duration = Duration::from_millis(20);
@@ -26,33 +26,33 @@
 pub enum Behaviour {
     /// It answers them.
     #[default]
-    Answers,
+    Responds,
     /// It says that it did not run them.
-    SaysNotRun,
+    RejectsAsNotExecuted,
     /// It refuses them without saying that it did not run them.
-    RefusesWithoutWord,
+    RejectsWithoutReason,
     /// It runs them and closes the connection without an answer.
-    LosesAnswers,
+    DropsResponses,
     /// It answers with the answer to another request.
-    AnswersAnother,
+    RespondsWithWrongAttemptId,
     /// It answers without its mark.
-    AnswersUnmarked,
+    RespondsWithoutSeal,
     /// It breaks streams off behind this event.
-    BreaksAfter(u64),
+    CutsStreamAfter(u64),
     /// It runs them and says nothing.
     Hangs,
     /// It is another incarnation than those that requests are meant for, and says so.
-    IsAnother,
-    /// It answers them, but for those whose body is [`POISON`]: its process ends soon
+    IsOtherIncarnation,
+    /// It answers them, but for those whose body is [`POISON_BODY`]: its process ends soon
     /// after it began to run one.
-    EndsUnderPoison,
+    ExitsOnPoison,
     /// The same at once, and another incarnation has the address before anybody finds it free.
-    HandsOverUnderPoison,
+    IsReplacedOnPoison,
 }
 
 /// The body of the requests under which a target ends that
 /// [ends under poison](Behaviour::EndsUnderPoison).
-pub const POISON: &str = "what no engine survives";
+pub const POISON_BODY: &str = "what no engine survives";
 
 /// Time from the beginning of such a run to the end of the target's process, unless
 /// [`PlatformTarget::set_ends_after`] says otherwise.
@@ -142,7 +142,7 @@
         let handler_state = Arc::clone(&state);
         let handler = Arc::new(move |request| {
             let state = Arc::clone(&handler_state);
-            let answered: BoxFuture<'static, Result<Response, NoAnswer>> =
+            let answered: BoxFuture<'static, Result<Response, NoResponse>> =
                 Box::pin(answer(state, request));
             answered
         });
@@ -169,19 +169,19 @@
     }
 
     /// Its process ends at once: all connections to it end, and nobody listens.
-    pub fn end(&self) {
+    pub fn kill(&self) {
         end(&self.state);
     }
 
     /// When its process ended under a request; `None` if it did not.
     #[must_use]
-    pub fn ended_under_poison(&self) -> Option<Instant> {
+    pub fn exited_on_poison(&self) -> Option<Instant> {
         self.state.lock().expect("no handler panics").ended
     }
 
     /// Whether its process has ended.
     #[must_use]
-    pub fn has_ended(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         self.state
             .lock()
             .expect("no handler panics")
@@ -227,7 +227,7 @@
     }
 
     /// Has its process end this long after it began to run poison.
-    pub fn set_ends_after(&self, ends_after: Duration) {
+    pub fn set_exit_delay(&self, ends_after: Duration) {
         self.state.lock().expect("no handler panics").ends_after = Some(ends_after);
     }
 
@@ -237,12 +237,12 @@
     }
 
     /// Has it refuse everything and ask for that rest from now on, or not any more.
-    pub fn set_rest(&self, rest: Option<&str>) {
+    pub fn set_backoff(&self, rest: Option<&str>) {
         self.state.lock().expect("no handler panics").rest = rest.map(str::to_owned);
     }
 
     /// Has it say in all answers from now on that it leaves.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.state.lock().expect("no handler panics").is_leaving = true;
     }
 
@@ -263,7 +263,7 @@
 async fn answer(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
-) -> Result<Response, NoAnswer> {
+) -> Result<Response, NoResponse> {
     if request.uri().path() == HEALTH_PATH {
         return Ok(health(&state));
     }
@@ -282,7 +282,7 @@
 fn health(state: &Mutex<State>) -> Response {
     let state = state.lock().expect("no handler panics");
     let status = match state.behaviour {
-        Behaviour::IsAnother => StatusCode::MISDIRECTED_REQUEST,
+        Behaviour::IsOtherIncarnation => StatusCode::MISDIRECTED_REQUEST,
         _ => StatusCode::OK,
     };
     let mut answer = http::json(status, &json!({}));
@@ -306,11 +306,11 @@
 async fn made_answer(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
-) -> Result<Response, NoAnswer> {
+) -> Result<Response, NoResponse> {
     let headers = request.headers().clone();
     let line = format!("{} {}", request.method(), request.uri());
     let body = http::body(request).await;
-    let is_poison = body == POISON;
+    let is_poison = body == POISON_BODY;
     let rest = state.lock().expect("no handler panics").rest.clone();
     if let Some(rest) = rest {
         return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, |answer| {
@@ -320,17 +320,17 @@
     }
     let behaviour = state.lock().expect("no handler panics").behaviour;
     match behaviour {
-        Behaviour::SaysNotRun => {
+        Behaviour::RejectsAsNotExecuted => {
             return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, |answer| {
                 answer.insert("berylhook-not-executed", "1".parse().expect("a digit"));
             }));
         }
-        Behaviour::IsAnother => {
+        Behaviour::IsOtherIncarnation => {
             return Ok(head(StatusCode::MISDIRECTED_REQUEST, &headers, |answer| {
                 answer.insert("berylhook-not-executed", "1".parse().expect("a digit"));
             }));
         }
-        Behaviour::RefusesWithoutWord => {
+        Behaviour::RejectsWithoutReason => {
             return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, mark));
         }
         _ => {}
@@ -346,7 +346,7 @@
         });
         state.runs.len() - 1
     };
-    let is_poisoned = behaviour == Behaviour::EndsUnderPoison && is_poison;
+    let is_poisoned = behaviour == Behaviour::ExitsOnPoison && is_poison;
     if is_poisoned {
         let ends_after = state.lock().expect("no handler panics").ends_after;
         let state = Arc::clone(&state);
@@ -359,16 +359,16 @@
         });
     }
     match behaviour {
-        Behaviour::HandsOverUnderPoison if is_poison => {
+        Behaviour::IsReplacedOnPoison if is_poison => {
             let mut state = state.lock().expect("no handler panics");
             state.ended.get_or_insert_with(Instant::now);
-            state.behaviour = Behaviour::IsAnother;
-            Err(NoAnswer)
+            state.behaviour = Behaviour::IsOtherIncarnation;
+            Err(NoResponse)
         }
-        Behaviour::LosesAnswers => Err(NoAnswer),
+        Behaviour::DropsResponses => Err(NoResponse),
         Behaviour::Hangs => std::future::pending().await,
-        Behaviour::AnswersUnmarked => Ok(head(StatusCode::OK, &headers, |_| {})),
-        Behaviour::AnswersAnother => Ok(head(StatusCode::OK, &headers, |answer| {
+        Behaviour::RespondsWithoutSeal => Ok(head(StatusCode::OK, &headers, |_| {})),
+        Behaviour::RespondsWithWrongAttemptId => Ok(head(StatusCode::OK, &headers, |answer| {
             mark(answer);
             let other = "another-attempt".parse().expect("plain text");
             answer.insert("berylhook-attempt-id", other);
@@ -422,11 +422,11 @@
         .unwrap_or(0);
     let attempt = attempt(headers);
     tokio::spawn(async move {
-        for id in after + 1..=EVENTS {
-            if behaviour == Behaviour::BreaksAfter(id - 1) {
+        for id in after + 1..=EVENTS_PER_STREAM {
+            if behaviour == Behaviour::CutsStreamAfter(id - 1) {
                 // Half an event, and the connection is gone.
                 let _ = sender.send(Ok(Bytes::from(format!("id: {id}\nda")))).await;
-                let _ = sender.send(Err(NoAnswer)).await;
+                let _ = sender.send(Err(NoResponse)).await;
                 return;
             }
             tokio::time::sleep(EVENT_PAUSE).await;
--- a/crates/test-support/src/vms.rs
+++ b/crates/test-support/src/vms.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 
-use crate::http::{self, NoAnswer, Server};
+use crate::http::{self, NoResponse, Server};
 
 #[derive(Clone)]
 struct Listed {
@@ -82,10 +82,10 @@
     }
 }
 
-fn answer(state: &Mutex<State>) -> Result<http::Response, NoAnswer> {
+fn answer(state: &Mutex<State>) -> Result<http::Response, NoResponse> {
     let state = state.lock().expect("no handler panics");
     if state.down {
-        return Err(NoAnswer);
+        return Err(NoResponse);
     }
     let vms: Vec<Value> = state
         .vms
--- a/crates/test-support/tests/history.rs
+++ b/crates/test-support/tests/history.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use berylhook_test_support::history::{Event, Operation, Recorder, Told};
+use berylhook_test_support::history::{Event, Operation, Recorder, ReportedOutcome};
 
 fn history(operations: &[(Operation, u64, u64)]) -> Recorder {
     let start = Instant::now();
@@ -18,10 +18,10 @@
     recorder
 }
 
-fn told(attempt: &str, told: Told) -> Operation {
+fn told(attempt: &str, told: ReportedOutcome) -> Operation {
     Operation::Attempt {
         attempt: attempt.to_owned(),
-        told,
+        reported: told,
     }
 }
 
@@ -34,9 +34,9 @@
 #[test]
 fn a_run_with_a_lost_answer_and_a_repeat_is_accepted() {
     let history = history(&[
-        (told("a", Told::Unknown), 0, 10),
+        (told("a", ReportedOutcome::Unknown), 0, 10),
         (effect("a"), 5, 5),
-        (told("b", Told::Done), 20, 30),
+        (told("b", ReportedOutcome::Done), 20, 30),
     ]);
 
     assert_eq!(history.violations(), Vec::<String>::new());
@@ -45,9 +45,9 @@
 #[test]
 fn a_second_run_is_rejected() {
     let history = history(&[
-        (told("a", Told::Unknown), 0, 10),
+        (told("a", ReportedOutcome::Unknown), 0, 10),
         (effect("a"), 5, 5),
-        (told("b", Told::Done), 20, 30),
+        (told("b", ReportedOutcome::Done), 20, 30),
         (effect("b"), 25, 25),
     ]);
 
@@ -56,21 +56,27 @@
 
 #[test]
 fn not_run_before_a_late_effect_is_rejected() {
-    let history = history(&[(told("a", Told::NotRun), 0, 10), (effect("a"), 50, 50)]);
+    let history = history(&[
+        (told("a", ReportedOutcome::NotRun), 0, 10),
+        (effect("a"), 50, 50),
+    ]);
 
     assert_eq!(history.violations().len(), 1);
 }
 
 #[test]
 fn not_run_after_its_own_effect_is_rejected() {
-    let history = history(&[(effect("a"), 5, 5), (told("a", Told::NotRun), 0, 10)]);
+    let history = history(&[
+        (effect("a"), 5, 5),
+        (told("a", ReportedOutcome::NotRun), 0, 10),
+    ]);
 
     assert_eq!(history.violations().len(), 1);
 }
 
 #[test]
 fn done_without_an_effect_is_rejected() {
-    let history = history(&[(told("a", Told::Done), 0, 10)]);
+    let history = history(&[(told("a", ReportedOutcome::Done), 0, 10)]);
 
     assert_eq!(history.violations().len(), 1);
 }
--- a/crates/traffic/tests/overload.rs
+++ b/crates/traffic/tests/overload.rs
@@ -1,6 +1,6 @@
 //! Load beyond the capacity of a group, simulated with the group model.
 
-use berylhook_test_support::group_model::{Scenario, play_all};
+use berylhook_test_support::group_model::{Scenario, simulate_all};
 use berylhook_traffic::configuration::EngineModel;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -24,27 +24,27 @@
         ranks: 12,
         entries: 4,
         data_centres: 1,
-        weight: |_, _| 1.0,
-        know_each_other: true,
+        entry_weight: |_, _| 1.0,
+        is_membership_shared: true,
         arrivals_per_s: |_| CAPACITY_PER_S * 0.85,
         skew: |_| 1.3,
-        tells_load: true,
-        goal_ms: 400,
-        pause_goal_ms: 120.0,
-        length_ms: 30_000,
+        reports_load: true,
+        objective_ms: 400,
+        pause_objective_ms: 120.0,
+        duration_ms: 30_000,
         seed,
     }
 }
 
 #[test]
 fn below_capacity_hardly_any_request_is_refused() {
-    let tally = play_all(&SEEDS, scenario);
+    let tally = simulate_all(&SEEDS, scenario);
 
     assert!(
-        (tally.refused + tally.left) * 1_000 < tally.total(),
+        (tally.refused + tally.abandoned) * 1_000 < tally.total(),
         "{tally:?}"
     );
-    assert!(tally.in_goal_part() > 0.97, "{tally:?}");
+    assert!(tally.within_objective_fraction() > 0.97, "{tally:?}");
 }
 
 // Guards against a concurrency limit that considers pass durations alone, which stay short. At
@@ -57,23 +57,29 @@
         ..scenario(seed)
     };
 
-    let full = play_all(&SEEDS, scenario);
-    let tally = play_all(&SEEDS, twice);
+    let full = simulate_all(&SEEDS, scenario);
+    let tally = simulate_all(&SEEDS, twice);
 
-    assert!(tally.in_goal * 10 >= full.in_goal * 7, "{tally:?} {full:?}");
-    assert!(tally.left * 50 < tally.total(), "{tally:?}");
+    assert!(
+        tally.within_objective * 10 >= full.within_objective * 7,
+        "{tally:?} {full:?}"
+    );
+    assert!(tally.abandoned * 50 < tally.total(), "{tally:?}");
 }
 
 #[test]
 fn targets_that_do_not_report_their_load_are_not_overrun() {
     let without_reports = |seed| Scenario {
         arrivals_per_s: |_| CAPACITY_PER_S * 2.0,
-        tells_load: false,
+        reports_load: false,
         ..scenario(seed)
     };
 
-    let full = play_all(&SEEDS, scenario);
-    let tally = play_all(&SEEDS, without_reports);
+    let full = simulate_all(&SEEDS, scenario);
+    let tally = simulate_all(&SEEDS, without_reports);
 
-    assert!(tally.in_goal * 2 >= full.in_goal, "{tally:?} {full:?}");
+    assert!(
+        tally.within_objective * 2 >= full.within_objective,
+        "{tally:?} {full:?}"
+    );
 }
--- a/crates/traffic/tests/sharing.rs
+++ b/crates/traffic/tests/sharing.rs
@@ -1,6 +1,6 @@
 //! Many entries that share many targets, simulated with the group model.
 
-use berylhook_test_support::group_model::{Scenario, play_all};
+use berylhook_test_support::group_model::{Scenario, simulate_all};
 use berylhook_traffic::configuration::EngineModel;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -28,14 +28,14 @@
         ranks: 192,
         entries: 50,
         data_centres: 5,
-        weight: uneven_weight,
-        know_each_other: true,
+        entry_weight: uneven_weight,
+        is_membership_shared: true,
         arrivals_per_s: |_| 550.0,
         skew: |_| 1.2,
-        tells_load: true,
-        goal_ms: 600,
-        pause_goal_ms: 200.0,
-        length_ms: 15_000,
+        reports_load: true,
+        objective_ms: 600,
+        pause_objective_ms: 200.0,
+        duration_ms: 15_000,
         seed,
     }
 }
@@ -46,15 +46,15 @@
 #[test]
 fn requests_do_not_queue_at_one_target_while_another_is_idle() {
     let without_membership = |seed| Scenario {
-        know_each_other: false,
+        is_membership_shared: false,
         ..scenario(seed)
     };
 
-    let baseline = play_all(&SEEDS, without_membership);
-    let tally = play_all(&SEEDS, scenario);
+    let baseline = simulate_all(&SEEDS, without_membership);
+    let tally = simulate_all(&SEEDS, scenario);
 
     assert!(tally.queued * 5 < baseline.queued, "{tally:?} {baseline:?}");
-    assert!(tally.in_goal_part() > 0.97, "{tally:?}");
+    assert!(tally.within_objective_fraction() > 0.97, "{tally:?}");
 }
 
 // Guards against fixed arcs, which leave the targets of an absent owner unused. In a rolling
@@ -63,7 +63,7 @@
 #[test]
 fn a_rolling_restart_leaves_no_targets_unused() {
     let rolling = |seed| Scenario {
-        weight: |entry, second| {
+        entry_weight: |entry, second| {
             let is_away = (second * 7 + 50 - entry as u64 % 50) % 50 < 12;
             if is_away {
                 0.0
@@ -74,15 +74,15 @@
         ..scenario(seed)
     };
     let without_membership = |seed| Scenario {
-        know_each_other: false,
+        is_membership_shared: false,
         ..rolling(seed)
     };
 
-    let baseline = play_all(&SEEDS, without_membership);
-    let tally = play_all(&SEEDS, rolling);
+    let baseline = simulate_all(&SEEDS, without_membership);
+    let tally = simulate_all(&SEEDS, rolling);
 
     assert!(tally.queued * 2 < baseline.queued, "{tally:?} {baseline:?}");
-    assert!(tally.in_goal_part() > 0.95, "{tally:?}");
+    assert!(tally.within_objective_fraction() > 0.95, "{tally:?}");
 }
 
 // Guards against arcs that end at the data centre: the entries of one with more callers than
@@ -90,20 +90,20 @@
 #[test]
 fn a_data_centre_short_of_targets_uses_those_of_others() {
     let one_data_centre_overloaded = |seed| Scenario {
-        weight: |entry, second| {
+        entry_weight: |entry, second| {
             let factor = if entry % 5 == 0 { 1.0 } else { 0.25 };
             factor * uneven_weight(entry, second)
         },
         ..scenario(seed)
     };
     let without_membership = |seed| Scenario {
-        know_each_other: false,
+        is_membership_shared: false,
         ..one_data_centre_overloaded(seed)
     };
 
-    let baseline = play_all(&SEEDS, without_membership);
-    let tally = play_all(&SEEDS, one_data_centre_overloaded);
+    let baseline = simulate_all(&SEEDS, without_membership);
+    let tally = simulate_all(&SEEDS, one_data_centre_overloaded);
 
     assert!(tally.queued * 2 < baseline.queued, "{tally:?} {baseline:?}");
-    assert!(tally.in_goal_part() > 0.95, "{tally:?}");
+    assert!(tally.within_objective_fraction() > 0.95, "{tally:?}");
 }
