--- a/crates/berylhook/tests/common/mod.rs
+++ b/crates/berylhook/tests/common/mod.rs
@@ -12,8 +12,8 @@
 use berylhook_caller::IdempotencyKey;
 use berylhook_core::ledger::shard_of;
 use berylhook_test_support::KeyValueStandIn;
-use berylhook_test_support::calls::{Answered, Caller};
-use berylhook_test_support::history::{Event, Operation, Told};
+use berylhook_test_support::calls::{CallResult, Caller};
+use berylhook_test_support::history::{Event, Operation, ReportedOutcome};
 
 pub const ACCOUNT: &str = "paddle-desk";
 
@@ -34,7 +34,7 @@
 
 pub fn shard_of_key(key: &str) -> u32 {
     let key = IdempotencyKey::parse(key).expect("a UUIDv7");
-    shard_of(key.of_account(ACCOUNT))
+    shard_of(key.scoped_to_account(ACCOUNT))
 }
 
 /// The agent that the service names as home of a shard.
@@ -56,7 +56,7 @@
     entry: SocketAddr,
     key: &str,
     name: &str,
-) -> (Answered, Event) {
+) -> (CallResult, Event) {
     let from = Instant::now();
     let headers = [("idempotency-key", key), ("x-attempt", name)];
     let answered = caller
@@ -66,7 +66,7 @@
         key: key.to_owned(),
         operation: Operation::Attempt {
             attempt: name.to_owned(),
-            told: Told::of(&answered),
+            reported: ReportedOutcome::of(&answered),
         },
         from,
         to: Instant::now(),
--- a/crates/entry/src/health_check.rs
+++ b/crates/entry/src/health_check.rs
@@ -6,7 +6,7 @@
 
 use berylhook_platform::headers;
 use berylhook_quarantine::{Probe, ProbeFuture};
-use berylhook_target::probe::Listening;
+use berylhook_target::probe::ProbeOutcome;
 use berylhook_traffic::target::Target;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -50,26 +50,34 @@
         *request.uri_mut() = self.path.clone();
         let host = HeaderValue::from_str(&self.address.to_string()).expect("an address is ASCII");
         request.headers_mut().insert(HOST, host);
-        headers::set_health_check(request.headers_mut(), &self.target_id, RESPONSE_TIMEOUT_MS);
+        headers::set_health_check_headers(
+            request.headers_mut(),
+            &self.target_id,
+            RESPONSE_TIMEOUT_MS,
+        );
         request
     }
 
-    async fn check(&self) -> Listening {
+    async fn check(&self) -> ProbeOutcome {
         let response = call::send_unverified(self.address, self.request());
         match timeout(RESPONSE_TIMEOUT, response).await {
             Ok(Ok((response, _))) => {
                 let status = response.status().as_u16();
                 let headers = response.headers();
-                if headers::is_health_of_another(status, headers, &self.target_id) {
-                    Listening::Another
+                if headers::is_health_response_from_other_incarnation(
+                    status,
+                    headers,
+                    &self.target_id,
+                ) {
+                    ProbeOutcome::OtherIncarnation
                 } else {
-                    Listening::Accepted
+                    ProbeOutcome::Accepted
                 }
             }
-            Ok(Err(CallError::ConnectionRefused)) => Listening::Refused,
-            Ok(Err(CallError::NotConnected)) => Listening::Silent,
+            Ok(Err(CallError::ConnectionRefused)) => ProbeOutcome::Refused,
+            Ok(Err(CallError::NotConnected)) => ProbeOutcome::NoResponse,
             // The connection was accepted, but no response arrived.
-            Ok(Err(_)) | Err(_) => Listening::Accepted,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Accepted,
         }
     }
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
     /// Where controllers ask.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The engine beside the agent.
-    pub engine: SocketAddr,
+    pub engine_address: SocketAddr,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// The service that the engine belongs to.
     pub service: Arc<str>,
     /// Level of the logs, such as `info`.
@@ -30,19 +30,19 @@
     /// Names the line, the setting and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
-        file.only_sections(&["listen", "engine", "store", "logs"])?;
+        file.reject_unknown_sections(&["listen", "engine", "store", "logs"])?;
         let log_level = match file.section("logs") {
             Some(section) => {
-                section.only(&["level"])?;
+                section.reject_unknown_settings(&["level"])?;
                 Arc::clone(&section.required("level")?.value)
             }
             None => "info".into(),
         };
         let engine = section(&file, "engine", &["address", "service"])?;
         Ok(Self {
-            listen: address(&file, "listen")?,
-            engine: engine.parse("address", ADDRESS_REMEDY)?,
-            store: address(&file, "store")?,
+            listen_address: address(&file, "listen")?,
+            engine_address: engine.parse("address", ADDRESS_REMEDY)?,
+            store_address: address(&file, "store")?,
             service: Arc::clone(&engine.required("service")?.value),
             log_level,
         })
@@ -60,6 +60,6 @@
         setting: "address".to_owned(),
     };
     let section = file.section(title).ok_or_else(missing)?;
-    section.only(known)?;
+    section.reject_unknown_settings(known)?;
     Ok(section)
 }
