--- a/crates/operator/src/catalogue.rs
+++ b/crates/operator/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in its checked form.
+//! The validated catalogue: entries, client accounts and expert-parallel groups.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use crate::document::{ItemId, ItemKind};
 use crate::ini_file::{IniError, IniFile, Section, Setting};
 
-/// How urgent an entry's traffic is when there is too much of it.
+/// Priority of an entry's requests under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Runs when nothing else wants the capacity.
+    /// Lowest priority: uses only capacity that no other class needs.
     Batch,
-    /// Somebody waits for it.
+    /// A person is waiting for the response.
     Interactive,
-    /// Goes before everything else, such as safety recalls.
+    /// Highest priority, such as safety recalls.
     Critical,
 }
 
-/// What serves an entry.
+/// Protocol of the targets of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryKind {
@@ -30,105 +30,105 @@
     Plain,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RetryPolicy {
-    /// Running it twice does no harm.
+    /// Requests are idempotent and may be retried.
     Safe,
-    /// It runs at most once.
+    /// A request is executed at most once.
     Never,
 }
 
-/// What the owner promises the entry's callers.
+/// Service-level objectives that an entry's owner promises its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Objectives {
-    /// Share of requests answered whole, in percent.
+    /// Percentage of requests with a complete response.
     pub availability_percent: f64,
-    /// Bound on the time to the first token.
+    /// Maximum time to the first token.
     pub first_token_ms: u64,
-    /// Bound on the time between two tokens.
+    /// Maximum time between two tokens.
     pub token_gap_ms: u64,
-    /// Share of answers that keep the two bounds, in percent.
+    /// Percentage of responses that meet both latency objectives.
     pub latency_percent: f64,
 }
 
-/// Bounds on traffic. 0 stands for no bound.
+/// Limits on traffic. 0 means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Limits {
-    /// Requests at a time.
+    /// Concurrent requests.
     pub concurrency: u32,
-    /// Requests begun in a second.
+    /// Requests started per second.
     pub requests_per_second: u32,
-    /// Tokens generated in a second.
+    /// Tokens generated per second.
     pub tokens_per_second: u32,
 }
 
-/// A model or plain service.
+/// A model or plain HTTP service that client accounts can call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
-    /// Its name, and its `model` in requests.
+    /// Name of the entry; for a model also the value of `model` in requests.
     pub name: Arc<str>,
-    /// Who owns it.
+    /// Owner of the service, whom callers ask for access.
     pub owner: Arc<str>,
-    /// Its urgency.
+    /// Priority of its requests.
     pub class: PriorityClass,
-    /// What serves it.
+    /// Protocol of its targets.
     pub kind: EntryKind,
-    /// The path prefix of a plain service.
+    /// Path prefix of a plain service; `None` for a model.
     pub path: Option<Arc<str>>,
-    /// Whether its requests may run again.
+    /// Whether its requests may be executed more than once.
     pub repeat: RetryPolicy,
-    /// Whether its targets can resume a stream.
+    /// Whether its targets can resume an interrupted stream.
     pub resume: bool,
-    /// Bounds on its traffic over all entry VMs.
+    /// Traffic limits, summed over all entry VMs.
     pub limits: Limits,
-    /// Time for a whole request.
+    /// Maximum duration of a whole request. Callers may shorten it.
     pub deadline_ms: u64,
-    /// Time within which an order must start beside its target.
+    /// Time within which the agent must start a dispatched request. A later start is refused.
     pub start_within_ms: u64,
-    /// Retries at most, in percent of first attempts.
+    /// Maximum number of retries, as a percentage of first attempts.
     pub retry_percent: u32,
-    /// What its owner promises.
+    /// Service-level objectives.
     pub objectives: Objectives,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: Arc<str>,
-    /// Whose customer it is.
+    /// Owner of the relationship with the customer.
     pub owner: Arc<str>,
-    /// SHA-256 of its bearer key.
+    /// SHA-256 of the account's bearer key. Not serialized.
     #[serde(skip)]
     pub key_sha256: [u8; 32],
-    /// The entries it may use.
+    /// Names of the entries that the account may call.
     pub entries: Vec<Arc<str>>,
-    /// Bounds on its traffic over all entry VMs.
+    /// Traffic limits, summed over all entry VMs.
     pub limits: Limits,
 }
 
-/// A group of ranks in lock-step on one expert map.
+/// An expert-parallel group: ranks that run each forward pass in lock-step on one expert map.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub name: Arc<str>,
-    /// The entry it serves.
+    /// Name of the entry that the group serves.
     pub entry: Arc<str>,
-    /// Ranks in the group.
+    /// Number of ranks.
     pub ranks: u32,
-    /// Experts in each layer.
+    /// Number of experts in each layer.
     pub experts: u32,
-    /// Expert slots on each rank.
+    /// Number of expert slots on each rank.
     pub slots_per_rank: u32,
-    /// What a percent of step-time skew costs the owner.
+    /// Cost to the owner of one percent of step-time skew.
     pub skew_weight: f64,
-    /// What a second of rebalancing costs the owner.
+    /// Cost to the owner of one second of rebalancing.
     pub cost_weight: f64,
 }
 
-/// Everything in force.
+/// All valid catalogue items.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Catalogue {
     /// Entries by name.
@@ -188,7 +188,7 @@
     latency_percent: 95.0,
 };
 
-/// One item in its checked form.
+/// One validated catalogue item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CatalogueItem {
     /// An entry.
@@ -200,11 +200,11 @@
 }
 
 impl Catalogue {
-    /// Checks a whole catalogue file.
+    /// Parses and validates a catalogue file.
     ///
     /// # Errors
     ///
-    /// Names the first line that is not allowed, and the remedy.
+    /// On the first invalid line; the error names the line and how to correct it.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let mut catalogue = Self::default();
         for section in &IniFile::parse(text)?.sections {
@@ -213,7 +213,7 @@
         Ok(catalogue)
     }
 
-    /// Puts an item in, in place of the one of its name.
+    /// Inserts an item. It replaces an item of the same kind and name.
     pub fn insert(&mut self, item: CatalogueItem) {
         match item {
             CatalogueItem::Entry(entry) => {
@@ -228,28 +228,33 @@
         }
     }
 
-    /// The entry that serves `path` as a plain service.
+    /// Returns the plain service with the longest path prefix of `path`.
     #[must_use]
     pub fn entry_for_path(&self, path: &str) -> Option<&Entry> {
         self.entries
             .values()
-            .filter(|entry| entry.path.as_deref().is_some_and(|own| under(path, own)))
-            .max_by_key(|entry| entry.path.as_ref().map_or(0, |own| own.len()))
+            .filter(|entry| {
+                entry
+                    .path
+                    .as_deref()
+                    .is_some_and(|prefix| is_under(path, prefix))
+            })
+            .max_by_key(|entry| entry.path.as_ref().map_or(0, |prefix| prefix.len()))
     }
 
-    /// The account whose bearer key has this digest.
+    /// Returns the account whose bearer key has this SHA-256 digest.
     #[must_use]
     pub fn account_by_key(&self, key_sha256: &[u8; 32]) -> Option<&Account> {
-        // Digests are compared, not keys, so a timing difference tells
-        // nothing about a key that would also hash to the same prefix.
+        // The comparison does not run in constant time, but it is of digests: a timing difference
+        // may reveal the start of a digest, which does not help to find a key.
         self.accounts
             .values()
             .find(|account| &account.key_sha256 == key_sha256)
     }
 }
 
-/// Whether `path` is `prefix` or below it.
-fn under(path: &str, prefix: &str) -> bool {
+/// Whether `path` equals `prefix` or is below it.
+fn is_under(path: &str, prefix: &str) -> bool {
     match path.strip_prefix(prefix) {
         Some(rest) => rest.is_empty() || rest.starts_with(['/', '?']),
         None => false,
@@ -257,11 +262,11 @@
 }
 
 impl CatalogueItem {
-    /// Checks one section of a catalogue file.
+    /// Parses and validates one section of a catalogue file.
     ///
     /// # Errors
     ///
-    /// Names the first line that is not allowed, and the remedy.
+    /// On the first invalid line; the error names the line and how to correct it.
     pub fn parse(section: &Section) -> Result<Self, IniError> {
         let id: ItemId = section
             .title
@@ -278,11 +283,12 @@
         }
     }
 
-    /// Checks the stored settings of an item.
+    /// Parses and validates the stored settings of an item. Line numbers in errors count from the
+    /// section title, as if the item were printed alone.
     ///
     /// # Errors
     ///
-    /// Names the setting that is not allowed, and the remedy.
+    /// If a setting is invalid; the error names the setting and how to correct it.
     pub fn from_settings(
         id: &ItemId,
         settings: &IndexMap<Arc<str>, Arc<str>>,
@@ -306,12 +312,12 @@
 
 fn parse_entry(name: Arc<str>, section: &Section) -> Result<Entry, IniError> {
     section.reject_unknown_settings(&ENTRY_SETTINGS)?;
-    let kind = one_of(
+    let kind = parse_choice(
         section,
         "kind",
         &[("model", EntryKind::Model), ("plain", EntryKind::Plain)],
     )?;
-    let class = one_of(
+    let class = parse_choice(
         section,
         "class",
         &[
@@ -320,12 +326,12 @@
             ("critical", PriorityClass::Critical),
         ],
     )?;
-    let repeat = one_of(
+    let repeat = parse_choice(
         section,
         "repeat",
         &[("safe", RetryPolicy::Safe), ("never", RetryPolicy::Never)],
     )?;
-    let resume = one_of(section, "resume", &[("no", false), ("yes", true)])?;
+    let resume = parse_choice(section, "resume", &[("no", false), ("yes", true)])?;
     Ok(Entry {
         name,
         owner: Arc::clone(&section.required("owner")?.value),
@@ -335,9 +341,9 @@
         repeat,
         resume,
         limits: parse_limits(section)?,
-        deadline_ms: positive(section, "deadline_ms", DEFAULT_DEADLINE_MS)?,
-        start_within_ms: positive(section, "start_within_ms", DEFAULT_START_WITHIN_MS)?,
-        retry_percent: whole(section, "retry_percent", DEFAULT_RETRY_PERCENT)?,
+        deadline_ms: parse_positive_ms(section, "deadline_ms", DEFAULT_DEADLINE_MS)?,
+        start_within_ms: parse_positive_ms(section, "start_within_ms", DEFAULT_START_WITHIN_MS)?,
+        retry_percent: parse_count(section, "retry_percent", DEFAULT_RETRY_PERCENT)?,
         objectives: parse_objectives(section)?,
     })
 }
@@ -361,21 +367,25 @@
 }
 
 fn is_plain_path(path: &str) -> bool {
-    let reserved = under(path, "/v1") || under(path, "/healthz") || under(path, "/readyz");
+    let reserved = is_under(path, "/v1") || is_under(path, "/healthz") || is_under(path, "/readyz");
     path.len() > 1 && path.starts_with('/') && !path.ends_with('/') && !reserved
 }
 
 fn parse_objectives(section: &Section) -> Result<Objectives, IniError> {
     let defaults = DEFAULT_OBJECTIVES;
     Ok(Objectives {
-        availability_percent: percent(
+        availability_percent: parse_percent(
             section,
             "objective_availability_percent",
             defaults.availability_percent,
         )?,
-        first_token_ms: positive(section, "objective_first_token_ms", defaults.first_token_ms)?,
-        token_gap_ms: positive(section, "objective_token_gap_ms", defaults.token_gap_ms)?,
-        latency_percent: percent(
+        first_token_ms: parse_positive_ms(
+            section,
+            "objective_first_token_ms",
+            defaults.first_token_ms,
+        )?,
+        token_gap_ms: parse_positive_ms(section, "objective_token_gap_ms", defaults.token_gap_ms)?,
+        latency_percent: parse_percent(
             section,
             "objective_latency_percent",
             defaults.latency_percent,
@@ -396,22 +406,23 @@
     Ok(Account {
         name,
         owner: Arc::clone(&section.required("owner")?.value),
-        key_sha256: parse_digest(section)?,
+        key_sha256: parse_key_digest(section)?,
         entries,
         limits: parse_limits(section)?,
     })
 }
 
-fn parse_digest(section: &Section) -> Result<[u8; 32], IniError> {
+fn parse_key_digest(section: &Section) -> Result<[u8; 32], IniError> {
     let setting = section.required("key_sha256")?;
-    let bad = || section.invalid_value(setting, "write the SHA-256 of the key as 64 hex digits");
+    let invalid =
+        || section.invalid_value(setting, "write the SHA-256 of the key as 64 hex digits");
     if setting.value.len() != 64 || !setting.value.is_ascii() {
-        return Err(bad());
+        return Err(invalid());
     }
     let mut digest = [0; 32];
     for (index, byte) in digest.iter_mut().enumerate() {
         let digits = &setting.value[index * 2..index * 2 + 2];
-        *byte = u8::from_str_radix(digits, 16).map_err(|_| bad())?;
+        *byte = u8::from_str_radix(digits, 16).map_err(|_| invalid())?;
     }
     Ok(digest)
 }
@@ -440,17 +451,17 @@
 
 fn parse_limits(section: &Section) -> Result<Limits, IniError> {
     Ok(Limits {
-        concurrency: whole(section, "concurrency", 0)?,
-        requests_per_second: whole(section, "requests_per_second", 0)?,
-        tokens_per_second: whole(section, "tokens_per_second", 0)?,
+        concurrency: parse_count(section, "concurrency", 0)?,
+        requests_per_second: parse_count(section, "requests_per_second", 0)?,
+        tokens_per_second: parse_count(section, "tokens_per_second", 0)?,
     })
 }
 
-fn whole(section: &Section, name: &str, default: u32) -> Result<u32, IniError> {
-    section.parse_or(name, default, "write a whole number; 0 stands for no bound")
+fn parse_count(section: &Section, name: &str, default: u32) -> Result<u32, IniError> {
+    section.parse_or(name, default, "write a whole number; 0 means no limit")
 }
 
-fn positive(section: &Section, name: &str, default: u64) -> Result<u64, IniError> {
+fn parse_positive_ms(section: &Section, name: &str, default: u64) -> Result<u64, IniError> {
     let remedy = "write a whole number of milliseconds, at least 1";
     let value = section.parse_or(name, default, remedy)?;
     match section.get(name) {
@@ -459,8 +470,8 @@
     }
 }
 
-fn percent(section: &Section, name: &str, default: f64) -> Result<f64, IniError> {
-    let remedy = "write a share in percent, over 0 and under 100, such as 99.9";
+fn parse_percent(section: &Section, name: &str, default: f64) -> Result<f64, IniError> {
+    let remedy = "write a percentage above 0 and below 100, such as 99.9";
     let value = section.parse_or(name, default, remedy)?;
     match section.get(name) {
         Some(setting) if !(value > 0.0 && value < 100.0) => {
@@ -470,8 +481,12 @@
     }
 }
 
-/// A setting with named choices; the first is the default.
-fn one_of<T: Copy>(section: &Section, name: &str, choices: &[(&str, T)]) -> Result<T, IniError> {
+/// Parses a setting with a fixed set of values. The first choice is the default.
+fn parse_choice<T: Copy>(
+    section: &Section,
+    name: &str,
+    choices: &[(&str, T)],
+) -> Result<T, IniError> {
     let Some(setting) = section.get(name) else {
         return Ok(choices[0].1);
     };
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -1,5 +1,5 @@
-//! Changes to the catalogue: what is in force, what an operator wants, and
-//! the documents that lead from one to the other.
+//! Changes to the catalogue: the stored state, the state that an operator's file describes, and
+//! the new document versions that lead from one to the other.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -11,105 +11,109 @@
 use crate::document::{Document, ItemId, VersionKey};
 use crate::ini_file::{IniError, IniFile};
 
-/// An item's settings as written.
+/// Settings of an item as written in a catalogue file, in the order of the file.
 pub type ItemSettings = IndexMap<Arc<str>, Arc<str>>;
 
-/// Changes in one transaction at most; the key-value service bounds it.
+/// Maximum number of item changes in one transaction. The key-value service limits the size of a
+/// transaction.
 pub const MAX_CHANGES_PER_TRANSACTION: usize = 40;
 
-/// Old versions kept of each item, for `berylhook catalogue history`.
+/// Number of old versions retained for each item, for `berylhook catalogue history`.
 pub const RETAINED_VERSIONS: u64 = 10;
 
-/// Begins the line that names the revision a file was read at.
+/// Start of the comment line that holds the store revision at which a file was read.
 const REVISION_LINE: &str = "# revision ";
 
-/// Why a file cannot be applied.
+/// Reason why a catalogue file cannot be applied.
 #[derive(Debug, Error, PartialEq)]
 pub enum ChangeError {
-    /// The file is not valid.
+    /// The file is not a valid catalogue.
     #[error(transparent)]
     Invalid(#[from] IniError),
-    /// An item speaks of an entry that is not there.
+    /// An item refers to an entry that the file does not define.
     #[error(
         "{item} names the entry `{entry}`, which is not in the file; add it or correct the name"
     )]
     UnknownEntry {
-        /// The item.
+        /// Item that holds the reference.
         item: String,
-        /// The entry it names.
+        /// Name of the missing entry.
         entry: String,
     },
-    /// Two entries want the same path.
-    #[error("entries {first} and {second} both have the path {path}; give one another path")]
+    /// Two entries have the same path.
+    #[error(
+        "entries {first} and {second} both have the path {path}; change the path of one of them"
+    )]
     DuplicatePath {
-        /// One entry.
+        /// Entry that comes first in the file.
         first: String,
-        /// The other.
+        /// Entry that repeats the path.
         second: String,
-        /// The path.
+        /// The path of both entries.
         path: String,
     },
-    /// Items are missing, and removal was not asked for.
+    /// A stored item is missing from the file, and removal was not requested.
     #[error("the file lacks {0}, which is in force; add it, or say --remove to remove it")]
     WouldRemove(String),
-    /// Too many changes for one transaction.
+    /// More changes than [`MAX_CHANGES_PER_TRANSACTION`].
     #[error(
-        "the file changes {0} items, over the {MAX_CHANGES_PER_TRANSACTION} of one transaction; apply it in parts"
+        "the file changes {0} items, more than the {MAX_CHANGES_PER_TRANSACTION} of one \
+         transaction; apply it in parts"
     )]
     TooManyChanges(usize),
 }
 
-/// An item in force.
+/// The current state of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CurrentItem {
-    /// Its version; the highest valid one.
+    /// Highest valid version; 0 if there is none.
     pub version: u64,
-    /// The highest version stored, valid or not.
+    /// Highest stored version, valid or not. The next version follows this one.
     pub highest_stored_version: u64,
-    /// Its settings; nothing where it was removed.
+    /// Settings of the current version; `None` if the item was removed or has no valid version.
     pub settings: Option<ItemSettings>,
 }
 
-/// Everything stored, reduced to what is in force.
+/// The current state of all items, built from all stored versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredCatalogue {
-    /// Items by name.
+    /// Items by kind and name, including removed ones.
     pub items: IndexMap<ItemId, CurrentItem>,
 }
 
-/// One change.
+/// A new version of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemChange {
-    /// The item.
+    /// Item to change.
     pub id: ItemId,
-    /// The version it gets.
+    /// Version number of the change.
     pub version: u64,
-    /// Its settings from then on; nothing removes it.
+    /// New settings; `None` removes the item.
     pub settings: Option<ItemSettings>,
 }
 
 impl StoredCatalogue {
-    /// Adds a stored version; an invalid one is never in force.
+    /// Adds a stored version. An invalid version never becomes the current one.
     pub fn add(&mut self, key: VersionKey, value: &[u8]) {
-        let checked = serde_json::from_slice::<Document>(value)
+        let valid_document = serde_json::from_slice::<Document>(value)
             .ok()
             .filter(|document| is_valid(&key.id, document));
-        let known = self.items.entry(key.id).or_insert(CurrentItem {
+        let current = self.items.entry(key.id).or_insert(CurrentItem {
             version: 0,
             highest_stored_version: 0,
             settings: None,
         });
-        known.highest_stored_version = known.highest_stored_version.max(key.version);
-        match checked {
-            Some(document) if key.version > known.version => {
-                known.version = key.version;
-                known.settings = document.settings;
+        current.highest_stored_version = current.highest_stored_version.max(key.version);
+        match valid_document {
+            Some(document) if key.version > current.version => {
+                current.version = key.version;
+                current.settings = document.settings;
             }
             _ => {}
         }
     }
 
-    /// The catalogue as a file that `apply` takes.
+    /// Formats the catalogue as a file that `berylhook catalogue apply` accepts.
     #[must_use]
     pub fn to_ini(&self, revision: i64) -> String {
         let mut text = format!("{REVISION_LINE}{revision}\n");
@@ -123,29 +127,30 @@
         text
     }
 
-    /// The changes that lead to `wanted`.
+    /// Returns the changes that lead from the stored state to `desired`.
     ///
     /// # Errors
     ///
-    /// If there are too many, or items would be removed without `remove`.
+    /// If there are more than [`MAX_CHANGES_PER_TRANSACTION`] changes, or if items would be removed
+    /// and `remove` is not set.
     pub fn changes_to(
         &self,
-        wanted: &IndexMap<ItemId, ItemSettings>,
+        desired: &IndexMap<ItemId, ItemSettings>,
         remove: bool,
     ) -> Result<Vec<ItemChange>, ChangeError> {
         let mut changes = Vec::new();
-        for (id, settings) in wanted {
-            let known = self.items.get(id);
-            if known.and_then(|known| known.settings.as_ref()) != Some(settings) {
-                changes.push(self.change(id, Some(settings.clone())));
+        for (id, settings) in desired {
+            let current = self.items.get(id);
+            if current.and_then(|current| current.settings.as_ref()) != Some(settings) {
+                changes.push(self.next_version(id, Some(settings.clone())));
             }
         }
-        for (id, known) in &self.items {
-            match known.settings {
-                Some(_) if !wanted.contains_key(id) && !remove => {
+        for (id, current) in &self.items {
+            match current.settings {
+                Some(_) if !desired.contains_key(id) && !remove => {
                     return Err(ChangeError::WouldRemove(id.to_string()));
                 }
-                Some(_) if !wanted.contains_key(id) => changes.push(self.change(id, None)),
+                Some(_) if !desired.contains_key(id) => changes.push(self.next_version(id, None)),
                 _ => {}
             }
         }
@@ -155,14 +160,14 @@
         Ok(changes)
     }
 
-    fn change(&self, id: &ItemId, settings: Option<ItemSettings>) -> ItemChange {
-        let highest = self
+    fn next_version(&self, id: &ItemId, settings: Option<ItemSettings>) -> ItemChange {
+        let highest_version = self
             .items
             .get(id)
-            .map_or(0, |known| known.highest_stored_version);
+            .map_or(0, |current| current.highest_stored_version);
         ItemChange {
             id: id.clone(),
-            version: highest + 1,
+            version: highest_version + 1,
             settings,
         }
     }
@@ -182,7 +187,7 @@
     }
 }
 
-/// The revision that a file says it was read at.
+/// Returns the store revision at which the catalogue in the file was read, if the file names it.
 #[must_use]
 pub fn base_revision(text: &str) -> Option<i64> {
     text.lines()
@@ -190,43 +195,44 @@
         .and_then(|revision| revision.trim().parse().ok())
 }
 
-/// Checks a file and gives its items as written.
+/// Validates a catalogue file and returns its items as written.
 ///
 /// # Errors
 ///
-/// If an item is not valid by itself, or does not fit the others.
+/// If an item is invalid, refers to an entry that is not in the file, or repeats the path of
+/// another entry.
 pub fn parse_desired(text: &str) -> Result<IndexMap<ItemId, ItemSettings>, ChangeError> {
     let catalogue = Catalogue::parse(text)?;
     check_references(&catalogue)?;
     check_paths(&catalogue)?;
-    let mut wanted = IndexMap::new();
+    let mut desired = IndexMap::new();
     for section in IniFile::parse(text)?.sections {
         let Ok(id) = section.title.parse() else {
-            continue; // cannot be: the catalogue has parsed
+            continue; // unreachable: `Catalogue::parse` accepted every title
         };
         let settings = section
             .settings
             .into_iter()
             .map(|setting| (setting.name, setting.value))
             .collect();
-        wanted.insert(id, settings);
+        desired.insert(id, settings);
     }
-    Ok(wanted)
+    Ok(desired)
 }
 
 fn check_references(catalogue: &Catalogue) -> Result<(), ChangeError> {
-    let of_accounts = catalogue.accounts.values().flat_map(|account| {
+    let account_references = catalogue.accounts.values().flat_map(|account| {
         let item = format!("account {}", account.name);
         account
             .entries
             .iter()
             .map(move |entry| (item.clone(), entry))
     });
-    let of_groups = catalogue
+    let group_references = catalogue
         .groups
         .values()
         .map(|group| (format!("group {}", group.name), &group.entry));
-    for (item, entry) in of_accounts.chain(of_groups) {
+    for (item, entry) in account_references.chain(group_references) {
         if !catalogue.entries.contains_key(entry) {
             return Err(ChangeError::UnknownEntry {
                 item,
@@ -238,12 +244,12 @@
 }
 
 fn check_paths(catalogue: &Catalogue) -> Result<(), ChangeError> {
-    let mut by_path = IndexMap::new();
+    let mut entry_by_path = IndexMap::new();
     for entry in catalogue.entries.values() {
         let Some(path) = &entry.path else {
             continue;
         };
-        if let Some(first) = by_path.insert(Arc::clone(path), Arc::clone(&entry.name)) {
+        if let Some(first) = entry_by_path.insert(Arc::clone(path), Arc::clone(&entry.name)) {
             return Err(ChangeError::DuplicatePath {
                 first: first.to_string(),
                 second: entry.name.to_string(),
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -1,10 +1,10 @@
-//! Catalogue items as they are stored and passed between processes.
+//! Catalogue items as they are stored and sent between processes.
 //!
-//! Each accepted version of an item is a document of its own under
-//! `berylhook/catalogue/<kind>/<name>/<version>`, created once and never
-//! rewritten. A value that was written past the checks therefore hides
-//! nothing: the highest version that is *valid* is in force, also for a
-//! process that is born later and has only the service to ask.
+//! Each accepted version of an item is a separate document under
+//! `berylhook/catalogue/<kind>/<name>/<version>`, which is created once and never rewritten. A
+//! value that was written without validation therefore hides no earlier version: the current
+//! version is the highest *valid* one, also for a process that starts later and reads only the
+//! key-value service.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,28 +14,29 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Where the documents are kept.
+/// Prefix of the keys of all documents in the key-value service.
 pub const CATALOGUE_PREFIX: &str = "berylhook/catalogue/";
 
+/// Zero-padding makes the versions of an item sort by number.
 const VERSION_DIGITS: usize = 10;
 
-/// The kinds of catalogue items.
+/// Kind of a catalogue item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ItemKind {
-    /// A model or plain service.
+    /// A model or plain HTTP service.
     Entry,
     /// A client account.
     Account,
-    /// A group of ranks in lock-step.
+    /// An expert-parallel group of ranks.
     Group,
 }
 
 impl ItemKind {
-    /// All kinds.
+    /// All kinds, in the order of the variants.
     pub const ALL: [Self; 3] = [Self::Entry, Self::Account, Self::Group];
 
-    /// The name in section titles and keys.
+    /// Returns the name used in section titles and stored keys.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -46,16 +47,16 @@
     }
 }
 
-/// Names an item across its versions.
+/// Identifies a catalogue item, independent of its version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ItemId {
-    /// What it is.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Its name.
+    /// Name of the item, unique within its kind.
     pub name: Arc<str>,
 }
 
-/// The text names no catalogue item.
+/// The text is not the identifier of a catalogue item.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` names no catalogue item; write `entry NAME`, `account NAME` or `group NAME`")]
 pub struct ParseItemIdError(String);
@@ -64,15 +65,15 @@
     type Err = ParseItemIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || ParseItemIdError(text.to_owned());
-        let (kind, name) = text.split_once([' ', '/']).ok_or_else(bad)?;
+        let invalid = || ParseItemIdError(text.to_owned());
+        let (kind, name) = text.split_once([' ', '/']).ok_or_else(invalid)?;
         let kind = ItemKind::ALL
             .into_iter()
             .find(|known| known.as_str() == kind)
-            .ok_or_else(bad)?;
+            .ok_or_else(invalid)?;
         let name = name.trim();
-        if !is_name(name) {
-            return Err(bad());
+        if !is_valid_name(name) {
+            return Err(invalid());
         }
         Ok(Self {
             kind,
@@ -81,8 +82,8 @@
     }
 }
 
-/// Names become parts of keys, paths and metric names.
-fn is_name(name: &str) -> bool {
+/// Restricts names to characters that are safe in stored keys, paths and metric names.
+fn is_valid_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !name.is_empty() && name.len() <= 64 && name.chars().all(allowed)
 }
@@ -93,21 +94,21 @@
     }
 }
 
-/// One version of one item.
+/// One version of one catalogue item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Drawn by the operator's command, to find a write whose answer was
-    /// lost.
+    /// Random identifier set by the operator's command. It tells the command whether a write was
+    /// applied when the response to the write was lost.
     pub change_id: Arc<str>,
-    /// Who applied it.
+    /// Operator who applied the change.
     pub author: Arc<str>,
-    /// When, by the author's clock; for people only.
+    /// Time of the change by the author's clock. Shown to operators; no decision depends on it.
     pub applied_unix_ms: u64,
-    /// The settings, or nothing where the item was removed.
+    /// Settings of the item; `None` if this version removes it.
     pub settings: Option<IndexMap<Arc<str>, Arc<str>>>,
 }
 
-/// The key of a version of an item.
+/// Returns the key under which a version of an item is stored.
 #[must_use]
 pub fn version_key(id: &ItemId, version: u64) -> Arc<str> {
     let kind = id.kind.as_str();
@@ -115,7 +116,7 @@
     format!("{CATALOGUE_PREFIX}{kind}/{name}/{version:0VERSION_DIGITS$}").into()
 }
 
-/// Reads a key back; `None` if it is no key of the catalogue.
+/// Parses a stored key; `None` if it is not the key of a catalogue document.
 #[must_use]
 pub fn parse_version_key(key: &str) -> Option<VersionKey> {
     let rest = key.strip_prefix(CATALOGUE_PREFIX)?;
@@ -126,18 +127,19 @@
     })
 }
 
-/// A key taken apart.
+/// The components of the stored key of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionKey {
-    /// The item.
+    /// Item that the document belongs to.
     pub id: ItemId,
-    /// The version, from 1.
+    /// Version of the item, counted from 1.
     pub version: u64,
 }
 
-/// Rewritten by every accepted change, so that one small read tells whether
-/// anything has changed.
+/// Key that every accepted change rewrites, so that one small read shows whether the catalogue has
+/// changed.
 pub const CATALOGUE_HEAD_KEY: &str = "berylhook/catalogue-head";
 
-/// Names the entry that splits the limits; bound to its lease.
+/// Key that holds the name of the limits' home, the entry process that divides the traffic limits
+/// among all entry processes. The key is bound to that process's lease.
 pub const LIMITS_HOME_KEY: &str = "berylhook/limits-home";
--- a/crates/operator/src/ini_file.rs
+++ b/crates/operator/src/ini_file.rs
@@ -1,4 +1,4 @@
-//! INI with line numbers and errors that name the remedy.
+//! INI parsing with line numbers, and errors that say how to correct the file.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -8,70 +8,70 @@
 use ini::Ini;
 use thiserror::Error;
 
-/// How alike two names must be for one to be suggested for the other.
-const SUGGEST_FROM: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity at which a known name is suggested for an unknown one.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.7;
 
-/// What is wrong with an INI file.
+/// Error in an INI file.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IniError {
-    /// The text is no INI.
+    /// The text is not valid INI.
     #[error("line {line}: {message}; write `[section]` lines and `setting = value` lines")]
     Syntax {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser said.
+        /// Message of the INI parser.
         message: String,
     },
-    /// A section that is not known here.
+    /// The section is not known in this kind of file.
     #[error("line {line}: unknown section [{section}]{hint}")]
     UnknownSection {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The section.
+        /// Title of the section.
         section: String,
-        /// The remedy.
+        /// Suggestion, appended to the message.
         hint: String,
     },
-    /// A setting that is not known in its section.
+    /// The setting is not known in its section.
     #[error("line {line}: unknown setting `{setting}` in [{section}]{hint}")]
     UnknownSetting {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The section.
+        /// Title of the section.
         section: String,
-        /// The setting.
+        /// Name of the setting.
         setting: String,
-        /// The remedy.
+        /// Suggestion, appended to the message.
         hint: String,
     },
-    /// The same section or setting twice.
+    /// A section, or a setting of a section, occurs twice.
     #[error("line {line}: {item} is given twice; keep one of the two")]
     Duplicate {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Section or setting.
+        /// Description of the repeated section or setting.
         item: String,
     },
-    /// A setting that must be there.
+    /// A required setting is missing.
     #[error("line {line}: [{section}] lacks `{setting}`; add a line `{setting} = ...`")]
     Missing {
-        /// Line of the section, from 1.
+        /// Line number of the section, from 1.
         line: usize,
-        /// The section.
+        /// Title of the section.
         section: String,
-        /// The setting.
+        /// Name of the setting.
         setting: String,
     },
-    /// A value that is not allowed.
+    /// The value of a setting is not allowed.
     #[error("line {line}: `{setting} = {value}` in [{section}]: {remedy}")]
     InvalidValue {
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The section.
+        /// Title of the section.
         section: String,
-        /// The setting.
+        /// Name of the setting.
         setting: String,
-        /// The value.
+        /// The rejected value.
         value: String,
         /// What to write instead.
         remedy: String,
@@ -79,7 +79,7 @@
 }
 
 impl IniError {
-    /// The line the error is on, from 1.
+    /// Returns the line of the error, counted from 1.
     #[must_use]
     pub fn line(&self) -> usize {
         match self {
@@ -93,41 +93,41 @@
     }
 }
 
-/// A parsed file: its sections in order.
+/// A parsed INI file.
 #[derive(Debug, Default)]
 pub struct IniFile {
-    /// The sections.
+    /// Sections in the order of the file.
     pub sections: Vec<Section>,
 }
 
-/// One section.
+/// A section of an INI file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Section {
-    /// The text between the brackets.
+    /// Text between the brackets.
     pub title: Arc<str>,
     /// Line of the title, from 1.
     pub line: usize,
-    /// The settings in order.
+    /// Settings in the order of the file.
     pub settings: Vec<Setting>,
 }
 
 /// One `setting = value` line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Setting {
-    /// The name.
+    /// Text before the `=`.
     pub name: Arc<str>,
-    /// The value.
+    /// Text after the `=`.
     pub value: Arc<str>,
-    /// Its line, from 1.
+    /// Line of the setting, from 1.
     pub line: usize,
 }
 
 impl IniFile {
-    /// Parses `text`.
+    /// Parses `text` and records the line of each section and setting.
     ///
     /// # Errors
     ///
-    /// If the text is no INI, or a section or setting stands twice.
+    /// If the text is not valid INI, or a section or setting occurs twice.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let ini = Ini::load_from_str(text).map_err(|error| IniError::Syntax {
             line: error.line,
@@ -145,20 +145,20 @@
                 settings.push(Setting {
                     name: name.into(),
                     value: value.into(),
-                    line: lines.setting(title, name),
+                    line: lines.setting_line(title, name),
                 });
             }
             file.sections.push(Section {
                 title: title.into(),
-                line: lines.section(title),
+                line: lines.section_line(title),
                 settings,
             });
         }
-        lines.reject_twice()?;
+        lines.reject_duplicates()?;
         Ok(file)
     }
 
-    /// The section of that title.
+    /// Returns the section with this title.
     #[must_use]
     pub fn section(&self, title: &str) -> Option<&Section> {
         self.sections
@@ -166,18 +166,18 @@
             .find(|section| &*section.title == title)
     }
 
-    /// Fails on any section whose title `known` does not hold.
+    /// Fails if the title of any section is not in `known`.
     ///
     /// # Errors
     ///
-    /// Names the first unknown section and the nearest known one.
+    /// Names the first unknown section and the most similar known title.
     pub fn reject_unknown_sections(&self, known: &[&str]) -> Result<(), IniError> {
         for section in &self.sections {
             if !known.contains(&&*section.title) {
                 return Err(IniError::UnknownSection {
                     line: section.line,
                     section: section.title.to_string(),
-                    hint: hint(&section.title, known),
+                    hint: suggestion(&section.title, known),
                 });
             }
         }
@@ -186,11 +186,11 @@
 }
 
 impl Section {
-    /// Fails on any setting whose name `known` does not hold.
+    /// Fails if the name of any setting is not in `known`.
     ///
     /// # Errors
     ///
-    /// Names the first unknown setting and the nearest known one.
+    /// Names the first unknown setting and the most similar known name.
     pub fn reject_unknown_settings(&self, known: &[&str]) -> Result<(), IniError> {
         for setting in &self.settings {
             if !known.contains(&&*setting.name) {
@@ -198,24 +198,24 @@
                     line: setting.line,
                     section: self.title.to_string(),
                     setting: setting.name.to_string(),
-                    hint: hint(&setting.name, known),
+                    hint: suggestion(&setting.name, known),
                 });
             }
         }
         Ok(())
     }
 
-    /// The value of a setting, if it is there.
+    /// Returns a setting by name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Setting> {
         self.settings.iter().find(|setting| &*setting.name == name)
     }
 
-    /// The value of a setting that must be there.
+    /// Returns a required setting by name.
     ///
     /// # Errors
     ///
-    /// If it is not there.
+    /// If the section lacks the setting.
     pub fn required(&self, name: &str) -> Result<&Setting, IniError> {
         self.get(name).ok_or_else(|| IniError::Missing {
             line: self.line,
@@ -224,11 +224,11 @@
         })
     }
 
-    /// A value read by its type's own parser, or `default`.
+    /// Parses an optional setting with [`FromStr`]; returns `default` if it is missing.
     ///
     /// # Errors
     ///
-    /// If it is there and cannot be read; `remedy` says what to write.
+    /// If the value cannot be parsed; `remedy` tells the operator what to write.
     pub fn parse_or<T: FromStr>(
         &self,
         name: &str,
@@ -241,11 +241,12 @@
         }
     }
 
-    /// A required value read by its type's own parser.
+    /// Parses a required setting with [`FromStr`].
     ///
     /// # Errors
     ///
-    /// If it is missing or cannot be read; `remedy` says what to write.
+    /// If the setting is missing or its value cannot be parsed; `remedy` tells the operator what to
+    /// write.
     pub fn parse<T: FromStr>(&self, name: &str, remedy: &str) -> Result<T, IniError> {
         self.parse_value(self.required(name)?, remedy)
     }
@@ -257,7 +258,7 @@
             .map_err(|_| self.invalid_value(setting, remedy))
     }
 
-    /// The error for a value that is not allowed.
+    /// Builds the error for a value that is not allowed.
     #[must_use]
     pub fn invalid_value(&self, setting: &Setting, remedy: impl Display) -> IniError {
         IniError::InvalidValue {
@@ -270,26 +271,25 @@
     }
 }
 
-fn hint(name: &str, known: &[&str]) -> String {
+fn suggestion(name: &str, known: &[&str]) -> String {
     let nearest = known
         .iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
         .max_by(|a, b| a.0.total_cmp(&b.0));
     match nearest {
-        Some((alike, candidate)) if alike >= SUGGEST_FROM => {
+        Some((similarity, candidate)) if similarity >= MIN_SUGGESTION_SIMILARITY => {
             format!("; did you mean `{candidate}`?")
         }
-        _ => format!("; known are {}", known.join(", ")),
+        _ => format!("; known names are {}", known.join(", ")),
     }
 }
 
-/// Where each section and setting stands. The INI library gives no lines for
-/// what it has parsed.
+/// Line numbers of all sections and settings. The INI library does not report them.
 struct LineIndex {
-    entries: Vec<Place>,
+    entries: Vec<LineEntry>,
 }
 
-struct Place {
+struct LineEntry {
     section: String,
     setting: Option<String>,
     line: usize,
@@ -298,7 +298,7 @@
 impl LineIndex {
     fn new(text: &str) -> Self {
         let mut entries = Vec::new();
-        let mut current = String::new();
+        let mut current_section = String::new();
         for (index, line) in text.lines().enumerate() {
             let line_number = index + 1;
             let line = line.trim();
@@ -306,15 +306,18 @@
                 continue;
             }
             if let Some(title) = line.strip_prefix('[') {
-                title.trim_end_matches(']').trim().clone_into(&mut current);
-                entries.push(Place {
-                    section: current.clone(),
+                title
+                    .trim_end_matches(']')
+                    .trim()
+                    .clone_into(&mut current_section);
+                entries.push(LineEntry {
+                    section: current_section.clone(),
                     setting: None,
                     line: line_number,
                 });
             } else if let Some((name, _)) = line.split_once(['=', ':']) {
-                entries.push(Place {
-                    section: current.clone(),
+                entries.push(LineEntry {
+                    section: current_section.clone(),
                     setting: Some(name.trim().to_owned()),
                     line: line_number,
                 });
@@ -323,31 +326,31 @@
         Self { entries }
     }
 
-    fn section(&self, title: &str) -> usize {
-        self.find(title, None)
+    fn section_line(&self, title: &str) -> usize {
+        self.line_of(title, None)
     }
 
-    fn setting(&self, title: &str, name: &str) -> usize {
-        self.find(title, Some(name))
+    fn setting_line(&self, title: &str, name: &str) -> usize {
+        self.line_of(title, Some(name))
     }
 
-    fn find(&self, title: &str, name: Option<&str>) -> usize {
+    fn line_of(&self, title: &str, name: Option<&str>) -> usize {
         self.entries
             .iter()
-            .find(|place| place.section == title && place.setting.as_deref() == name)
-            .map_or(1, |place| place.line)
+            .find(|entry| entry.section == title && entry.setting.as_deref() == name)
+            .map_or(1, |entry| entry.line)
     }
 
-    fn reject_twice(&self) -> Result<(), IniError> {
+    fn reject_duplicates(&self) -> Result<(), IniError> {
         let mut seen = BTreeSet::new();
-        for place in &self.entries {
-            if !seen.insert((&place.section, &place.setting)) {
-                let item = match &place.setting {
-                    Some(setting) => format!("`{setting}` in [{}]", place.section),
-                    None => format!("[{}]", place.section),
+        for entry in &self.entries {
+            if !seen.insert((&entry.section, &entry.setting)) {
+                let item = match &entry.setting {
+                    Some(setting) => format!("`{setting}` in [{}]", entry.section),
+                    None => format!("[{}]", entry.section),
                 };
                 return Err(IniError::Duplicate {
-                    line: place.line,
+                    line: entry.line,
                     item,
                 });
             }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,9 +1,10 @@
-//! What operators write: the catalogue, and the daemons' settings.
+//! Parsing and validation of the files that operators write: the catalogue of services and
+//! client accounts, and the settings of the daemons.
 //!
-//! Both are INI. Low-level parsing ([`ini_file`]) knows sections, settings
-//! and line numbers; the checked forms ([`catalogue`], [`settings`]) know
-//! what is allowed. Every error names the line, the setting and the remedy,
-//! and an unknown setting is an error that names the nearest known one.
+//! Both formats are INI. [`ini_file`] parses sections and settings and records their line
+//! numbers; [`catalogue`] and [`settings`] validate them and convert them to typed structs. Each
+//! error names the line, the setting and how to correct it. An unknown setting is an error that
+//! suggests the known setting with the most similar name.
 
 pub mod catalogue;
 pub mod change;
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemons' settings in their checked form.
+//! Validated settings of the daemons.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,63 +8,64 @@
 /// Settings of `berylhook serve`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// The process.
+    /// Identity of the process.
     pub node: Node,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where other entries connect for digests; an `nng` address.
+    /// Address on which other entry processes connect to compare catalogue digests, by `nng`.
     pub digest_listen: SocketAddr,
-    /// Threads that carry traffic, beside the one for control.
+    /// Number of threads that carry traffic, in addition to the control thread.
     pub traffic_threads: usize,
-    /// The platform.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Shared keys.
+    /// Secret keys shared by all processes.
     pub trust: Trust,
-    /// Logs.
+    /// Log output.
     pub logs: Logs,
-    /// Metrics.
+    /// Metrics output.
     pub metrics: Metrics,
-    /// Stop waiting for requests in flight after this; 0 waits for all.
+    /// Maximum time to wait for requests in flight when stopping; 0 waits without a limit.
     pub drain_bound_ms: u64,
-    /// How long to keep accepting after readiness went off.
+    /// How long to keep accepting requests after the readiness check reports not ready.
     pub drain_delay_ms: u64,
 }
 
 /// Settings of `berylhook-agent`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// The process.
+    /// Identity of the process.
     pub node: Node,
-    /// Where entries connect.
+    /// Address on which entries connect.
     pub listen: SocketAddr,
-    /// The target beside the agent.
+    /// Address of the target beside the agent.
     pub target: SocketAddr,
-    /// The catalogue entry the target serves.
+    /// Name of the catalogue entry that the target serves.
     pub service: Arc<str>,
-    /// Requests at a time; 0 stands for no bound.
+    /// Maximum number of concurrent requests; 0 means no limit.
     pub concurrency: u32,
-    /// The platform; its list of VMs is not used by the agent.
+    /// Addresses of the platform's services. The agent does not use the list of VMs.
     pub platform: Platform,
-    /// Shared keys.
+    /// Secret keys shared by all processes.
     pub trust: Trust,
-    /// Logs.
+    /// Log output.
     pub logs: Logs,
-    /// Time to live of the agent's lease on key shards.
+    /// Time to live of the agent's lease. While the lease is valid, the agent is the home of its
+    /// key shards: it keeps the records of their idempotency keys.
     pub lease_ttl_s: u32,
-    /// Stop waiting for requests in flight after this; 0 waits for all.
+    /// Maximum time to wait for requests in flight when stopping; 0 waits without a limit.
     pub drain_bound_ms: u64,
 }
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Its name; the VM's name in the platform's list.
+    /// Name of the process, equal to the VM's name in the platform's list.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: Arc<str>,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
     /// Base URL of the key-value service.
@@ -73,45 +74,45 @@
     pub vm_list: Arc<str>,
 }
 
-/// The keys that berylhook's processes share.
+/// Secret keys shared by berylhook's processes, by which they authenticate each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trust {
-    /// The key in use.
+    /// Key for connections that this process opens.
     pub key: Arc<str>,
-    /// A key still accepted during a rotation.
+    /// Second key that is also accepted, for key rotation.
     pub previous_key: Option<Arc<str>>,
 }
 
-/// Logs.
+/// Settings of the log output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Logs {
-    /// Level, such as `info`.
+    /// Minimum log level, such as `info`.
     pub level: Arc<str>,
-    /// One JSON object a line instead of text.
+    /// Whether to write one JSON object per line instead of text.
     pub json: bool,
 }
 
-/// Metrics.
+/// Settings of the metrics output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Metrics {
-    /// Where to send statsd datagrams; nowhere unless set.
+    /// Address to send statsd datagrams to; none are sent if unset.
     pub statsd: Option<SocketAddr>,
 }
 
-const ADDRESS_REMEDY: &str = "write an IP number and port, such as 127.0.0.1:8080";
+const ADDRESS_REMEDY: &str = "write an IP address and port, such as 127.0.0.1:8080";
 const MS_REMEDY: &str = "write a whole number of milliseconds";
 const DEFAULT_DRAIN_DELAY_MS: u64 = 5_000;
-/// Entry VMs are thin, and more threads mostly wake each other.
+/// Entry VMs are small; more threads mostly spend their time waking each other.
 const DEFAULT_TRAFFIC_THREADS: usize = 2;
 const DEFAULT_LEASE_TTL_S: u32 = 10;
 const MIN_LEASE_TTL_S: u32 = 2;
 
 impl EntrySettings {
-    /// Checks the settings file of an entry.
+    /// Parses and validates the settings file of an entry process.
     ///
     /// # Errors
     ///
-    /// Names the first line that is not allowed, and the remedy.
+    /// On the first invalid line; the error names the line and how to correct it.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
         file.reject_unknown_sections(&["entry", "platform", "trust", "logs", "metrics"])?;
@@ -129,7 +130,7 @@
             node: parse_node(section)?,
             listen: section.parse("listen", ADDRESS_REMEDY)?,
             digest_listen: section.parse("digest_listen", ADDRESS_REMEDY)?,
-            traffic_threads: parse_threads(section)?,
+            traffic_threads: parse_thread_count(section)?,
             platform: parse_platform(&file)?,
             trust: parse_trust(&file)?,
             logs: parse_logs(&file)?,
@@ -145,11 +146,11 @@
 }
 
 impl AgentSettings {
-    /// Checks the settings file of an agent.
+    /// Parses and validates the settings file of an agent.
     ///
     /// # Errors
     ///
-    /// Names the first line that is not allowed, and the remedy.
+    /// On the first invalid line; the error names the line and how to correct it.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
         file.reject_unknown_sections(&["agent", "platform", "trust", "logs"])?;
@@ -173,13 +174,13 @@
             platform: parse_platform(&file)?,
             trust: parse_trust(&file)?,
             logs: parse_logs(&file)?,
-            lease_ttl_s: parse_ttl(section)?,
+            lease_ttl_s: parse_lease_ttl(section)?,
             drain_bound_ms: section.parse_or("drain_bound_ms", 0, MS_REMEDY)?,
         })
     }
 }
 
-fn parse_threads(section: &Section) -> Result<usize, IniError> {
+fn parse_thread_count(section: &Section) -> Result<usize, IniError> {
     let remedy = "write a whole number of threads, from 1 to 64";
     let threads = section.parse_or("traffic_threads", DEFAULT_TRAFFIC_THREADS, remedy)?;
     match section.get("traffic_threads") {
@@ -190,7 +191,7 @@
     }
 }
 
-fn parse_ttl(section: &Section) -> Result<u32, IniError> {
+fn parse_lease_ttl(section: &Section) -> Result<u32, IniError> {
     let remedy = "write a whole number of seconds, at least 2";
     let ttl_s = section.parse_or("lease_ttl_s", DEFAULT_LEASE_TTL_S, remedy)?;
     match section.get("lease_ttl_s") {
@@ -249,12 +250,12 @@
     if setting.value.len() == 64 && is_hex {
         return Ok(Arc::clone(&setting.value));
     }
-    // The value is a secret, so the error does not repeat it.
-    let shown = crate::ini_file::Setting {
+    // The value is a secret, so it must not appear in the error.
+    let redacted = crate::ini_file::Setting {
         value: "...".into(),
         ..setting.clone()
     };
-    Err(section.invalid_value(&shown, "write 32 random bytes as 64 hex digits"))
+    Err(section.invalid_value(&redacted, "write 32 random bytes as 64 hex digits"))
 }
 
 fn parse_logs(file: &IniFile) -> Result<Logs, IniError> {
--- a/crates/operator/tests/errors.rs
+++ b/crates/operator/tests/errors.rs
@@ -1,5 +1,5 @@
-//! What operators are told about files that are not right. The exact text
-//! matters: it names the line, the setting and the remedy.
+//! Error messages for invalid files. The exact text matters to operators: it names the line, the
+//! setting and how to correct it.
 
 use berylhook_operator::change::{StoredCatalogue, parse_desired};
 use berylhook_operator::document::VersionKey;
@@ -10,14 +10,14 @@
 
 fn catalogue_error(text: &str) -> String {
     Catalogue::parse(text)
-        .expect_err("the file is not right")
+        .expect_err("the file is invalid")
         .to_string()
 }
 
 const ENTRY: &str = "[entry briefing-llm]\nowner = nilewake\n";
 
 #[test]
-fn an_unknown_setting_names_the_nearest_one() {
+fn unknown_setting_error_suggests_the_most_similar_name() {
     let text = format!("{ENTRY}clas = batch\n");
 
     assert_snapshot!(
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn a_bad_value_names_what_to_write() {
+fn invalid_value_error_says_what_to_write() {
     assert_snapshot!(
         catalogue_error(&format!("{ENTRY}class = urgent\n")),
         @"line 3: `class = urgent` in [entry briefing-llm]: write one of interactive, batch, critical"
     );
     assert_snapshot!(
         catalogue_error(&format!("{ENTRY}concurrency = many\n")),
-        @"line 3: `concurrency = many` in [entry briefing-llm]: write a whole number; 0 stands for no bound"
+        @"line 3: `concurrency = many` in [entry briefing-llm]: write a whole number; 0 means no limit"
     );
     assert_snapshot!(
         catalogue_error(&format!("{ENTRY}kind = plain\npath = /v1/x\n")),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn missing_setting_is_reported() {
     assert_snapshot!(
         catalogue_error("[entry x]\nclass = batch\n"),
         @"line 1: [entry x] lacks `owner`; add a line `owner = ...`"
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_stands_twice_is_named() {
+fn duplicate_setting_is_reported() {
     assert_snapshot!(
         catalogue_error(&format!("{ENTRY}class = batch\nclass = critical\n")),
         @"line 4: `class` in [entry briefing-llm] is given twice; keep one of the two"
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_section_that_names_nothing_is_named() {
+fn unknown_section_is_reported() {
     assert_snapshot!(
         catalogue_error("[entries x]\nowner = y\n"),
         @"line 1: unknown section [entries x]; `entries x` names no catalogue item; write `entry NAME`, `account NAME` or `group NAME`"
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn a_name_that_nothing_has_is_named() {
+fn reference_to_unknown_entry_is_reported() {
     let account = format!(
         "{ENTRY}[account a]\nowner = x\nentries = drafter\nkey_sha256 = {}\n",
         "0".repeat(64)
     );
 
-    let error = parse_desired(&account).expect_err("drafter is not there");
+    let error = parse_desired(&account).expect_err("the entry drafter does not exist");
 
     assert_snapshot!(
         error.to_string(),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_secret_is_not_repeated_in_an_error() {
+fn invalid_key_error_does_not_reveal_the_key() {
     let text = "[entry]\nname = a\ndata_centre = b\nlisten = 127.0.0.1:1\n\
                 digest_listen = 127.0.0.1:2\n[platform]\nkey_value = http://x\nvm_list = http://y\n\
                 [trust]\nkey = hunter2\n";
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn what_get_prints_apply_takes() {
+fn printed_catalogue_can_be_applied_again() {
     let text = format!("{ENTRY}class = batch\n");
-    let wanted = parse_desired(&text).expect("valid");
+    let desired = parse_desired(&text).expect("valid");
     let mut stored = StoredCatalogue::default();
-    for (id, settings) in &wanted {
+    for (id, settings) in &desired {
         let document = serde_json::json!({
             "change_id": "c", "author": "a", "applied_unix_ms": 0, "settings": settings,
         });
@@ -113,13 +113,13 @@
 
     let printed = stored.to_ini(7);
 
-    assert_eq!(parse_desired(&printed).expect("valid"), wanted);
-    assert_eq!(stored.changes_to(&wanted, false), Ok(Vec::new()));
+    assert_eq!(parse_desired(&printed).expect("valid"), desired);
+    assert_eq!(stored.changes_to(&desired, false), Ok(Vec::new()));
 }
 
 proptest! {
     #[test]
-    fn no_text_makes_a_parser_panic(text in "(\\[|\\]|=|#|;|\n|entry |account |group |[a-z_0-9é\"' :/]){0,80}") {
+    fn parsers_do_not_panic_on_arbitrary_text(text in "(\\[|\\]|=|#|;|\n|entry |account |group |[a-z_0-9é\"' :/]){0,80}") {
         let _ = IniFile::parse(&text);
         let _ = Catalogue::parse(&text);
         let _ = EntrySettings::parse(&text);
