--- a/crates/caller/src/auth.rs
+++ b/crates/caller/src/auth.rs
@@ -1,13 +1,13 @@
-//! Who asks, by bearer key.
+//! Authentication of callers by bearer key.
 
 use berylhook_operator::{Account, Catalogue};
 use poem::http::HeaderMap;
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::refused::{ErrorReason, ErrorResponse};
+use crate::error_response::{ErrorReason, ErrorResponse};
 
-/// The account whose key the request carries.
+/// Returns the account whose bearer key is in the request headers.
 pub(crate) fn authenticate<'a>(
     catalogue: &'a Catalogue,
     headers: &HeaderMap,
--- a/crates/caller/src/refused.rs
+++ b/crates/caller/src/error_response.rs
@@ -1,42 +1,42 @@
-//! Final answers other than the target's own.
+//! Error responses that do not come from a target.
 
 use berylhook_core::outcome::Outcome;
 
-/// Why a request got no answer from a target.
+/// Reason for an error response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorReason {
-    /// No bearer key.
+    /// The request has no bearer key.
     MissingKey,
-    /// A bearer key that no account has.
+    /// No account has the bearer key.
     InvalidKey,
-    /// An account that may not use the entry.
+    /// The account may not call the entry.
     NotAllowed,
-    /// No entry of that name or path.
+    /// No entry has the requested name or path.
     UnknownEntry,
-    /// A body over the bound.
+    /// The body is larger than [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES).
     BodyTooLarge,
-    /// A body that is not the JSON it should be.
+    /// The body is not the JSON of a model request.
     MalformedJson,
-    /// A header that cannot be used.
+    /// A header has an invalid value.
     BadHeader,
-    /// The same idempotency key came with a different request.
+    /// The idempotency key was used before with a different request.
     IdempotencyKeyReused,
-    /// A limit is reached.
+    /// A concurrency or rate limit is reached.
     OverLimit,
-    /// No target can take it.
+    /// No target can accept the request.
     NoTarget,
-    /// Nothing is known yet of the catalogue.
+    /// The process has not loaded the catalogue yet.
     NotReady,
-    /// The deadline passed, or cannot be met.
+    /// The deadline has passed or cannot be met.
     DeadlineExceeded,
-    /// The answer was lost.
+    /// The response was lost; the request may have run.
     ResponseLost,
-    /// Targets end under the request.
+    /// The request is quarantined because targets exited while they ran it.
     Quarantined,
 }
 
 impl ErrorReason {
-    /// The HTTP status.
+    /// Returns the HTTP status.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The machine-readable code.
+    /// Returns the machine-readable code, the `code` of an `OpenAI` error.
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The `OpenAI` error type.
+    /// Returns the `type` of an `OpenAI` error.
     #[must_use]
     pub fn error_type(self) -> &'static str {
         match self.status() {
@@ -86,21 +86,21 @@
     }
 }
 
-/// A final answer that is not the target's own.
+/// An error response that does not come from a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Why.
+    /// Reason for the error.
     pub reason: ErrorReason,
-    /// What the caller may take as given.
+    /// Whether the request ran, as far as is known.
     pub outcome: Outcome,
-    /// When to come back, if coming back may help.
+    /// When to retry, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
-    /// What to do, for people.
+    /// Explanation for people, with what to do.
     pub message: String,
 }
 
 impl ErrorResponse {
-    /// A refusal of a request that did not run.
+    /// Creates an error for a request that did not run.
     #[must_use]
     pub fn not_run(reason: ErrorReason, message: impl Into<String>) -> Self {
         Self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A failure that leaves open whether the request ran.
+    /// Creates an error for a request that may have run.
     #[must_use]
     pub fn unknown(reason: ErrorReason, message: impl Into<String>) -> Self {
         Self {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn with_retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
--- a/crates/caller/src/gateway.rs
+++ b/crates/caller/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What this package asks of the load balancer behind it.
+//! Interface between the HTTP server and the load balancer behind it.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,81 +9,81 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
+use crate::error_response::ErrorResponse;
 use crate::idempotency::IdempotencyKey;
-use crate::refused::ErrorResponse;
 
-/// A checked request.
+/// A validated request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Issued by the gateway for this request.
+    /// Identifier issued by the gateway.
     pub id: RequestId,
-    /// Who asks.
+    /// Authenticated account of the caller.
     pub account: Account,
-    /// What is asked for.
+    /// Catalogue entry that the request is for.
     pub entry: Entry,
     /// HTTP method.
     pub method: String,
-    /// Path with query, as the target shall see it.
+    /// Path and query to send to the target.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward to the target.
     pub headers: Vec<(String, Bytes)>,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
-    /// The caller's idempotency key, if it sent one.
+    /// Idempotency key, if the caller sent one.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Whether the caller asked for the answer token by token.
+    /// Whether the caller requested a streamed response.
     pub is_stream: bool,
-    /// Time the caller allows for the whole request.
+    /// Maximum duration of the whole request.
     pub deadline_ms: u64,
 }
 
-/// The start of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
-    /// The target's headers.
+    /// Headers from the target.
     pub headers: Vec<(String, Bytes)>,
 }
 
-/// A part of a streamed body; an error cuts the answer off visibly.
+/// Part of a streamed body. An error truncates the body in a way that the caller can detect.
 pub type BodyChunk = Result<Bytes, std::io::Error>;
 
-/// The body of an answer.
+/// Body of a response.
 pub enum ResponseBody {
-    /// All of it.
+    /// Complete body.
     Full(Bytes),
-    /// As it comes.
+    /// Body that is forwarded as it arrives from the target.
     Stream(mpsc::Receiver<BodyChunk>),
 }
 
-/// An answer.
+/// Response of a target to a [`Call`].
 pub struct CallResponse {
-    /// Its start.
+    /// Status and headers.
     pub head: ResponseHead,
-    /// The rest.
+    /// Body.
     pub body: ResponseBody,
 }
 
-/// A boxed future of a call.
+/// Future returned by [`Gateway::call`].
 pub type CallFuture<'a> =
     Pin<Box<dyn Future<Output = Result<CallResponse, ErrorResponse>> + Send + 'a>>;
 
-/// The load balancer behind the HTTP paths.
+/// The load balancer behind the HTTP server.
 pub trait Gateway: Send + Sync {
-    /// The catalogue in force.
+    /// Returns the current catalogue.
     fn catalogue(&self) -> Arc<Catalogue>;
 
-    /// Whether requests can be served.
+    /// Whether the catalogue is known, so that requests can be served.
     fn is_ready(&self) -> bool;
 
-    /// Whether the platform's balancer should send requests here. A process
-    /// that is stopping still serves what comes, but wants no more.
+    /// Whether the platform's load balancer should send requests to this process. A process that
+    /// is stopping still serves requests that arrive, but reports that it is not ready.
     fn should_receive_traffic(&self) -> bool;
 
-    /// A fresh id for a request.
+    /// Issues a unique request id.
     fn issue_id(&self) -> RequestId;
 
-    /// Runs a call.
+    /// Runs a call on a target and returns its response, or the error to send to the caller.
     fn call(&self, call: Call) -> CallFuture<'_>;
 }
--- a/crates/caller/src/idempotency.rs
+++ b/crates/caller/src/idempotency.rs
@@ -1,18 +1,18 @@
-//! Idempotency keys that carry their issue time.
+//! Idempotency keys, which carry the time of their creation.
 
 use berylhook_core::time::WallMs;
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 use uuid::{Uuid, Version};
 
-/// A caller's idempotency key.
+/// Idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey {
     uuid: Uuid,
     issued_ms: WallMs,
 }
 
-/// The key cannot be used.
+/// The text is not a valid idempotency key.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error(
     "the idempotency key is no UUIDv7; make one with a UUIDv7 library when you first send the \
@@ -21,12 +21,12 @@
 pub struct IdempotencyKeyError;
 
 impl IdempotencyKey {
-    /// Reads a key. Only `UUIDv7` carries the issue time that is needed to
-    /// tell a fresh key from one whose record was lost with its keeper.
+    /// Parses a key. Only `UUIDv7` is accepted: its timestamp is needed to distinguish a new key
+    /// from an older one whose record was lost with the agent that stored it.
     ///
     /// # Errors
     ///
-    /// If the text is no `UUIDv7`.
+    /// If the text is not a `UUIDv7`.
     pub fn parse(text: &str) -> Result<Self, IdempotencyKeyError> {
         let uuid =
             Uuid::parse_str(text.trim().trim_matches('"')).map_err(|_| IdempotencyKeyError)?;
@@ -36,30 +36,30 @@
         Ok(Self::from_v7(uuid))
     }
 
-    /// A fresh key, for a caller that sent none.
+    /// Generates a key for a request that came without one.
     #[must_use]
     pub fn generate() -> Self {
         Self::from_v7(Uuid::now_v7())
     }
 
     fn from_v7(uuid: Uuid) -> Self {
-        let issued_ms = u64::try_from(uuid.as_u128() >> 80).expect("48 bits");
+        let issued_ms = u64::try_from(uuid.as_u128() >> 80).expect("the timestamp has 48 bits");
         Self {
             uuid,
             issued_ms: WallMs(issued_ms),
         }
     }
 
-    /// When the key was made, by its maker's clock.
+    /// Returns the creation time of the key, by the clock of the caller that created it.
     #[must_use]
     pub fn issued_ms(&self) -> WallMs {
         self.issued_ms
     }
 
-    /// The key as the home of its shard knows it.
+    /// Returns the key under which the request is recorded: a hash of the account and this key.
     ///
-    /// The account is mixed in, so that no caller can collide with another's
-    /// key, by chance or on purpose.
+    /// The account is part of the hash, so that no caller can collide with the key of another
+    /// account, by chance or on purpose.
     #[must_use]
     pub fn scoped_to_account(&self, account: &str) -> u128 {
         let digest = Sha256::new()
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,22 +1,22 @@
-//! Towards callers: HTTP with the `OpenAI` paths and plain services.
+//! HTTP server for callers: the `OpenAI` paths for models, and path prefixes for plain services.
 //!
-//! This package authenticates a caller, finds the catalogue entry it wants,
-//! checks what can be checked before anything runs, and turns what the
-//! [`Gateway`] decides into an HTTP answer. It makes no routing decision.
+//! This package authenticates the caller, finds the catalogue entry of the request, validates the
+//! request before it is dispatched, and turns the result of the [`Gateway`] into an HTTP response.
+//! It makes no routing decisions.
 //!
-//! Every answer carries `x-request-id` and `berylhook-outcome`; every refusal
-//! that may pass later carries `retry-after`. See `docs/CALLERS.md`.
+//! Every response to a request for an entry carries `x-request-id` and `berylhook-outcome`. Errors
+//! after which a retry may succeed carry `retry-after`. See `docs/CALLERS.md`.
 
-mod answer;
 mod auth;
+mod error_response;
 mod gateway;
 mod idempotency;
-mod refused;
+mod response;
 mod routes;
 mod server;
 
+pub use error_response::{ErrorReason, ErrorResponse};
 pub use gateway::{BodyChunk, Call, CallFuture, CallResponse, Gateway, ResponseBody, ResponseHead};
 pub use idempotency::{IdempotencyKey, IdempotencyKeyError};
-pub use refused::{ErrorReason, ErrorResponse};
 pub use routes::{MAX_BODY_BYTES, app};
 pub use server::serve;
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/response.rs
@@ -1,4 +1,4 @@
-//! HTTP answers.
+//! Conversion of gateway results to HTTP responses.
 
 use berylhook_core::ids::RequestId;
 use berylhook_core::outcome::Outcome;
@@ -7,24 +7,23 @@
 use poem::{Body, Response};
 use serde_json::json;
 
+use crate::error_response::ErrorResponse;
 use crate::gateway::{CallResponse, ResponseBody, ResponseHead};
-use crate::refused::ErrorResponse;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const OUTCOME_HEADER: &str = "berylhook-outcome";
 
-/// The target's answer. On a streamed one "done" holds once the body has
-/// ended properly; a body that is cut off means "unknown".
-pub(crate) fn from_reply(id: RequestId, reply: CallResponse) -> Response {
-    let mut response = match reply.body {
+/// Builds the HTTP response for a target's response. The outcome "done" in the header of a streamed
+/// response is valid only if the body arrives complete; a truncated body means "unknown".
+pub(crate) fn from_call_response(id: RequestId, call_response: CallResponse) -> Response {
+    let mut response = match call_response.body {
         ResponseBody::Full(bytes) => Response::builder().body(bytes),
         ResponseBody::Stream(chunks) => {
             let chunks = stream::unfold(chunks, |mut chunks| async move {
                 let chunk = chunks.recv().await?;
                 if chunk.is_err() {
-                    // The error makes hyper drop the connection with what it
-                    // has not written yet. Being pending once lets it write
-                    // everything that came before.
+                    // The error makes hyper drop the connection and all data that it has not
+                    // written yet. Yielding once lets hyper write the preceding chunks first.
                     tokio::task::yield_now().await;
                 }
                 Some((chunk, chunks))
@@ -32,12 +31,12 @@
             Response::builder().body(Body::from_bytes_stream(chunks))
         }
     };
-    set_head(&mut response, &reply.head);
-    mark(&mut response, id, Outcome::Done);
+    copy_head(&mut response, &call_response.head);
+    set_outcome_headers(&mut response, id, Outcome::Done);
     response
 }
 
-fn set_head(response: &mut Response, head: &ResponseHead) {
+fn copy_head(response: &mut Response, head: &ResponseHead) {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     response.set_status(status);
     for (name, value) in &head.headers {
@@ -49,36 +48,35 @@
     }
 }
 
-/// A refusal in the `OpenAI` error shape.
-pub(crate) fn from_refused(id: RequestId, refused: &ErrorResponse) -> Response {
+/// Builds an error response in the `OpenAI` format.
+pub(crate) fn from_error(id: RequestId, error: &ErrorResponse) -> Response {
     let body = json!({
         "error": {
-            "message": refused.message,
-            "type": refused.reason.error_type(),
-            "code": refused.reason.code(),
+            "message": error.message,
+            "type": error.reason.error_type(),
+            "code": error.reason.code(),
             "param": null,
         }
     });
-    let status = StatusCode::from_u16(refused.reason.status()).expect("statuses are valid");
+    let status = StatusCode::from_u16(error.reason.status()).expect("error statuses are valid");
     let mut response = Response::builder()
         .status(status)
         .content_type("application/json")
         .body(body.to_string());
-    if let Some(ms) = refused.retry_after_ms {
-        // The header counts whole seconds; rounding down would bring the
-        // caller back too early.
+    if let Some(ms) = error.retry_after_ms {
+        // The header holds whole seconds. Rounding down would make the caller retry too early.
         let seconds = HeaderValue::from(ms.div_ceil(1_000).max(1));
         response.headers_mut().insert("retry-after", seconds);
         response
             .headers_mut()
             .insert("retry-after-ms", HeaderValue::from(ms.max(1)));
     }
-    mark(&mut response, id, refused.outcome);
+    set_outcome_headers(&mut response, id, error.outcome);
     response
 }
 
-fn mark(response: &mut Response, id: RequestId, outcome: Outcome) {
-    let id = HeaderValue::from_str(&id.to_string()).expect("ids are ASCII");
+fn set_outcome_headers(response: &mut Response, id: RequestId, outcome: Outcome) {
+    let id = HeaderValue::from_str(&id.to_string()).expect("request ids are ASCII");
     let outcome = HeaderValue::from_static(outcome.as_str());
     response.headers_mut().insert(REQUEST_ID_HEADER, id);
     response.headers_mut().insert(OUTCOME_HEADER, outcome);
--- a/crates/caller/src/routes.rs
+++ b/crates/caller/src/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP paths.
+//! HTTP routes and the validation of requests.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 use poem::{Endpoint, EndpointExt, Request, Response, Route, get, handler, web::Data};
 use serde::Deserialize;
 
-use crate::answer::{from_refused, from_reply};
 use crate::auth::authenticate;
+use crate::error_response::{ErrorReason, ErrorResponse};
 use crate::gateway::{Call, Gateway};
 use crate::idempotency::IdempotencyKey;
-use crate::refused::{ErrorReason, ErrorResponse};
+use crate::response::{from_call_response, from_error};
 
-/// Largest request body.
+/// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Paths whose body names the entry in `model`.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
-/// Headers that are the caller's business with us, or belong to its
-/// connection; targets do not see them.
-const OWN_HEADERS: [&str; 11] = [
+/// Headers that are meant for this process or apply only to the caller's connection. They are not
+/// forwarded to targets.
+const STRIPPED_HEADERS: [&str; 11] = [
     "authorization",
     "connection",
     "content-length",
@@ -39,24 +39,24 @@
 
 type SharedGateway = Arc<dyn Gateway>;
 
-/// The HTTP application in front of `gateway`.
+/// Builds the HTTP application that serves requests through `gateway`.
 #[must_use]
 pub fn app(gateway: SharedGateway) -> impl Endpoint {
     Route::new()
         .at("/healthz", get(healthz))
         .at("/readyz", get(readyz))
         .at("/v1/models", get(models))
-        .at("/*", any)
+        .at("/*", proxy)
         .data(gateway)
 }
 
-/// The process runs.
+/// Liveness check: succeeds as long as the process runs.
 #[handler]
 fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// The process wants requests.
+/// Readiness check for the platform's load balancer.
 #[handler]
 fn readyz(Data(gateway): Data<&SharedGateway>) -> Response {
     if gateway.should_receive_traffic() {
@@ -67,14 +67,14 @@
         .body("not ready\n")
 }
 
-/// The models this account may use.
+/// Lists the models that the account may call.
 #[handler]
 fn models(request: &Request, Data(gateway): Data<&SharedGateway>) -> Response {
     let id = gateway.issue_id();
     let catalogue = gateway.catalogue();
     let account = match authenticate(&catalogue, request.headers()) {
         Ok(account) => account,
-        Err(refused) => return from_refused(id, &refused),
+        Err(error) => return from_error(id, &error),
     };
     let data: Vec<_> = catalogue
         .entries
@@ -89,19 +89,23 @@
 }
 
 #[handler]
-async fn any(request: &Request, body: poem::Body, Data(gateway): Data<&SharedGateway>) -> Response {
+async fn proxy(
+    request: &Request,
+    body: poem::Body,
+    Data(gateway): Data<&SharedGateway>,
+) -> Response {
     let id = gateway.issue_id();
-    let call = match checked_call(id, request, body, gateway).await {
+    let call = match validate_request(id, request, body, gateway).await {
         Ok(call) => call,
-        Err(refused) => return from_refused(id, &refused),
+        Err(error) => return from_error(id, &error),
     };
     match gateway.call(call).await {
-        Ok(reply) => from_reply(id, reply),
-        Err(refused) => from_refused(id, &refused),
+        Ok(response) => from_call_response(id, response),
+        Err(error) => from_error(id, &error),
     }
 }
 
-async fn checked_call(
+async fn validate_request(
     id: RequestId,
     request: &Request,
     body: poem::Body,
@@ -117,8 +121,8 @@
     let headers = request.headers();
     let account = authenticate(&catalogue, headers)?;
     let body = read_body(body).await?;
-    let Found { entry, is_stream } = find_entry(&catalogue, request.uri().path(), &body)?;
-    check_allowed(account, entry)?;
+    let EntryMatch { entry, is_stream } = find_entry(&catalogue, request.uri().path(), &body)?;
+    check_access(account, entry)?;
     let path = request
         .uri()
         .path_and_query()
@@ -129,11 +133,11 @@
         entry: entry.clone(),
         method: request.method().as_str().to_owned(),
         path: path.to_owned(),
-        headers: passed_on(headers),
+        headers: forwarded_headers(headers),
         body,
         is_stream,
-        idempotency_key: read_key(headers)?,
-        deadline_ms: read_deadline(headers, entry)?,
+        idempotency_key: parse_idempotency_key(headers)?,
+        deadline_ms: parse_deadline(headers, entry)?,
     })
 }
 
@@ -146,7 +150,7 @@
         })
 }
 
-/// The part of a model request that decides where it goes.
+/// The fields of a model request that select the entry and the way of delivery.
 #[derive(Deserialize)]
 struct ModelRequest {
     model: String,
@@ -154,8 +158,8 @@
     stream: bool,
 }
 
-/// Where a request goes.
-struct Found<'a> {
+/// The entry that a request is for.
+struct EntryMatch<'a> {
     entry: &'a Entry,
     is_stream: bool,
 }
@@ -164,13 +168,13 @@
     catalogue: &'a Catalogue,
     path: &str,
     body: &Bytes,
-) -> Result<Found<'a>, ErrorResponse> {
+) -> Result<EntryMatch<'a>, ErrorResponse> {
     if !MODEL_PATHS.contains(&path) {
         let entry = catalogue.entry_for_path(path).ok_or_else(|| {
             let message = format!("nothing is served at {path}; check the path");
             ErrorResponse::not_run(ErrorReason::UnknownEntry, message)
         })?;
-        return Ok(Found {
+        return Ok(EntryMatch {
             entry,
             is_stream: false,
         });
@@ -190,13 +194,13 @@
             );
             ErrorResponse::not_run(ErrorReason::UnknownEntry, message)
         })?;
-    Ok(Found {
+    Ok(EntryMatch {
         entry,
         is_stream: request.stream,
     })
 }
 
-fn check_allowed(account: &Account, entry: &Entry) -> Result<(), ErrorResponse> {
+fn check_access(account: &Account, entry: &Entry) -> Result<(), ErrorResponse> {
     if account.entries.contains(&entry.name) {
         return Ok(());
     }
@@ -207,7 +211,7 @@
     Err(ErrorResponse::not_run(ErrorReason::NotAllowed, message))
 }
 
-fn read_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, ErrorResponse> {
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, ErrorResponse> {
     let Some(value) = headers.get("idempotency-key") else {
         return Ok(None);
     };
@@ -217,13 +221,13 @@
         .map_err(|error| ErrorResponse::not_run(ErrorReason::BadHeader, error.to_string()))
 }
 
-/// A caller may shorten the entry's deadline, not extend it.
-fn read_deadline(headers: &HeaderMap, entry: &Entry) -> Result<u64, ErrorResponse> {
+/// Returns the deadline of a request. A caller may shorten the entry's deadline but not extend it.
+fn parse_deadline(headers: &HeaderMap, entry: &Entry) -> Result<u64, ErrorResponse> {
     let Some(value) = headers.get("berylhook-deadline-ms") else {
         return Ok(entry.deadline_ms);
     };
-    let asked: Option<u64> = value.to_str().ok().and_then(|text| text.parse().ok());
-    match asked {
+    let requested_ms: Option<u64> = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested_ms {
         Some(0) => {
             let message = "the deadline had passed when the request arrived";
             Err(ErrorResponse::not_run(
@@ -239,10 +243,10 @@
     }
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     headers
         .iter()
-        .filter(|(name, _)| !OWN_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !STRIPPED_HEADERS.contains(&name.as_str()))
         .map(|(name, value)| {
             let value = Bytes::copy_from_slice(value.as_bytes());
             (name.as_str().to_owned(), value)
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -1,11 +1,9 @@
-//! The HTTP server in front of the application.
+//! HTTP server that accepts connections and runs the application.
 //!
-//! `poem`'s own server is not used. When a response body fails, hyper gives
-//! the connection up without the end of the chunked body, which is how a
-//! caller can tell a cut answer from a whole one; poem 3.1's server then
-//! polls the failed connection once more, and that second poll writes the
-//! missing end. A cut answer would look whole. Here a connection that failed
-//! is dropped.
+//! `poem`'s own server is not used. When a response body fails, hyper closes the connection without
+//! the final chunk, which is how a caller can tell a truncated response from a complete one. The
+//! server of poem 3.1 then polls the failed connection once more, and that second poll writes the
+//! final chunk, so a truncated response looks complete. This server drops a failed connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,22 +20,21 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Time a caller has for the head of a request, and an idle connection until
-/// it is closed.
-const HEAD_TIMEOUT: Duration = Duration::from_mins(1);
+/// Maximum time to receive the head of a request. An idle connection is closed after the same time.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Wait after a failed accept, such as for want of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Serves `app` on `listener` until `stop` ends, then lets every connection
-/// finish the request it is in, for as long as `bound` allows.
+/// Serves `app` on `listener` until `stop` completes, then drains: each connection finishes its
+/// current request, for at most `drain_timeout`.
 ///
-/// Gives the number of connections that were cut because of the bound.
+/// Returns the number of connections that were closed because the timeout expired.
 pub async fn serve(
     listener: TcpListener,
     app: impl Endpoint + 'static,
     stop: impl Future<Output = ()>,
-    bound: Option<Duration>,
+    drain_timeout: Option<Duration>,
 ) -> usize {
     let app: Arc<BoxEndpoint<'static, Response>> = Arc::new(app.map_to_response().boxed());
     let stopping = watch::Sender::new(false);
@@ -47,11 +44,15 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    connections.spawn(connection(stream, Arc::clone(&app), stopping.subscribe()));
+                    connections.spawn(serve_connection(
+                        stream,
+                        Arc::clone(&app),
+                        stopping.subscribe(),
+                    ));
                 }
                 Err(error) => {
                     log::warn!("a caller's connection could not be accepted: {error}");
-                    tokio::time::sleep(ACCEPT_RETRY).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             Some(_ended) = connections.join_next() => {}
@@ -61,17 +62,17 @@
     drop(listener);
     stopping.send_replace(true);
     let drained = async { while connections.join_next().await.is_some() {} };
-    match bound {
+    match drain_timeout {
         None => drained.await,
-        Some(bound) => {
-            // Dropping the set cuts what is left.
-            let _ = timeout(bound, drained).await;
+        Some(drain_timeout) => {
+            // Dropping the set closes the remaining connections.
+            let _ = timeout(drain_timeout, drained).await;
         }
     }
     connections.len()
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     app: Arc<BoxEndpoint<'static, Response>>,
     mut stopping: watch::Receiver<bool>,
@@ -91,18 +92,18 @@
             ))
         }
     });
-    let served = http1::Builder::new()
+    let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(served);
-    let must_finish = tokio::select! {
-        _ended = &mut served => false,
+    tokio::pin!(serving);
+    let is_draining = tokio::select! {
+        _ended = &mut serving => false,
         _ = stopping.wait_for(|stopping| *stopping) => true,
     };
-    if must_finish {
-        served.as_mut().graceful_shutdown();
-        // An error is the caller's going away, or a body cut on purpose.
-        let _ = served.await;
+    if is_draining {
+        serving.as_mut().graceful_shutdown();
+        // An error means that the caller disconnected or that a body was truncated on purpose.
+        let _ = serving.await;
     }
 }
