--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -1,4 +1,4 @@
-//! Frames over an authenticated connection.
+//! Sending and receiving of frames over an authenticated connection.
 
 use bytes::{Bytes, BytesMut};
 use prost::Message;
@@ -12,42 +12,42 @@
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// The receiving half of a connection.
+/// Receiving half of a connection.
 pub struct FrameReader {
     stream: BufReader<OwnedReadHalf>,
     opener: Opener,
 }
 
-/// The sending half of a connection.
+/// Sending half of a connection.
 pub struct FrameWriter {
     stream: OwnedWriteHalf,
     sealer: Sealer,
-    record: Vec<u8>,
+    record_buffer: Vec<u8>,
 }
 
-/// Splits a connection into its halves.
+/// Splits a connection into its receiving and sending halves.
 #[must_use]
-pub fn split(peer: PeerConnection) -> (FrameReader, FrameWriter) {
-    let (read, write) = peer.stream.into_split();
+pub fn split(connection: PeerConnection) -> (FrameReader, FrameWriter) {
+    let (read, write) = connection.stream.into_split();
     let reader = FrameReader {
         stream: BufReader::with_capacity(READ_BUFFER_BYTES, read),
-        opener: peer.opener,
+        opener: connection.opener,
     };
     let writer = FrameWriter {
         stream: write,
-        sealer: peer.sealer,
-        record: Vec::new(),
+        sealer: connection.sealer,
+        record_buffer: Vec::new(),
     };
     (reader, writer)
 }
 
 impl FrameReader {
-    /// The frames of the next record.
+    /// Receives the next record and returns its frames.
     ///
     /// # Errors
     ///
-    /// If the connection is gone, or the record is too large, fails
-    /// authentication or is no message of the protocol.
+    /// If the connection is lost, or the record is too large, fails authentication or cannot be
+    /// decoded.
     pub async fn next(&mut self) -> Result<Vec<Frame>, PeerError> {
         let bytes = self.stream.read_u32_le().await? as usize;
         if bytes > MAX_RECORD_BYTES {
@@ -58,13 +58,14 @@
         }
         let mut tag = [0; TAG_BYTES];
         self.stream.read_exact(&mut tag).await?;
-        let payload = self.payload(bytes).await?;
+        let payload = self.read_payload(bytes).await?;
         self.opener.open(&tag, &payload)?;
         Ok(Batch::decode(payload)?.frames)
     }
 
-    /// Reads the payload, growing the buffer only as bytes really arrive.
-    async fn payload(&mut self, bytes: usize) -> Result<Bytes, PeerError> {
+    /// Reads a payload. The buffer grows only as bytes arrive, so that a false length cannot make
+    /// this process allocate memory.
+    async fn read_payload(&mut self, bytes: usize) -> Result<Bytes, PeerError> {
         let mut payload = BytesMut::with_capacity(bytes.min(READ_BUFFER_BYTES));
         let mut limited = (&mut self.stream).take(bytes as u64);
         while payload.len() < bytes {
@@ -78,11 +79,11 @@
 }
 
 impl FrameWriter {
-    /// Sends `frames` as one record and empties the list.
+    /// Sends `frames` as one record and clears the list. The list keeps its capacity.
     ///
     /// # Errors
     ///
-    /// If the connection is gone, or the frames are too large together.
+    /// If the connection is lost, or the frames together exceed [`MAX_RECORD_BYTES`].
     pub async fn send(&mut self, frames: &mut Vec<Frame>) -> Result<(), PeerError> {
         let batch = Batch {
             frames: std::mem::take(frames),
@@ -94,9 +95,10 @@
                 max: MAX_RECORD_BYTES,
             });
         }
-        self.record.clear();
-        self.sealer.seal(&batch.encode_to_vec(), &mut self.record);
-        self.stream.write_all(&self.record).await?;
+        self.record_buffer.clear();
+        self.sealer
+            .seal(&batch.encode_to_vec(), &mut self.record_buffer);
+        self.stream.write_all(&self.record_buffer).await?;
         *frames = batch.frames;
         frames.clear();
         Ok(())
--- a/crates/peer/src/convert.rs
+++ b/crates/peer/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the generated messages and the decision core's types.
+//! Conversions between the generated messages and the types of `berylhook-core`.
 
 use berylhook_core::ids::{Incarnation, RequestId};
 use berylhook_core::start_gate::RevokeReply;
@@ -6,7 +6,7 @@
 use crate::proto::frame::Kind;
 use crate::proto::{Frame, Revoked, revoked};
 
-/// A frame about request `id`.
+/// Builds a frame that belongs to request `id`.
 #[must_use]
 pub fn frame(id: RequestId, kind: Kind) -> Frame {
     Frame {
@@ -16,7 +16,7 @@
     }
 }
 
-/// The request a frame is about.
+/// Returns the id of the request that a frame belongs to.
 #[must_use]
 pub fn request_id(frame: &Frame) -> RequestId {
     RequestId {
@@ -26,8 +26,8 @@
 }
 
 impl From<RevokeReply> for Revoked {
-    fn from(answer: RevokeReply) -> Self {
-        let answer = match answer {
+    fn from(reply: RevokeReply) -> Self {
+        let answer = match reply {
             RevokeReply::NoRecord => revoked::Answer::NoRecord,
             RevokeReply::WillNotRun => revoked::Answer::WillNotRun,
             RevokeReply::Started => revoked::Answer::Started,
--- a/crates/peer/src/documents.rs
+++ b/crates/peer/src/documents.rs
@@ -1,4 +1,5 @@
-//! Catalogue documents between processes: who lacks what.
+//! Anti-entropy for catalogue documents: two processes compare digests of the versions that they
+//! hold, then exchange the documents that one of them lacks.
 
 use std::sync::Arc;
 
@@ -9,36 +10,36 @@
 
 use crate::proto::{Catalogue, Digest, DigestAnswer, Document, DocumentVersion, Want};
 
-/// Documents in force by item, as stored.
+/// Current document of each item, as the JSON text that is stored.
 pub type Documents = VersionMap<ItemId, Arc<str>>;
 
-/// What to send to and ask of a peer after comparing versions.
+/// Result of the comparison with a peer: documents to send and documents to request.
 #[derive(Debug, Default)]
 pub struct Comparison {
-    /// Documents the peer lacks.
+    /// Documents that are newer here than at the peer.
     pub offer: Catalogue,
-    /// Items this process lacks.
+    /// Versions that are newer at the peer.
     pub want: Want,
 }
 
 impl Comparison {
-    /// Whether both sides hold the same.
+    /// Whether both processes hold the same versions.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.offer.documents.is_empty() && self.want.versions.is_empty()
     }
 }
 
-/// The id a message speaks of.
+/// Builds an item id from the kind and name in a message.
 ///
 /// # Errors
 ///
-/// If kind or name is not allowed.
+/// If the kind is unknown or the name is not allowed.
 pub fn item_id(kind: &str, name: &str) -> Result<ItemId, ParseItemIdError> {
     format!("{kind} {name}").parse()
 }
 
-/// The digest of `documents`.
+/// Builds the digest of `documents`: one hash per bucket of items.
 #[must_use]
 pub fn digest(documents: &Documents) -> Digest {
     Digest {
@@ -46,12 +47,12 @@
     }
 }
 
-/// The versions that the sender of `digest` has to look at.
+/// Builds the reply to a peer's digest: the versions of all items in buckets whose hashes differ.
 #[must_use]
 pub fn reply_to_digest(documents: &Documents, digest: &Digest) -> DigestAnswer {
-    let theirs = summary_of(&digest.buckets);
+    let peer_summary = summary_from_buckets(&digest.buckets);
     let versions = documents
-        .differing(&theirs)
+        .differing(&peer_summary)
         .map(|(id, item)| version_message(id, item.version))
         .collect();
     DigestAnswer {
@@ -60,44 +61,44 @@
     }
 }
 
-/// Compares a peer's answer to what is in force here.
+/// Compares the versions in a peer's reply to the current documents of this process.
 #[must_use]
-pub fn compare_versions(documents: &Documents, answer: &DigestAnswer) -> Comparison {
+pub fn compare_versions(documents: &Documents, reply: &DigestAnswer) -> Comparison {
     let mut comparison = Comparison::default();
-    let mut theirs = IndexMap::new();
-    for item in &answer.versions {
+    let mut peer_versions = IndexMap::new();
+    for item in &reply.versions {
         let Ok(id) = item_id(&item.kind, &item.name) else {
             continue;
         };
         if documents.version(&id) < item.version {
             comparison.want.versions.push(item.clone());
         }
-        theirs.insert(id, item.version);
+        peer_versions.insert(id, item.version);
     }
-    let summary = summary_of(&answer.buckets);
-    for (id, item) in documents.differing(&summary) {
-        let their_version = theirs.get(id).copied().unwrap_or(0);
-        if item.version > their_version {
+    let peer_summary = summary_from_buckets(&reply.buckets);
+    for (id, item) in documents.differing(&peer_summary) {
+        let peer_version = peer_versions.get(id).copied().unwrap_or(0);
+        if item.version > peer_version {
             comparison.offer.documents.push(document_message(id, item));
         }
     }
     comparison
 }
 
-/// The documents of the items in `versions`.
+/// Returns the documents of the items in `versions` that this process holds.
 #[must_use]
 pub fn documents_for(documents: &Documents, versions: &[DocumentVersion]) -> Catalogue {
     let documents = versions
         .iter()
-        .filter_map(|wanted| {
-            let id = item_id(&wanted.kind, &wanted.name).ok()?;
+        .filter_map(|requested| {
+            let id = item_id(&requested.kind, &requested.name).ok()?;
             documents.get(&id).map(|item| document_message(&id, item))
         })
         .collect();
     Catalogue { documents }
 }
 
-/// A document as a message.
+/// Builds the message for a document.
 #[must_use]
 pub fn document_message(id: &ItemId, item: &Versioned<Arc<str>>) -> Document {
     Document {
@@ -116,7 +117,7 @@
     }
 }
 
-fn summary_of(buckets: &[u64]) -> VersionSummary {
+fn summary_from_buckets(buckets: &[u64]) -> VersionSummary {
     let mut summary = [0; BUCKETS];
     for (slot, bucket) in summary.iter_mut().zip(buckets) {
         *slot = *bucket;
--- a/crates/peer/src/envelope.rs
+++ b/crates/peer/src/envelope.rs
@@ -1,19 +1,20 @@
-//! Questions and answers between entries, sealed one by one.
+//! Envelopes: control messages between entries, and from the operator's command to entries. Each
+//! envelope is sealed (authenticated but not encrypted) by an HMAC.
 //!
-//! The control messages travel by `nng`'s request pattern, which resends a
-//! request by itself when a connection is lost. That is safe only because
-//! every question here can be asked twice without harm; requests of callers
-//! never travel this way.
+//! Control messages are sent by the request/reply pattern of `nng`, which resends a request on its
+//! own when a connection is lost. That is safe only because all control requests are idempotent.
+//! Requests of callers are never sent this way.
 
 use prost::Message;
 use subtle::ConstantTimeEq;
 
 use crate::PeerError;
+use crate::keys::{Key, KeyRing};
 use crate::proto::Envelope;
 use crate::seal::MAX_RECORD_BYTES;
-use crate::trust::{Key, KeyRing};
 
-/// Seals `message` under `key` for the purpose `label`.
+/// Seals `message` with `key`. The tag also covers `label`, which names the purpose of the message,
+/// and `nonce`.
 #[must_use]
 pub fn seal(key: &Key, label: &str, nonce: &[u8], message: &impl Message) -> Vec<u8> {
     let payload = message.encode_to_vec();
@@ -27,12 +28,12 @@
     envelope.encode_to_vec()
 }
 
-/// Opens an envelope and gives its message and nonce.
+/// Verifies an envelope and returns its message and nonce.
 ///
 /// # Errors
 ///
-/// If it is too large, damaged, sealed under a key that is not accepted, or
-/// for another purpose.
+/// If the envelope is too large or malformed, or was sealed with a key that is not accepted or for
+/// another purpose than `label`.
 pub fn open<M: Message + Default>(
     keys: &KeyRing,
     label: &str,
@@ -56,11 +57,12 @@
     })
 }
 
-/// An opened envelope.
+/// Content of a verified envelope.
 #[derive(Debug)]
 pub struct OpenedEnvelope<M> {
-    /// The message.
+    /// Decoded message.
     pub message: M,
-    /// The nonce the asker drew.
+    /// Random nonce of the requester. The reply repeats it, so that a reply to an earlier request
+    /// is not accepted.
     pub nonce: Vec<u8>,
 }
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Who is at the other end, proved before anything else is read.
+//! Mutual authentication of two processes by a shared key, before any frame is read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,61 +11,63 @@
 use tokio::time::timeout;
 
 use crate::PeerError;
+use crate::keys::{Key, KeyRing};
 use crate::proto::{Hello, Proof, Welcome};
 use crate::seal::{Opener, Sealer};
-use crate::trust::{Key, KeyRing};
 
 const NONCE_BYTES: usize = 32;
 const MAX_HANDSHAKE_BYTES: usize = 1024;
 const HANDSHAKE_TIMEOUT_MS: u64 = 2_000;
 
-/// A connection whose other end has proved that it holds a shared key.
+/// A connection to a process that has proved possession of an accepted shared key.
 pub struct PeerConnection {
-    /// The other process's name from its settings.
+    /// Name of the other process, from its settings.
     pub name: Arc<str>,
-    /// The other process's incarnation.
+    /// Incarnation of the other process.
     pub incarnation: Incarnation,
     pub(crate) stream: TcpStream,
     pub(crate) sealer: Sealer,
     pub(crate) opener: Opener,
 }
 
-/// Opens the handshake on a connection this process dialled.
+/// Performs the handshake on a connection that this process opened.
 ///
 /// # Errors
 ///
-/// If the peer is silent, holds no accepted key or speaks another protocol.
+/// If the peer does not reply in time, has no accepted key or uses another protocol.
 pub async fn connect(
     stream: TcpStream,
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
 ) -> Result<PeerConnection, PeerError> {
-    bounded(dial_side(stream, keys, name, incarnation)).await
+    with_handshake_timeout(dialler_handshake(stream, keys, name, incarnation)).await
 }
 
-/// Answers the handshake on a connection this process accepted.
+/// Performs the handshake on a connection that this process accepted.
 ///
 /// # Errors
 ///
-/// If the peer is silent, holds no accepted key or speaks another protocol.
+/// If the peer does not reply in time, has no accepted key or uses another protocol.
 pub async fn accept(
     stream: TcpStream,
     keys: &KeyRing,
     name: &str,
     incarnation: Incarnation,
 ) -> Result<PeerConnection, PeerError> {
-    bounded(listen_side(stream, keys, name, incarnation)).await
+    with_handshake_timeout(listener_handshake(stream, keys, name, incarnation)).await
 }
 
-async fn bounded<T>(work: impl Future<Output = Result<T, PeerError>>) -> Result<T, PeerError> {
-    match timeout(Duration::from_millis(HANDSHAKE_TIMEOUT_MS), work).await {
+async fn with_handshake_timeout<T>(
+    handshake: impl Future<Output = Result<T, PeerError>>,
+) -> Result<T, PeerError> {
+    match timeout(Duration::from_millis(HANDSHAKE_TIMEOUT_MS), handshake).await {
         Ok(result) => result,
         Err(_) => Err(PeerError::HandshakeTimeout(HANDSHAKE_TIMEOUT_MS)),
     }
 }
 
-async fn dial_side(
+async fn dialler_handshake(
     mut stream: TcpStream,
     keys: &KeyRing,
     name: &str,
@@ -76,13 +78,13 @@
     let hello = Hello {
         name: name.to_owned(),
         incarnation: incarnation.0,
-        nonce: nonce(),
+        nonce: random_nonce(),
         key_id: key.id().to_vec().into(),
     };
     write_message(&mut stream, &hello).await?;
     let welcome: Welcome = read_message(&mut stream).await?;
     let transcript = Transcript::new(&hello, &welcome);
-    check(&transcript.tag(key, "welcome"), &welcome.tag)?;
+    verify_tag(&transcript.tag(key, "welcome"), &welcome.tag)?;
     let proof = Proof {
         tag: transcript.tag(key, "proof").to_vec().into(),
     };
@@ -96,7 +98,7 @@
     })
 }
 
-async fn listen_side(
+async fn listener_handshake(
     mut stream: TcpStream,
     keys: &KeyRing,
     name: &str,
@@ -108,14 +110,14 @@
     let mut welcome = Welcome {
         name: name.to_owned(),
         incarnation: incarnation.0,
-        nonce: nonce(),
+        nonce: random_nonce(),
         tag: bytes::Bytes::new(),
     };
     let transcript = Transcript::new(&hello, &welcome);
     welcome.tag = transcript.tag(key, "welcome").to_vec().into();
     write_message(&mut stream, &welcome).await?;
     let proof: Proof = read_message(&mut stream).await?;
-    check(&transcript.tag(key, "proof"), &proof.tag)?;
+    verify_tag(&transcript.tag(key, "proof"), &proof.tag)?;
     Ok(PeerConnection {
         name: hello.name.as_str().into(),
         incarnation: Incarnation(hello.incarnation),
@@ -125,7 +127,8 @@
     })
 }
 
-/// Everything both sides said, as one string of bytes.
+/// The encoded `Hello` and `Welcome` messages without the tag. The handshake tags and the session
+/// keys are computed from it.
 struct Transcript(Vec<u8>);
 
 impl Transcript {
@@ -148,7 +151,7 @@
     }
 }
 
-fn check(expected: &[u8; 32], received: &[u8]) -> Result<(), PeerError> {
+fn verify_tag(expected: &[u8; 32], received: &[u8]) -> Result<(), PeerError> {
     if bool::from(expected[..].ct_eq(received)) {
         Ok(())
     } else {
@@ -156,7 +159,7 @@
     }
 }
 
-fn nonce() -> bytes::Bytes {
+fn random_nonce() -> bytes::Bytes {
     let bytes: [u8; NONCE_BYTES] = rand::random();
     bytes.to_vec().into()
 }
--- a/crates/peer/src/trust.rs
+++ b/crates/peer/src/keys.rs
@@ -1,45 +1,45 @@
-//! Shared keys, and their rotation.
+//! Shared keys and their rotation.
 //!
-//! To rotate: set the new key as `previous_key` everywhere, then swap the two
-//! everywhere, then remove the old one. At each step every pair of processes
-//! has a key in common.
+//! To rotate keys, set the new key as `previous_key` in all processes, then swap the two keys in
+//! all processes, then remove the old one. At each step, every pair of processes has a key in
+//! common.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes in a shared key.
+/// Length of a shared key.
 pub const KEY_BYTES: usize = 32;
 
-/// The text is no key.
+/// The text is not a valid key.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("a key is 64 hex digits, got {0} characters; make one with 32 random bytes in hex")]
 pub struct ParseKeyError(usize);
 
-/// One shared key.
+/// A shared key, or a session key derived from one.
 #[derive(Clone)]
 pub struct Key([u8; KEY_BYTES]);
 
 impl Key {
-    /// Reads a key from 64 hex digits.
+    /// Parses a key from 64 hex digits.
     ///
     /// # Errors
     ///
-    /// If the text has another length or another character.
+    /// If the text has another length or contains other characters.
     pub fn parse(text: &str) -> Result<Self, ParseKeyError> {
-        let bad = || ParseKeyError(text.len());
+        let invalid = || ParseKeyError(text.len());
         if text.len() != KEY_BYTES * 2 || !text.is_ascii() {
-            return Err(bad());
+            return Err(invalid());
         }
         let mut bytes = [0; KEY_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[index * 2..index * 2 + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| bad())?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
 
-    /// A public name of the key that does not give the key away.
+    /// Returns a public identifier of the key, which does not reveal the key.
     #[must_use]
     pub fn id(&self) -> [u8; 8] {
         let digest = Sha256::new()
@@ -51,7 +51,8 @@
         id
     }
 
-    /// A tag over `parts`, under the purpose `label`.
+    /// Computes the HMAC of `label`, which names the purpose of the tag, and `parts`. Each part is
+    /// preceded by its length, so that parts cannot be shifted into each other.
     #[must_use]
     pub fn tag(&self, label: &str, parts: &[&[u8]]) -> [u8; KEY_BYTES] {
         let mut mac = self.mac(label);
@@ -62,7 +63,7 @@
         mac.finalize().into_bytes().into()
     }
 
-    /// A key derived for the purpose `label` from `parts`.
+    /// Derives a key from `parts` for the purpose that `label` names.
     #[must_use]
     pub fn derive(&self, label: &str, parts: &[&[u8]]) -> Self {
         Self(self.tag(label, parts))
@@ -76,14 +77,14 @@
     }
 }
 
-/// The keys a process accepts; it opens connections with the first.
+/// The keys that a process accepts. Connections that it opens use the first one.
 #[derive(Clone)]
 pub struct KeyRing {
     keys: Vec<Key>,
 }
 
 impl KeyRing {
-    /// A ring that uses `current` and still accepts `previous`.
+    /// Creates a key ring that uses `current` and also accepts `previous`.
     #[must_use]
     pub fn new(current: Key, previous: Option<Key>) -> Self {
         let mut keys = vec![current];
@@ -91,13 +92,13 @@
         Self { keys }
     }
 
-    /// The key for connections this process opens.
+    /// Returns the key for connections that this process opens.
     #[must_use]
     pub fn current(&self) -> &Key {
         &self.keys[0]
     }
 
-    /// The accepted key of that id.
+    /// Returns the accepted key with this id.
     #[must_use]
     pub fn find(&self, id: &[u8]) -> Option<&Key> {
         self.keys.iter().find(|key| key.id() == id)
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,11 +1,10 @@
-//! The protocol between berylhook's own processes.
+//! The protocol between berylhook's processes.
 //!
-//! An entry holds one TCP connection to each agent it uses and multiplexes
-//! all requests over it. Frames are protobuf messages; all frames queued at
-//! the moment of a write share one record, and each record carries a
-//! truncated HMAC over its position in the stream and its bytes. A record
-//! that is replayed, reordered, altered or too large ends the connection
-//! before any of it is decoded.
+//! An entry keeps one TCP connection to each agent that it uses and multiplexes all requests over
+//! it. Frames are protobuf messages. All frames that are queued at the time of a write share one
+//! record, which is sealed (authenticated but not encrypted) by a truncated HMAC over the position
+//! of the record in the stream and its payload. A record that is replayed, reordered, altered or
+//! too large closes the connection before any of it is decoded.
 //!
 //! The types in [`proto`] are generated from `proto/peer.proto` by
 //! `cargo run -p berylhook-codegen --example generate` and committed.
@@ -15,8 +14,8 @@
 mod documents;
 mod envelope;
 mod handshake;
+mod keys;
 mod seal;
-mod trust;
 
 pub use channel::{FrameReader, FrameWriter, split};
 pub use convert::{frame, request_id};
@@ -25,10 +24,10 @@
 };
 pub use envelope::{open, seal};
 pub use handshake::{PeerConnection, accept, connect};
+pub use keys::{Key, KeyRing, ParseKeyError};
 pub use seal::{MAX_RECORD_BYTES, Opener, Sealer, TAG_BYTES};
-pub use trust::{Key, KeyRing, ParseKeyError};
 
-/// Messages generated from the protocol file.
+/// Message types generated from `proto/peer.proto`.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod proto {
     include!("generated/berylhook.peer.rs");
@@ -36,41 +35,41 @@
 
 use thiserror::Error;
 
-/// Why a connection between two processes failed.
+/// Error of a connection between two processes.
 #[derive(Debug, Error)]
 pub enum PeerError {
     /// The socket failed or was closed.
     #[error("connection lost: {0}; check that the peer runs and is reachable")]
     Io(#[from] std::io::Error),
-    /// A record announced more bytes than are ever sent.
+    /// The length of a record or message is over the maximum.
     #[error(
-        "a record of {bytes} bytes was announced, over the bound of {max}; \
+        "a record of {bytes} bytes exceeds the maximum of {max}; \
          check that the peer is a berylhook process of a matching version"
     )]
     TooLarge {
-        /// Announced size.
+        /// Length in bytes, as announced by the sender or as encoded for sending.
         bytes: usize,
-        /// Largest size accepted.
+        /// Maximum length in bytes.
         max: usize,
     },
-    /// The tag of a record does not match.
+    /// An authentication tag does not match.
     #[error(
-        "a record failed authentication; check that both processes have the \
+        "a message failed authentication; check that both processes have the \
          same `key` under [trust]"
     )]
     BadTag,
-    /// The peer uses a key this process does not accept.
+    /// The peer uses a key that this process does not accept.
     #[error(
         "the peer uses a key that is not accepted here; set it as `key` or \
          `previous_key` under [trust] on one of the two"
     )]
     UnknownKey,
-    /// The bytes are no message of the protocol.
+    /// The bytes cannot be decoded as a message of the protocol.
     #[error(
         "a message could not be decoded ({0}); check that both processes run matching versions"
     )]
     Malformed(#[from] prost::DecodeError),
-    /// The peer did not finish the handshake in time.
+    /// The peer did not complete the handshake within this time, in milliseconds.
     #[error("the handshake took longer than {0} ms; check the network between the two")]
     HandshakeTimeout(u64),
 }
