--- a/crates/target/src/body.rs
+++ b/crates/target/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of a target's answer, chunk by chunk.
+//! Streamed body of a target's response.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -6,7 +6,7 @@
 
 use crate::client::TargetError;
 
-/// The body of an answer; dropping it cancels the call at the target.
+/// Body of a target's response. Dropping it cancels the call at the target.
 pub struct TargetResponseBody {
     incoming: Incoming,
     connection: Option<tokio::task::JoinHandle<()>>,
@@ -20,11 +20,11 @@
         }
     }
 
-    /// The next chunk; `None` at the proper end of the body.
+    /// Returns the next chunk, or `None` at the end of a complete body.
     ///
     /// # Errors
     ///
-    /// If the target closed the connection before the body's proper end.
+    /// If the target closed the connection before the body was complete.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, TargetError> {
         loop {
             match self.incoming.frame().await {
--- a/crates/target/src/client.rs
+++ b/crates/target/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a target over HTTP.
+//! HTTP calls to a target.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,80 +23,80 @@
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_LOAD_REPORT_BYTES: usize = 64 << 10;
 
-/// Why a call to the target failed.
+/// Error of a call to the target.
 #[derive(Debug, Error)]
 pub enum TargetError {
-    /// Nothing reached the target.
+    /// The connection failed, so nothing was sent to the target.
     #[error(
         "the target refused the connection ({0}); check that it runs at the address under [target]"
     )]
     Unreachable(String),
-    /// The request may have reached the target.
+    /// The response is incomplete. The target may have run the request.
     #[error(
-        "the target closed the connection before its answer ended ({0}); see the target's own log"
+        "the target closed the connection before its response ended ({0}); see the target's own log"
     )]
     Interrupted(String),
-    /// The order cannot be put into HTTP.
-    #[error("the order is no valid HTTP request ({0}); check the method, path and headers")]
+    /// The call cannot be expressed as an HTTP request.
+    #[error("the call is not a valid HTTP request ({0}); check the method, path and headers")]
     InvalidRequest(String),
 }
 
-/// One call.
+/// A request to the target.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// HTTP method.
     pub method: String,
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to send.
     pub headers: Vec<(String, Bytes)>,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
-    /// Whether the call may reach the target more than once.
+    /// Whether the target may receive the request more than once.
     pub repeatable: bool,
 }
 
-/// The start of an answer.
+/// Response of the target. Its body may still be arriving.
 pub struct TargetResponse {
     /// HTTP status.
     pub status: u16,
-    /// The answer's headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The rest of it.
+    /// Streamed body.
     pub body: TargetResponseBody,
 }
 
-/// What a target says of its load.
+/// Load that a target reports at `/load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct LoadReport {
-    /// Requests being worked on.
+    /// Requests that the target is processing.
     pub running: u32,
     /// Requests waiting in the target's queue.
     pub waiting: u32,
-    /// Requests it can work on at a time.
+    /// Requests that the target can process concurrently.
     pub slots: u32,
 }
 
-/// A boxed future, so that targets can be swapped behind a trait object.
+/// Boxed future, which keeps [`Target`] usable as a trait object.
 pub type CallFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, TargetError>> + Send + 'a>>;
 
-/// A target as the agent sees it.
+/// Client interface of a target.
 pub trait Target: Send + Sync {
-    /// Sends a call and waits for the start of the answer.
+    /// Sends a call and waits for the response headers.
     fn call(&self, call: Call) -> CallFuture<'_, TargetResponse>;
 
-    /// Asks for the load.
+    /// Requests the load report.
     fn load(&self) -> CallFuture<'_, LoadReport>;
 }
 
-/// A target that speaks HTTP/1.1.
+/// Client of a target that serves HTTP/1.1.
 pub struct HttpTarget {
     address: SocketAddr,
     pool: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpTarget {
-    /// A client to the target at `address`.
+    /// Creates a client of the target at `address`.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
@@ -124,7 +124,8 @@
             let value = HeaderValue::from_maybe_shared(value).map_err(|error| invalid(&error))?;
             request.headers_mut().append(name, value);
         }
-        let host = HeaderValue::from_str(&self.address.to_string()).expect("an address is ASCII");
+        let host =
+            HeaderValue::from_str(&self.address.to_string()).expect("socket addresses are ASCII");
         request.headers_mut().insert(hyper::header::HOST, host);
         Ok(request)
     }
@@ -134,13 +135,13 @@
         request: Request<Full<Bytes>>,
     ) -> Result<TargetResponse, TargetError> {
         match self.pool.request(request).await {
-            Ok(response) => Ok(answer(response, None)),
+            Ok(response) => Ok(to_target_response(response, None)),
             Err(error) if error.is_connect() => Err(TargetError::Unreachable(error.to_string())),
             Err(error) => Err(TargetError::Interrupted(error.to_string())),
         }
     }
 
-    async fn call_once(
+    async fn call_on_new_connection(
         &self,
         mut request: Request<Full<Bytes>>,
     ) -> Result<TargetResponse, TargetError> {
@@ -157,7 +158,7 @@
             .await
             .map_err(|error| unreachable(&error))?;
         let connection = tokio::spawn(async move {
-            // Its error also reaches the request or the body.
+            // An error of the connection is also returned by the request or the body.
             let _ = connection.await;
         });
         let path = request
@@ -171,7 +172,7 @@
             })?;
         *request.uri_mut() = origin_form;
         match sender.send_request(request).await {
-            Ok(response) => Ok(answer(response, Some(connection))),
+            Ok(response) => Ok(to_target_response(response, Some(connection))),
             Err(error) => Err(TargetError::Interrupted(error.to_string())),
         }
     }
@@ -185,7 +186,7 @@
             if repeatable {
                 self.call_pooled(request).await
             } else {
-                self.call_once(request).await
+                self.call_on_new_connection(request).await
             }
         })
     }
@@ -214,7 +215,7 @@
     }
 }
 
-fn answer(
+fn to_target_response(
     response: Response<Incoming>,
     connection: Option<tokio::task::JoinHandle<()>>,
 ) -> TargetResponse {
--- a/crates/target/src/events.rs
+++ b/crates/target/src/events.rs
@@ -1,58 +1,58 @@
-//! Cuts a `text/event-stream` body at event borders.
+//! Splits a `text/event-stream` body at event boundaries.
 //!
-//! An answer that is resumed elsewhere continues at an event, so only whole
-//! events are passed on. Bytes of an unfinished event wait here.
+//! A stream that is resumed on another target continues at an event, so only complete events are
+//! forwarded. The bytes of an incomplete event are buffered until its end arrives.
 
 use bytes::{Bytes, BytesMut};
 
-/// Whole events cut from the stream.
+/// Consecutive complete events from the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// The events with their blank lines.
+    /// Bytes of the events, with the blank lines that end them.
     pub bytes: Bytes,
-    /// How many there are.
+    /// Number of events.
     pub count: u32,
 }
 
-/// Collects chunks and gives out whole events.
+/// Buffers chunks of a stream and returns the complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    scanned: usize,
+    scanned_bytes: usize,
 }
 
 impl EventSplitter {
-    /// Adds a chunk; gives the events that are whole now, if any.
+    /// Adds a chunk and returns the events that are complete now, if any.
     pub fn push(&mut self, chunk: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(chunk);
-        let mut end = 0;
+        let mut complete_bytes = 0;
         let mut count = 0;
-        // The border may straddle two chunks, so step back over one line end.
-        let mut at = self.scanned.saturating_sub(3);
-        while at < self.pending.len() {
-            match border(&self.pending[at..]) {
+        // A blank line may span two chunks, so scanning resumes up to 3 bytes earlier.
+        let mut index = self.scanned_bytes.saturating_sub(3);
+        while index < self.pending.len() {
+            match boundary_len(&self.pending[index..]) {
                 Some(length) => {
-                    at += length;
-                    end = at;
+                    index += length;
+                    complete_bytes = index;
                     count += 1;
                 }
-                None => at += 1,
+                None => index += 1,
             }
         }
-        let bytes = self.pending.split_to(end).freeze();
-        self.scanned = self.pending.len();
+        let bytes = self.pending.split_to(complete_bytes).freeze();
+        self.scanned_bytes = self.pending.len();
         (count > 0).then_some(CompleteEvents { bytes, count })
     }
 
-    /// What is left when the stream ends.
+    /// Returns the bytes of an incomplete event when the stream has ended.
     #[must_use]
     pub fn into_remainder(self) -> Bytes {
         self.pending.freeze()
     }
 }
 
-/// Length of the blank line that starts here, if one does.
-fn border(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the event boundary (line end and blank line) at the start of `bytes`.
+fn boundary_len(bytes: &[u8]) -> Option<usize> {
     match bytes {
         [b'\n', b'\n', ..] => Some(2),
         [b'\r', b'\n', b'\r', b'\n', ..] => Some(4),
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,17 +1,15 @@
-//! The agent's client to the target beside it.
+//! HTTP client of the agent for the target beside it.
 //!
-//! Two kinds of calls are kept apart:
+//! There are two kinds of calls:
 //!
 //! - A call that may be repeated uses a pooled connection.
-//! - A call that must run at most once gets a connection of its own. On a
-//!   pooled connection a request can fail because the target had just closed
-//!   it, and the pool then either resends by itself or leaves open whether
-//!   the target saw it. On a fresh connection "connect failed" proves that
-//!   nothing was sent.
+//! - A call that must run at most once uses a new connection. On a pooled connection, a request can
+//!   fail because the target has just closed the connection; the pool then either resends the
+//!   request on its own or leaves open whether the target received it. On a new connection, a
+//!   failure to connect proves that nothing was sent.
 //!
-//! The pool's own resend is switched off for both kinds: hyper-util repeats a
-//! request whose reused connection closed early, and what is repeated here is
-//! only ever decided by the retry rules of the core.
+//! The pool's own retries are disabled for both kinds. hyper-util resends a request if its reused
+//! connection closed early, but only the retry rules in `berylhook-core` may decide on retries.
 
 mod body;
 mod client;
--- a/crates/target/src/probe.rs
+++ b/crates/target/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a target's process still runs, by whether anybody listens at its address.
+//! Liveness probe of a target: connects to its address to find out whether the process still runs.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -8,54 +8,56 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A connection within a region is open or refused in a few milliseconds.
+/// Within a region, a connection is accepted or refused in a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A process that is about to end may still accept; its connections end within this time.
-const ENDS_WITHIN: Duration = Duration::from_millis(100);
+/// A process that is exiting may still accept a connection, but closes it within this time.
+const EXIT_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Connections until a target counts as living. Where a forwarder stands before it, some
-/// are accepted and closed before nobody listens any more.
-const MOST_PROBES: usize = 4;
+/// Number of connections that are closed at once before the target counts as running. A TCP
+/// forwarder in front of a target accepts and closes some connections after the target has exited,
+/// before connections are refused.
+const MAX_CLOSED_CONNECTIONS: usize = 4;
 
-/// Time between a connection that was closed at once and the next.
-const PROBE_PAUSE: Duration = Duration::from_millis(30);
+/// Delay before the next connection after one that was closed at once.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 
-/// What a connection to an address showed.
+/// Result of a connection attempt to a target's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Somebody took it.
+    /// The connection was accepted.
     Accepted,
-    /// Nobody listens there: the process has ended.
+    /// The connection was refused: nothing listens at the address, so the process has exited.
     Refused,
-    /// Nothing came back: the VM is cut off or has lost its power.
+    /// There was no response: the VM is partitioned or has lost power.
     NoResponse,
-    /// Another incarnation has taken the address: the process has ended.
+    /// Another incarnation listens at the address: the process has exited.
     OtherIncarnation,
 }
 
-/// Opens one connection, and closes it without a word.
+/// Opens a connection and closes it without sending anything.
 pub async fn probe(address: SocketAddr) -> ProbeOutcome {
     match connect(address).await {
         Ok(_) => ProbeOutcome::Accepted,
-        Err(listening) => listening,
+        Err(outcome) => outcome,
     }
 }
 
-/// Whether the process at the address has ended, asked just after it lost an answer: it
-/// may be ending while it still accepts.
+/// Whether the process at the address has exited. For use just after the process lost a response,
+/// when it may be exiting and still accept connections.
 pub async fn has_exited(address: SocketAddr) -> bool {
-    for _ in 0..MOST_PROBES {
+    for _ in 0..MAX_CLOSED_CONNECTIONS {
         let mut stream = match connect(address).await {
             Ok(stream) => stream,
-            Err(listening) => return listening == ProbeOutcome::Refused,
+            Err(outcome) => return outcome == ProbeOutcome::Refused,
         };
-        // A target says nothing on a connection without a request.
-        let said = timeout(ENDS_WITHIN, stream.read(&mut [0; 1])).await;
-        if said.is_err() {
+        // A running target sends nothing before it receives a request, so the read times out. If
+        // the read completes, the connection was closed.
+        let read = timeout(EXIT_CLOSE_TIMEOUT, stream.read(&mut [0; 1])).await;
+        if read.is_err() {
             return false;
         }
-        sleep(PROBE_PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
     false
 }
