--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,10 +1,9 @@
-//! Structured logs on standard output that never hold a request up.
+//! Structured, non-blocking logs on standard output.
 //!
-//! Each record is one JSON object a line, with its key-value pairs. A writer
-//! thread does the writing; whoever logs only hands a line over. If standard
-//! output does not keep up, lines are dropped and counted, and the count is
-//! written once there is room again: a log that blocks would stall traffic
-//! just when somebody looks at it.
+//! Each log record is written as one line with a JSON object, including its key-value pairs. The
+//! thread that logs only formats the line and queues it; a writer thread writes it. If standard
+//! output is too slow, lines are dropped, and their number is written before the next line.
+//! Blocking instead would stall traffic whenever the reader of the log is slow.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,18 +15,18 @@
 use flexi_logger::{DeferredNow, FlexiLoggerError, Logger, LoggerHandle, json_format};
 use log::Record;
 
-/// Lines that may wait for the writer: a few seconds of a busy process.
-const QUEUED_LINES: usize = 2_048;
+/// Capacity of the queue, a few seconds of output of a busy process.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Stack of the writer thread; it formats nothing.
+/// Stack size of the writer thread. A small stack is enough, as the thread does not format records.
 const WRITER_STACK_BYTES: usize = 64 << 10;
 
-struct BoundedWriter {
+struct QueueWriter {
     lines: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
 }
 
-impl LogWriter for BoundedWriter {
+impl LogWriter for QueueWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
         let mut line = Vec::with_capacity(256);
         json_format(&mut line, now, record)?;
@@ -49,30 +48,32 @@
 fn write_lines(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = std::io::stdout();
     while let Ok(line) = lines.recv() {
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        let note = match lost {
+        let dropped_count = dropped.swap(0, Ordering::Relaxed);
+        let dropped_notice = match dropped_count {
             0 => Vec::new(),
-            _ => {
-                format!("{{\"level\":\"WARN\",\"text\":\"log lines dropped\",\"count\":{lost}}}\n")
-                    .into_bytes()
-            }
+            _ => format!(
+                "{{\"level\":\"WARN\",\"text\":\"log lines dropped\",\"count\":{dropped_count}}}\n"
+            )
+            .into_bytes(),
         };
-        // Nobody is left to tell if standard output is gone.
-        let _ = out.write_all(&note).and_then(|()| out.write_all(&line));
+        // If standard output is closed, the error cannot be reported anywhere.
+        let _ = out
+            .write_all(&dropped_notice)
+            .and_then(|()| out.write_all(&line));
     }
 }
 
 static HANDLE: OnceLock<LoggerHandle> = OnceLock::new();
 
-/// Starts logging at `level`, such as `info`, until the process ends.
+/// Starts logging at `level`, such as `info`, for the rest of the process.
 ///
 /// # Errors
 ///
-/// If the level is not known or the writer thread cannot be started.
+/// If the level is unknown or the writer thread cannot be started.
 pub fn start(level: &str) -> Result<(), FlexiLoggerError> {
-    let (sender, receiver) = sync_channel(QUEUED_LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let writer = BoundedWriter {
+    let writer = QueueWriter {
         lines: sender,
         dropped: Arc::clone(&dropped),
     };
