--- a/crates/codegen/examples/generate.rs
+++ b/crates/codegen/examples/generate.rs
@@ -1,5 +1,5 @@
-//! Writes the generated types of `berylhook-peer` anew; run it after changing
-//! a protocol file and commit what it wrote. The build never runs it.
+//! Regenerates the message types of `berylhook-peer`. Run it after a change of the protocol file
+//! and commit the result; the build does not run it.
 
 use std::path::Path;
 
--- a/crates/codegen/src/lib.rs
+++ b/crates/codegen/src/lib.rs
@@ -1,5 +1,5 @@
-//! Holds the example `generate`, which writes the message types of
-//! `berylhook-peer` anew from its protocol file.
+//! Contains only the example `generate`, which regenerates the message types of `berylhook-peer`
+//! from the protocol file.
 //!
-//! It is a package of its own because it must build while the generated file
-//! does not fit the rest of `berylhook-peer`.
+//! It is a separate package so that it builds even while `berylhook-peer` does not compile with the
+//! old generated file.
