--- a/crates/test-support/examples/failed_vm.rs
+++ b/crates/test-support/examples/failed_vm.rs
@@ -1,5 +1,5 @@
-//! Measures what a failed VM costs callers whose calls must not be repeated,
-//! and how long a black hole takes to be settled.
+//! Measures how many calls that must not be repeated fail after an agent's VM has failed, and how
+//! long requests take to end when a link carries no more data.
 //!
 //!     cargo build --release --workspace --bins
 //!     cargo run --release -p berylhook-test-support --example failed_vm
@@ -13,22 +13,24 @@
 use berylhook_test_support::history::ReportedOutcome;
 use berylhook_test_support::{Engine, EngineConfig, Fault, PlainService, Signal};
 
-const EVERY: Duration = Duration::from_millis(5);
-const CALLS: u32 = 4_000;
-const FAIL_AT: u32 = 1_000;
+const CALL_INTERVAL: Duration = Duration::from_millis(5);
+const CALL_COUNT: u32 = 4_000;
+const FAIL_AT_CALL: u32 = 1_000;
 const LEASE_TTL_S: u32 = 10;
 
-/// What became of the calls sent after the failure.
+/// Outcomes of the calls sent after the failure.
 #[derive(Default)]
-struct Counted {
+struct CallCounts {
     done: u32,
     not_run: u32,
     unknown: u32,
-    last_bad: Duration,
-    took: Vec<Duration>,
+    /// When the last call that was not done was sent, after the failure.
+    last_failure: Duration,
+    /// Latencies of the calls sent before the failure.
+    earlier_latencies: Vec<Duration>,
 }
 
-async fn failed_agent() {
+async fn measure_failed_agent() {
     let mut cluster = Cluster::start().await;
     cluster.agent_settings = format!("lease_ttl_s = {LEASE_TTL_S}\n");
     let service = PlainService::start().await;
@@ -43,11 +45,11 @@
     .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     let writes_before = cluster.key_value.writes();
-    let began = Instant::now();
+    let started = Instant::now();
     let mut calls = Vec::new();
     let mut failed_at = None;
-    for number in 0..CALLS {
-        if number == FAIL_AT {
+    for number in 0..CALL_COUNT {
+        if number == FAIL_AT_CALL {
             agents[0].daemon.signal(Signal::Kill);
             cluster.vms.remove("push-1");
             failed_at = Some(Instant::now());
@@ -58,58 +60,58 @@
             let key = uuid::Uuid::now_v7().to_string();
             let headers = [("idempotency-key", key.as_str())];
             let caller = Caller::new(DESK_KEY);
-            let answered = caller.post(address, "/guide-push", "x", &headers).await;
-            (sent, answered)
+            let result = caller.post(address, "/guide-push", "x", &headers).await;
+            (sent, result)
         }));
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
-    let failed_at = failed_at.expect("it has failed");
-    let mut counted = Counted::default();
+    let failed_at = failed_at.expect("the agent was killed");
+    let mut counts = CallCounts::default();
     for call in calls {
-        let (sent, answered) = call.await.expect("the call ends");
+        let (sent, result) = call.await.expect("the call ends");
         if sent < failed_at {
-            counted.took.push(answered.took);
+            counts.earlier_latencies.push(result.took);
             continue;
         }
-        match ReportedOutcome::of(&answered) {
-            ReportedOutcome::Done => counted.done += 1,
-            ReportedOutcome::NotRun => counted.not_run += 1,
-            ReportedOutcome::Unknown => counted.unknown += 1,
+        match ReportedOutcome::of(&result) {
+            ReportedOutcome::Done => counts.done += 1,
+            ReportedOutcome::NotRun => counts.not_run += 1,
+            ReportedOutcome::Unknown => counts.unknown += 1,
         }
-        if answered.outcome != "done" {
-            counted.last_bad = counted.last_bad.max(sent - failed_at);
+        if result.outcome != "done" {
+            counts.last_failure = counts.last_failure.max(sent - failed_at);
         }
     }
-    counted.took.sort();
+    counts.earlier_latencies.sort();
     println!(
-        "one of three agents killed, lease {LEASE_TTL_S} s, a call each {EVERY:?}: of {} calls after it {} done, {} not run, {} unknown; the last refusal {:.1} s after it",
-        CALLS - FAIL_AT,
-        counted.done,
-        counted.not_run,
-        counted.unknown,
-        counted.last_bad.as_secs_f64()
+        "one of three agents killed, lease {LEASE_TTL_S} s, a call every {CALL_INTERVAL:?}: of {} calls after the failure {} done, {} not run, {} unknown; the last call that failed was sent {:.1} s after the failure",
+        CALL_COUNT - FAIL_AT_CALL,
+        counts.done,
+        counts.not_run,
+        counts.unknown,
+        counts.last_failure.as_secs_f64()
     );
     println!(
-        "before it: p50 {:.2} ms; {:.1} writes/s to the key-value service in all",
-        counted.took[counted.took.len() / 2].as_secs_f64() * 1_000.0,
+        "before the failure: p50 {:.2} ms; {:.1} writes/s to the key-value service in total",
+        counts.earlier_latencies[counts.earlier_latencies.len() / 2].as_secs_f64() * 1_000.0,
         f64::from(u32::try_from(cluster.key_value.writes() - writes_before).unwrap_or(0))
-            / began.elapsed().as_secs_f64()
+            / started.elapsed().as_secs_f64()
     );
 }
 
-async fn black_hole() {
+async fn measure_frozen_link() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig {
         step: Duration::from_millis(10),
         ..EngineConfig::default()
     })
     .await;
-    let linked = cluster
+    let linked_agent = cluster
         .start_linked_agent("target-1", "briefing-llm", engine.server.address)
         .await;
     let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
-    for (what, fault) in [
+    for (description, fault) in [
         ("open connections frozen", Fault::FreezeOpen),
         ("all connections frozen", Fault::FreezeAll),
     ] {
@@ -126,30 +128,30 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        linked.link.set_fault(fault);
-        let since = Instant::now();
+        linked_agent.link.set_fault(fault);
+        let frozen_at = Instant::now();
         let mut done = 0;
-        let mut longest = Duration::ZERO;
+        let mut longest_failure = Duration::ZERO;
         for call in calls {
-            let answered = call.await.expect("the call ends");
-            if answered.outcome == "done" && answered.is_complete {
+            let result = call.await.expect("the call ends");
+            if result.outcome == "done" && result.is_complete {
                 done += 1;
             } else {
-                longest = longest.max(since.elapsed());
+                longest_failure = longest_failure.max(frozen_at.elapsed());
             }
         }
         println!(
-            "{what}: {done} of 32 requests done, the rest settled within {:.2} s, all ended after {:.2} s",
-            longest.as_secs_f64(),
-            since.elapsed().as_secs_f64()
+            "{description}: {done} of 32 requests done, the others failed within {:.2} s, all ended after {:.2} s",
+            longest_failure.as_secs_f64(),
+            frozen_at.elapsed().as_secs_f64()
         );
-        linked.link.set_fault(Fault::None);
+        linked_agent.link.set_fault(Fault::None);
         until_serving(&entry, "briefing-llm").await;
     }
 }
 
 #[tokio::main]
 async fn main() {
-    failed_agent().await;
-    black_hole().await;
+    measure_failed_agent().await;
+    measure_frozen_link().await;
 }
--- a/crates/test-support/examples/load.rs
+++ b/crates/test-support/examples/load.rs
@@ -1,5 +1,5 @@
-//! Measures what entry and agent add to a direct call of the same stand-in
-//! engine, in the same run.
+//! Measures the cost of an entry and an agent between caller and engine, compared with direct calls
+//! of the same stand-in engine in the same run.
 //!
 //!     cargo build --release --workspace --bins
 //!     cargo run --release -p berylhook-test-support --example load
@@ -19,23 +19,23 @@
 const UNARY_REQUESTS: usize = 4_000;
 const STREAM_TOKENS: usize = 200;
 
-/// What one load found.
-struct Found {
-    /// Requests, or tokens for streams, in a second.
+/// Throughput and latencies of one load.
+struct LoadResult {
+    /// Requests per second; tokens per second for streams.
     per_second: f64,
     p50_ms: f64,
     p99_ms: f64,
 }
 
-/// Processor time and memory of the processes under load.
-struct Used {
+/// CPU time and memory used by the processes.
+struct ResourceUsage {
     entry_cpu_ms: u64,
     agent_cpu_ms: u64,
     entry_kb: u64,
     at: Instant,
 }
 
-impl Used {
+impl ResourceUsage {
     fn now(entry: &EntryProcess, agent: &AgentProcess) -> Self {
         Self {
             entry_cpu_ms: entry.daemon.cpu_ms(),
@@ -56,71 +56,75 @@
     }
 }
 
-async fn unary(address: SocketAddr, at_a_time: usize) -> Found {
-    let began = Instant::now();
-    let workers: Vec<_> = (0..at_a_time)
+async fn measure_unary(address: SocketAddr, concurrency: usize) -> LoadResult {
+    let started = Instant::now();
+    let workers: Vec<_> = (0..concurrency)
         .map(|_| {
             tokio::spawn(async move {
                 let caller = Caller::new(DESK_KEY);
-                let mut took = Vec::new();
-                for _ in 0..UNARY_REQUESTS / at_a_time {
-                    let answered = caller
+                let mut latencies = Vec::new();
+                for _ in 0..UNARY_REQUESTS / concurrency {
+                    let result = caller
                         .complete(address, "briefing-llm", "x", 1, false)
                         .await;
-                    assert_eq!(answered.status, 200, "{}", answered.body);
-                    took.push(answered.took);
+                    assert_eq!(result.status, 200, "{}", result.body);
+                    latencies.push(result.took);
                 }
-                took
+                latencies
             })
         })
         .collect();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for worker in workers {
-        took.extend(worker.await.expect("the worker ends"));
+        latencies.extend(worker.await.expect("the worker ends"));
     }
-    found(took.len() as f64 / began.elapsed().as_secs_f64(), took)
+    summarize(
+        latencies.len() as f64 / started.elapsed().as_secs_f64(),
+        latencies,
+    )
 }
 
 /// The latencies are those of the first event.
-async fn streams(address: SocketAddr, at_a_time: usize) -> Found {
-    let began = Instant::now();
-    let workers: Vec<_> = (0..at_a_time)
+async fn measure_streams(address: SocketAddr, concurrency: usize) -> LoadResult {
+    let started = Instant::now();
+    let workers: Vec<_> = (0..concurrency)
         .map(|_| {
             tokio::spawn(async move {
                 let caller = Caller::new(DESK_KEY);
-                let answered = caller
+                let result = caller
                     .complete(address, "briefing-llm", "x", STREAM_TOKENS, true)
                     .await;
-                assert!(answered.is_complete, "{}", answered.body);
-                answered.time_to_first_byte
+                assert!(result.is_complete, "{}", result.body);
+                result.time_to_first_byte
             })
         })
         .collect();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for worker in workers {
-        took.push(worker.await.expect("the worker ends"));
+        latencies.push(worker.await.expect("the worker ends"));
     }
-    let tokens = (at_a_time * STREAM_TOKENS) as f64;
-    found(tokens / began.elapsed().as_secs_f64(), took)
+    let tokens = (concurrency * STREAM_TOKENS) as f64;
+    summarize(tokens / started.elapsed().as_secs_f64(), latencies)
 }
 
-fn found(per_second: f64, mut took: Vec<Duration>) -> Found {
-    took.sort();
-    let at = |quantile: f64| took[((took.len() - 1) as f64 * quantile) as usize].as_secs_f64();
-    Found {
+fn summarize(per_second: f64, mut latencies: Vec<Duration>) -> LoadResult {
+    latencies.sort();
+    let at =
+        |quantile: f64| latencies[((latencies.len() - 1) as f64 * quantile) as usize].as_secs_f64();
+    LoadResult {
         per_second,
         p50_ms: at(0.5) * 1_000.0,
         p99_ms: at(0.99) * 1_000.0,
     }
 }
 
-fn print(what: &str, direct: &Found, through: &Found, used: &str) {
+fn print_comparison(title: &str, direct: &LoadResult, through: &LoadResult, usage: &str) {
     println!(
-        "{what}\n  direct  {:>8.0}/s  p50 {:>7.3} ms  p99 {:>7.3} ms",
+        "{title}\n  direct  {:>8.0}/s  p50 {:>7.3} ms  p99 {:>7.3} ms",
         direct.per_second, direct.p50_ms, direct.p99_ms
     );
     println!(
-        "  through {:>8.0}/s  p50 {:>7.3} ms  p99 {:>7.3} ms  {used}",
+        "  through {:>8.0}/s  p50 {:>7.3} ms  p99 {:>7.3} ms  {usage}",
         through.per_second, through.p50_ms, through.p99_ms
     );
     println!(
@@ -148,28 +152,28 @@
         entry.daemon.resident_kb(),
         agent.daemon.resident_kb()
     );
-    for at_a_time in [1, 8, 64] {
-        let direct = unary(engine.server.address, at_a_time).await;
-        let before = Used::now(&entry, &agent);
-        let through = unary(entry.address, at_a_time).await;
-        let used = Used::now(&entry, &agent).since(&before);
-        print(
-            &format!("unary, {at_a_time} at a time"),
+    for concurrency in [1, 8, 64] {
+        let direct = measure_unary(engine.server.address, concurrency).await;
+        let before = ResourceUsage::now(&entry, &agent);
+        let through = measure_unary(entry.address, concurrency).await;
+        let usage = ResourceUsage::now(&entry, &agent).since(&before);
+        print_comparison(
+            &format!("unary, {concurrency} at a time"),
             &direct,
             &through,
-            &used,
+            &usage,
         );
     }
-    for at_a_time in [64, 512] {
-        let direct = streams(engine.server.address, at_a_time).await;
-        let before = Used::now(&entry, &agent);
-        let through = streams(entry.address, at_a_time).await;
-        let used = Used::now(&entry, &agent).since(&before);
-        print(
-            &format!("streams, {at_a_time} open"),
+    for concurrency in [64, 512] {
+        let direct = measure_streams(engine.server.address, concurrency).await;
+        let before = ResourceUsage::now(&entry, &agent);
+        let through = measure_streams(entry.address, concurrency).await;
+        let usage = ResourceUsage::now(&entry, &agent).since(&before);
+        print_comparison(
+            &format!("streams, {concurrency} open"),
             &direct,
             &through,
-            &used,
+            &usage,
         );
     }
 }
--- a/crates/test-support/examples/quickstart.rs
+++ b/crates/test-support/examples/quickstart.rs
@@ -1,10 +1,10 @@
-//! Brings up stand-ins of the platform, two entries and three targets, sends
-//! real requests through them and prints what comes back.
+//! Starts stand-ins of the platform, two entries and three targets, sends real requests through
+//! them and prints the responses.
 //!
 //!     cargo build --workspace --bins
 //!     cargo run -p berylhook-test-support --example quickstart
 //!
-//! With `--serve` it stays up for curl until Ctrl-C.
+//! With `--serve` it keeps running until Ctrl-C, so that requests can be sent with curl.
 
 use anyhow::{Result, ensure};
 use berylhook_test_support::calls::{CallResult, Caller};
@@ -15,8 +15,8 @@
 use berylhook_test_support::command::{TemporaryFile, berylhook};
 use berylhook_test_support::{Engine, EngineConfig, PlainService};
 
-/// Everything that has to stay up.
-struct Running {
+/// Processes and stand-ins, which run until they are dropped.
+struct RunningCluster {
     cluster: Cluster,
     entries: Vec<EntryProcess>,
     _agents: Vec<AgentProcess>,
@@ -24,14 +24,14 @@
     _service: PlainService,
 }
 
-async fn start() -> Result<Running> {
+async fn start() -> Result<RunningCluster> {
     let cluster = Cluster::empty().await;
     let file = TemporaryFile::new(&catalogue());
     let url = cluster.key_value.url();
     let arguments = ["catalogue", "apply", "--key-value", &url, "--based-on", "0"];
-    let applied = berylhook(&[&arguments[..], &[file.path()]].concat());
-    ensure!(applied.code == 0, "{}", applied.stderr);
-    print!("{}", applied.stdout);
+    let output = berylhook(&[&arguments[..], &[file.path()]].concat());
+    ensure!(output.code == 0, "{}", output.stderr);
+    print!("{}", output.stdout);
     let engines = vec![
         Engine::start(EngineConfig::default()).await,
         Engine::start(EngineConfig::default()).await,
@@ -50,7 +50,7 @@
         until_serving(entry, "briefing-llm").await;
         until_plain_service_ready(entry).await;
     }
-    Ok(Running {
+    Ok(RunningCluster {
         cluster,
         entries,
         _agents: agents,
@@ -59,38 +59,38 @@
     })
 }
 
-fn show(what: &str, answered: &CallResult) {
+fn print_result(title: &str, result: &CallResult) {
     println!(
-        "\n{what}: status {}, outcome {}, whole {}\n{}",
-        answered.status,
-        answered.outcome,
-        answered.is_complete,
-        answered.body.trim_end()
+        "\n{title}: status {}, outcome {}, complete {}\n{}",
+        result.status,
+        result.outcome,
+        result.is_complete,
+        result.body.trim_end()
     );
 }
 
-async fn send_requests(running: &Running) -> Result<()> {
+async fn send_requests(running: &RunningCluster) -> Result<()> {
     let caller = Caller::new(DESK_KEY);
     let first = running.entries[0].address;
     let second = running.entries[1].address;
     let stream = caller
         .complete(first, "briefing-llm", "river conditions", 5, true)
         .await;
-    show("a streamed briefing", &stream);
+    print_result("a streamed briefing", &stream);
     ensure!(stream.is_complete && stream.outcome == "done");
     let key = uuid::Uuid::now_v7().to_string();
     let headers = [("idempotency-key", key.as_str())];
     let path = "/guide-push/confirm";
     let confirmed = caller.post(first, path, "canoe 7", &headers).await;
-    show("a launch confirmation", &confirmed);
+    print_result("a launch confirmation", &confirmed);
     let repeated = caller.post(second, path, "canoe 7", &headers).await;
-    show(
-        "its repeat at the other entry, answered from the record",
+    print_result(
+        "its repeat at the other entry, served from the ledger",
         &repeated,
     );
     ensure!(confirmed.body == repeated.body && repeated.outcome == "done");
     let unknown = caller.complete(first, "no-such-model", "x", 1, false).await;
-    show("an unknown model", &unknown);
+    print_result("an unknown model", &unknown);
     ensure!(unknown.outcome == "not-run");
     Ok(())
 }
--- a/crates/test-support/examples/spread.rs
+++ b/crates/test-support/examples/spread.rs
@@ -1,6 +1,5 @@
-//! Measures how long an accepted change takes to be in force on every entry,
-//! and what it costs the key-value service, with and without an outage that
-//! begins as soon as the change is accepted.
+//! Measures how long an accepted change takes to be in force on every entry, and the load on the
+//! key-value service, with and without an outage that begins as soon as one entry has the change.
 //!
 //!     cargo build --release --workspace --bins
 //!     cargo run --release -p berylhook-test-support --example spread
@@ -16,42 +15,49 @@
     Cluster, EntryProcess, catalogue, store_section, until, until_ready,
 };
 
-const CHANGES: u64 = 10;
+const CHANGE_COUNT: u64 = 10;
 
-/// Waits for `version` on every entry; gives the time each took.
-async fn wait_for(entries: &[EntryProcess], version: u64, since: Instant) -> Vec<Duration> {
+/// Waits until `version` is in force on every entry, and returns the time that each entry took.
+async fn wait_until_in_force(
+    entries: &[EntryProcess],
+    version: u64,
+    since: Instant,
+) -> Vec<Duration> {
     let line = format!("entry briefing-llm version {version} is in force");
-    let mut took: Vec<Option<Duration>> = vec![None; entries.len()];
-    while took.contains(&None) {
-        for (slot, entry) in took.iter_mut().zip(entries) {
-            if slot.is_none() && entry.daemon.output().contains(&line) {
-                *slot = Some(since.elapsed());
+    let mut delays: Vec<Option<Duration>> = vec![None; entries.len()];
+    while delays.contains(&None) {
+        for (delay, entry) in delays.iter_mut().zip(entries) {
+            if delay.is_none() && entry.daemon.output().contains(&line) {
+                *delay = Some(since.elapsed());
             }
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    took.into_iter().flatten().collect()
+    delays.into_iter().flatten().collect()
 }
 
-fn change(cluster: &Cluster, version: u64) {
+fn apply_change(cluster: &Cluster, version: u64) {
     let text = catalogue().replace(
         "deadline_ms = 20000",
         &format!("deadline_ms = {}", 20_000 + version),
     );
     let file = IniFile::parse(&text).expect("the catalogue is INI");
-    let section = file.section("entry briefing-llm").expect("it is there");
+    let section = file
+        .section("entry briefing-llm")
+        .expect("the catalogue has the entry");
     store_section(&cluster.key_value, section, version);
     cluster
         .key_value
         .put_raw("berylhook/catalogue-head", b"change");
 }
 
-fn report(what: &str, mut took: Vec<Duration>) {
-    took.sort();
-    let at =
-        |quantile: f64| took[((took.len() - 1) as f64 * quantile) as usize].as_secs_f64() * 1_000.0;
+fn print_delays(title: &str, mut delays: Vec<Duration>) {
+    delays.sort();
+    let at = |quantile: f64| {
+        delays[((delays.len() - 1) as f64 * quantile) as usize].as_secs_f64() * 1_000.0
+    };
     println!(
-        "  {what}: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
+        "  {title}: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
         at(0.5),
         at(0.99),
         at(1.0)
@@ -82,18 +88,18 @@
         (cluster.key_value.calls() - calls_before) as f64 / idle.as_secs_f64(),
         (cpu - cpu_before) as f64 / idle.as_millis() as f64 / count as f64 * 100.0,
     );
-    let mut took = Vec::new();
-    for version in 2..2 + CHANGES {
+    let mut delays = Vec::new();
+    for version in 2..2 + CHANGE_COUNT {
         let since = Instant::now();
-        change(&cluster, version);
-        took.extend(wait_for(&entries, version, since).await);
+        apply_change(&cluster, version);
+        delays.extend(wait_until_in_force(&entries, version, since).await);
     }
-    report("service up", took);
-    let mut took = Vec::new();
-    for version in 100..100 + CHANGES {
+    print_delays("service up", delays);
+    let mut delays = Vec::new();
+    for version in 100..100 + CHANGE_COUNT {
         let since = Instant::now();
-        change(&cluster, version);
-        until("one entry has it", || async {
+        apply_change(&cluster, version);
+        until("one entry has the change", || async {
             entries.iter().any(|entry| {
                 let line = format!("entry briefing-llm version {version} is in force");
                 entry.daemon.output().contains(&line)
@@ -101,11 +107,11 @@
         })
         .await;
         cluster.key_value.set_outage(Outage::Refusing);
-        took.extend(wait_for(&entries, version, since).await);
+        delays.extend(wait_until_in_force(&entries, version, since).await);
         cluster.key_value.set_outage(Outage::None);
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    report("outage once one entry has it", took);
+    print_delays("outage once one entry has the change", delays);
 }
 
 #[tokio::main]
--- a/crates/test-support/src/calls.rs
+++ b/crates/test-support/src/calls.rs
@@ -1,4 +1,4 @@
-//! Requests as a caller sends them, and what came back.
+//! An HTTP client that sends requests as a caller does.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,44 +11,45 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// A caller with a bearer key.
+/// An HTTP client that authenticates with a bearer key.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
     bearer: String,
 }
 
-/// What came back.
+/// The result of one call.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// HTTP status; 0 if there was no answer at all.
+    /// HTTP status; 0 if no response was received.
     pub status: u16,
-    /// The outcome header.
+    /// The `berylhook-outcome` header; empty if it is missing.
     pub outcome: String,
-    /// The retry-after header, if there was one.
+    /// The `retry-after` header.
     pub retry_after: Option<String>,
-    /// The attempt that the answer says it belongs to.
+    /// The `berylhook-attempt-id` header: the attempt that the response belongs to.
     pub attempt_id: Option<String>,
-    /// Whether it bears a target's mark.
+    /// Whether the response has a `berylhook-response-seal` header, which marks it as a target's
+    /// own.
     pub has_seal: bool,
-    /// What came of the body.
+    /// The part of the body that was received.
     pub body: String,
-    /// Whether the body ended properly.
+    /// Whether the body was received to its end.
     pub is_complete: bool,
-    /// Time to the first byte of the body.
+    /// Time from sending the request to the first byte of the body.
     pub time_to_first_byte: Duration,
-    /// Time to the end.
+    /// Time from sending the request to the end of the body.
     pub took: Duration,
 }
 
 impl CallResult {
-    /// The body as JSON.
+    /// The body parsed as JSON; null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// The text of a streamed answer.
+    /// The concatenated text of the events of a streamed completion.
     #[must_use]
     pub fn streamed_text(&self) -> String {
         self.body
@@ -59,7 +60,7 @@
             .collect()
     }
 
-    fn none(began: Instant) -> Self {
+    fn no_response(started: Instant) -> Self {
         Self {
             status: 0,
             outcome: String::new(),
@@ -68,14 +69,15 @@
             has_seal: false,
             body: String::new(),
             is_complete: false,
-            time_to_first_byte: began.elapsed(),
-            took: began.elapsed(),
+            time_to_first_byte: started.elapsed(),
+            took: started.elapsed(),
         }
     }
 }
 
 impl Caller {
-    /// A caller with this key.
+    /// Creates a client that sends `bearer` as its key. With an empty key, [`Self::post`] sends no
+    /// `authorization` header.
     #[must_use]
     pub fn new(bearer: &str) -> Self {
         let client = Client::builder(TokioExecutor::new())
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Asks a model.
+    /// Requests a completion of `prompt` with at most `tokens` tokens.
     pub async fn complete(
         &self,
         entry: SocketAddr,
@@ -106,7 +108,7 @@
             .await
     }
 
-    /// Posts a body with extra headers.
+    /// Sends a POST request with a JSON body and additional headers.
     pub async fn post(
         &self,
         entry: SocketAddr,
@@ -129,7 +131,7 @@
             .await
     }
 
-    /// Gets a path.
+    /// Sends a GET request.
     pub async fn get(&self, entry: SocketAddr, path: &str) -> CallResult {
         let request = Request::builder()
             .uri(format!("http://{entry}{path}"))
@@ -140,31 +142,31 @@
     }
 
     async fn send(&self, request: Request<Full<Bytes>>) -> CallResult {
-        let began = Instant::now();
+        let started = Instant::now();
         let Ok(response) = self.client.request(request).await else {
-            return CallResult::none(began);
+            return CallResult::no_response(started);
         };
         let header = |name: &str| {
             let value = response.headers().get(name)?;
             value.to_str().ok().map(str::to_owned)
         };
-        let mut answered = CallResult {
+        let mut result = CallResult {
             status: response.status().as_u16(),
             outcome: header("berylhook-outcome").unwrap_or_default(),
             retry_after: header("retry-after"),
             attempt_id: header("berylhook-attempt-id"),
             has_seal: header("berylhook-response-seal").is_some(),
-            ..CallResult::none(began)
+            ..CallResult::no_response(started)
         };
         let mut body = response.into_body();
         let mut received = BytesMut::new();
-        answered.is_complete = loop {
+        result.is_complete = loop {
             match body.frame().await {
                 None => break true,
                 Some(Err(_)) => break false,
                 Some(Ok(frame)) => {
                     if received.is_empty() {
-                        answered.time_to_first_byte = began.elapsed();
+                        result.time_to_first_byte = started.elapsed();
                     }
                     if let Ok(data) = frame.into_data() {
                         received.extend_from_slice(&data);
@@ -172,8 +174,8 @@
                 }
             }
         };
-        answered.took = began.elapsed();
-        answered.body = String::from_utf8_lossy(&received).into_owned();
-        answered
+        result.took = started.elapsed();
+        result.body = String::from_utf8_lossy(&received).into_owned();
+        result
     }
 }
--- a/crates/test-support/src/cluster.rs
+++ b/crates/test-support/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The settings and catalogue that most tests start from, and the processes
-//! wired together.
+//! The settings and catalogue that most tests start from, and a cluster of entries and agents
+//! connected to the platform's stand-ins.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::calls::Caller;
 use crate::{Daemon, KeyValueStandIn, Link, VmListStandIn, free_address};
 
-/// The shared key of all test processes.
+/// The trust key that all test processes share.
 pub const TRUST_KEY: &str = "5f0c1d7a9e3b4c8d6f2a1b0c9d8e7f6a5b4c3d2e1f0a9b8c7d6e5f4a3b2c1d0e";
 
 /// The bearer key of the account `paddle-desk`.
@@ -18,8 +18,8 @@
 /// The bearer key of the account `kingston-claims`.
 pub const CLAIMS_KEY: &str = "claims-key";
 
-/// A catalogue in the shape of today's: one model and one plain service whose
-/// calls must not be repeated.
+/// A catalogue with the same kinds of entries as the production catalogue: one model, and one plain
+/// service whose calls must not be repeated.
 #[must_use]
 pub fn catalogue() -> String {
     let desk = hex(&Sha256::digest(DESK_KEY));
@@ -55,12 +55,12 @@
 fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("strings can be written to");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
 
-/// Writes each section of a catalogue file as the first version of its item.
+/// Stores each section of a catalogue file as the first version of its item.
 pub fn store_catalogue(key_value: &KeyValueStandIn, catalogue: &str) {
     let file = berylhook_operator::IniFile::parse(catalogue).expect("the catalogue is INI");
     for section in &file.sections {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Writes one section as the given version of its item.
+/// Stores one section as the given version of its item.
 pub fn store_section(
     key_value: &KeyValueStandIn,
     section: &berylhook_operator::Section,
@@ -90,60 +90,60 @@
     key_value.put_raw(&key, document.to_string().as_bytes());
 }
 
-/// The platform and the entries and agents of one test.
+/// The platform's stand-ins, and the settings of the entries and agents that are started on them.
 pub struct Cluster {
     /// The key-value service.
     pub key_value: KeyValueStandIn,
-    /// The list of VMs.
+    /// The VM list.
     pub vms: VmListStandIn,
-    /// Added to the `[entry]` section of each entry.
+    /// Lines added to the `[entry]` section of each entry's settings.
     pub entry_settings: String,
-    /// Added to the `[agent]` section of each agent.
+    /// Lines added to the `[agent]` section of each agent's settings.
     pub agent_settings: String,
 }
 
-/// A running entry.
+/// A running entry process.
 pub struct EntryProcess {
-    /// Its process.
+    /// Handle of the process.
     pub daemon: Daemon,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other entries connect.
+    /// Address for other entries.
     pub digest_address: SocketAddr,
-    /// Its settings.
+    /// Content of its settings file.
     pub settings: String,
 }
 
-/// A running agent.
+/// A running agent process.
 pub struct AgentProcess {
-    /// Its process.
+    /// Handle of the process.
     pub daemon: Daemon,
-    /// Where entries connect, unless a link stands between.
+    /// Address for entries; a [`LinkedAgent`] is reached through its link instead.
     pub address: SocketAddr,
-    /// Its settings.
+    /// Content of its settings file.
     pub settings: String,
 }
 
-/// An agent that entries reach through a link that faults can be done to.
+/// An agent that entries reach through a link that injects faults.
 pub struct LinkedAgent {
     /// The agent.
     pub agent: AgentProcess,
-    /// The link in front of it.
+    /// The link in front of the agent.
     pub link: Link,
 }
 
-/// How long a process may take to become ready on a busy machine.
-const READY_BOUND: Duration = Duration::from_mins(1);
+/// Time after which [`until`] fails; processes start slowly on a busy machine.
+const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
 
 impl Cluster {
-    /// The platform with [`catalogue`] in force and no process yet.
+    /// Starts the platform's stand-ins with [`catalogue`] stored, and no processes.
     pub async fn start() -> Self {
         let cluster = Self::empty().await;
         store_catalogue(&cluster.key_value, &catalogue());
         cluster
     }
 
-    /// The platform with nothing in the catalogue.
+    /// Starts the platform's stand-ins with an empty catalogue, and no processes.
     pub async fn empty() -> Self {
         Self {
             key_value: KeyValueStandIn::start().await,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Starts an entry and lists it.
+    /// Starts an entry and adds it to the VM list.
     ///
     /// # Panics
     ///
@@ -163,7 +163,8 @@
         self.start_entry_with_list(name, &self.vms)
     }
 
-    /// Starts an entry that reads another list of VMs, and lists it in both.
+    /// Starts an entry that reads the VM list `vms`, and adds the entry to that list and to the
+    /// cluster's own.
     ///
     /// # Panics
     ///
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Starts an agent beside `target` and lists it.
+    /// Starts an agent for `target` and adds it to the VM list.
     #[must_use]
     pub fn start_agent(&self, name: &str, service: &str, target: SocketAddr) -> AgentProcess {
         let agent = self.start_unlisted_agent(name, service, target);
@@ -197,7 +198,7 @@
         agent
     }
 
-    /// Starts an agent beside `target` and lists a link in front of it.
+    /// Starts an agent for `target`, and adds a link in front of the agent to the VM list.
     pub async fn start_linked_agent(
         &self,
         name: &str,
@@ -210,7 +211,7 @@
         LinkedAgent { agent, link }
     }
 
-    /// Starts an agent beside `target`.
+    /// Starts an agent for `target` without adding it to the VM list.
     ///
     /// # Panics
     ///
@@ -225,7 +226,7 @@
         self.start_agent_with_key_value(name, service, target, &self.key_value.url())
     }
 
-    /// Starts an agent that reaches the key-value service at `key_value`.
+    /// Starts an unlisted agent that uses the key-value service at the URL `key_value`.
     ///
     /// # Panics
     ///
@@ -254,61 +255,64 @@
     }
 }
 
-fn common_settings(key_value: &str, vm_list: &str) -> String {
+fn common_settings(key_value: &str, vm_list_url: &str) -> String {
     format!(
-        "[platform]\nkey_value = {key_value}\nvm_list = {vm_list}\n\
+        "[platform]\nkey_value = {key_value}\nvm_list = {vm_list_url}\n\
          [trust]\nkey = {TRUST_KEY}\n[logs]\nlevel = info\n"
     )
 }
 
 impl EntryProcess {
-    /// Starts the process anew with the same settings.
+    /// Kills the process and starts it again with the same settings.
     ///
     /// # Panics
     ///
     /// If the binary has not been built.
     pub fn restart(&mut self) {
-        // It listens on the addresses of the former, which must be free: a process that was
-        // told to end may not have got there yet on a busy machine.
+        // The new process binds the same addresses. A process that was asked to terminate may still
+        // hold them on a busy machine, so it is killed first.
         self.daemon.kill();
         self.daemon = Daemon::start("berylhook", &["serve"], &self.settings).expect("it starts");
     }
 }
 
 impl AgentProcess {
-    /// Starts the process anew with the same settings.
+    /// Kills the process and starts it again with the same settings.
     ///
     /// # Panics
     ///
     /// If the binary has not been built.
     pub fn restart(&mut self) {
-        // As above.
+        // Frees the address; see `EntryProcess::restart`.
         self.daemon.kill();
         self.daemon = Daemon::start("berylhook-agent", &[], &self.settings).expect("it starts");
     }
 }
 
-/// Waits until `condition` holds.
+/// Polls `condition` until it returns true.
 ///
 /// # Panics
 ///
-/// If it does not hold within a minute.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
-    let began = Instant::now();
+/// If it is still false after a minute.
+pub async fn until<F: Future<Output = bool>>(description: &str, mut condition: impl FnMut() -> F) {
+    let started = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < READY_BOUND, "waited in vain for: {what}");
+        assert!(
+            started.elapsed() < CONDITION_TIMEOUT,
+            "timed out waiting until {description}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Waits until an entry serves calls that must not be repeated.
+/// Waits until an entry serves calls of the plain service, which must not be repeated.
 pub async fn until_plain_service_ready(entry: &EntryProcess) {
     let caller = Caller::new(DESK_KEY);
-    until("the plain service answers", || async {
-        let answered = caller
+    until("the plain service responds", || async {
+        let result = caller
             .post(entry.address, "/guide-push/warm-up", "", &[])
             .await;
-        answered.outcome == "done"
+        result.outcome == "done"
     })
     .await;
 }
@@ -322,14 +326,14 @@
     .await;
 }
 
-/// Waits until an entry answers model requests.
+/// Waits until an entry serves requests for `model`.
 pub async fn until_serving(entry: &EntryProcess, model: &str) {
     let caller = Caller::new(DESK_KEY);
-    until("the model answers", || async {
-        let answered = caller
+    until("the model responds", || async {
+        let result = caller
             .complete(entry.address, model, "ping", 1, false)
             .await;
-        answered.status == 200
+        result.status == 200
     })
     .await;
 }
--- a/crates/test-support/src/command.rs
+++ b/crates/test-support/src/command.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, run to their end.
+//! Runs the operators' commands to completion.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -6,18 +6,18 @@
 
 use crate::binary;
 
-/// What a command did.
+/// The result of a command.
 #[derive(Debug)]
 pub struct CommandOutput {
-    /// Its exit code.
+    /// Exit code; -1 if a signal ended the command.
     pub code: i32,
-    /// What it printed.
+    /// Text written to standard output.
     pub stdout: String,
-    /// What it complained of.
+    /// Text written to standard error.
     pub stderr: String,
 }
 
-/// Runs `berylhook` with these arguments.
+/// Runs `berylhook` with these arguments and waits until it exits.
 #[must_use]
 pub fn berylhook(arguments: &[&str]) -> CommandOutput {
     let path = binary("berylhook").expect("the binary is built");
@@ -32,32 +32,32 @@
     }
 }
 
-/// The statuses of all entries that answer, asked with one entry's settings.
+/// The statuses of all entries that respond, queried with the settings of one entry.
 #[must_use]
 pub fn statuses(settings: &str) -> Vec<serde_json::Value> {
     let settings = TemporaryFile::new(settings);
-    let ran = berylhook(&["status", "--settings", settings.path(), "--format", "json"]);
-    let value: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap_or_default();
+    let output = berylhook(&["status", "--settings", settings.path(), "--format", "json"]);
+    let value: serde_json::Value = serde_json::from_str(&output.stdout).unwrap_or_default();
     value["entries"].as_array().cloned().unwrap_or_default()
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// A file that is removed when dropped.
+/// A temporary file that is removed when dropped.
 pub struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
-    /// A file of this text.
+    /// Creates a file that contains `text`.
     #[must_use]
     pub fn new(text: &str) -> Self {
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let name = format!("berylhook-file-{}-{number}.ini", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).expect("the file can be written");
         Self(path)
     }
 
-    /// Its path.
+    /// Path of the file.
     #[must_use]
     pub fn path(&self) -> &str {
         self.0.to_str().expect("the path is UTF-8")
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The real binaries as child processes.
+//! Runs the real binaries as child processes.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,46 +10,47 @@
 use nix::sys::signal;
 use nix::unistd::Pid;
 
-/// Signals that tests send.
+/// Signals that tests send to processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends the process at once.
+    /// `SIGKILL`: ends the process at once.
     Kill,
-    /// Asks for a graceful shutdown.
+    /// `SIGTERM`: requests a graceful shutdown.
     Terminate,
-    /// Asks for the settings to be read anew.
+    /// `SIGHUP`: makes the process reload its settings.
     Reload,
-    /// Freezes the process.
+    /// `SIGSTOP`: suspends the process.
     Stop,
-    /// Wakes the process.
+    /// `SIGCONT`: resumes the process.
     Continue,
 }
 
-/// A running daemon; it is killed when dropped.
+/// A child process; it is killed when dropped.
 pub struct Daemon {
     child: Child,
     settings: PathBuf,
-    /// Where its output goes.
+    /// The file that receives its standard output and standard error.
     pub log_path: PathBuf,
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_DAEMON: AtomicU32 = AtomicU32::new(0);
 static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(0);
 
 impl Daemon {
-    /// Starts `binary` with `arguments` and a settings file of `settings`.
+    /// Starts a binary of this workspace with `arguments` and the path of a file that contains
+    /// `settings`.
     ///
     /// # Errors
     ///
-    /// If the binary has not been built.
+    /// If the binary has not been built or cannot be started.
     pub fn start(binary_name: &str, arguments: &[&str], settings: &str) -> Result<Self> {
         let path = binary(binary_name)?;
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_DAEMON.fetch_add(1, Ordering::SeqCst);
         let stem = format!("berylhook-test-{}-{number}", std::process::id());
         let settings_path = std::env::temp_dir().join(format!("{stem}.ini"));
         let log_path = std::env::temp_dir().join(format!("{stem}.log"));
         fs::write(&settings_path, settings).context("the settings file cannot be written")?;
-        let output = fs::File::create(&log_path).context("the log file cannot be made")?;
+        let output = fs::File::create(&log_path).context("the log file cannot be created")?;
         let child = Command::new(path)
             .args(arguments)
             .arg(&settings_path)
@@ -65,15 +66,15 @@
         })
     }
 
-    /// Its process id.
+    /// Process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
-    pub fn signal(&self, which: Signal) {
-        let which = match which {
+    /// Sends a signal to the process.
+    pub fn signal(&self, requested: Signal) {
+        let signal = match requested {
             Signal::Kill => signal::Signal::SIGKILL,
             Signal::Terminate => signal::Signal::SIGTERM,
             Signal::Reload => signal::Signal::SIGHUP,
@@ -81,41 +82,41 @@
             Signal::Continue => signal::Signal::SIGCONT,
         };
         let pid = i32::try_from(self.child.id()).expect("process ids are small");
-        // A process that has ended already needs no signal.
-        let _ = signal::kill(Pid::from_raw(pid), which);
+        // Fails if the process has already exited, which needs no signal.
+        let _ = signal::kill(Pid::from_raw(pid), signal);
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Ends it at once, and waits until it has ended and its addresses are free.
+    /// Kills the process and waits until it has exited, which frees its addresses.
     pub fn kill(&mut self) {
         self.signal(Signal::Kill);
-        // How it ended is known.
+        // The exit status says only that the process was killed.
         let _ = self.child.wait();
     }
 
-    /// Waits for its end and gives its exit code.
+    /// Waits until the process exits and returns its exit code.
     ///
     /// # Errors
     ///
-    /// If it ended by a signal.
+    /// If a signal ended the process.
     pub fn wait(&mut self) -> Result<i32> {
         match self.child.wait()?.code() {
             Some(code) => Ok(code),
-            None => bail!("ended by a signal"),
+            None => bail!("a signal ended the process"),
         }
     }
 
-    /// What it has printed so far.
+    /// Everything the process has written to its log so far.
     #[must_use]
     pub fn output(&self) -> String {
         fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
-    /// Peak or current resident memory in kB, as the kernel counts it.
+    /// Resident memory in kB, as reported by the kernel; 0 if the process has exited.
     #[must_use]
     pub fn resident_kb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
@@ -127,14 +128,15 @@
             .unwrap_or(0)
     }
 
-    /// Processor time used so far, in milliseconds.
+    /// CPU time used so far, user and system, in milliseconds.
     #[must_use]
     pub fn cpu_ms(&self) -> u64 {
         const TICK_MS: u64 = 10;
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let stat = stat.unwrap_or_default();
-        let after_name = stat.rsplit(')').next().unwrap_or_default();
-        let fields: Vec<_> = after_name.split_whitespace().collect();
+        // The name in parentheses may contain spaces, so fields are counted from its end.
+        let fields_after_name = stat.rsplit(')').next().unwrap_or_default();
+        let fields: Vec<_> = fields_after_name.split_whitespace().collect();
         let ticks = |index: usize| -> u64 {
             fields
                 .get(index)
@@ -155,34 +157,35 @@
     }
 }
 
-/// The path of a binary of this workspace, beside the running test.
+/// Finds a binary of this workspace in the build directories above the running test.
 ///
 /// # Errors
 ///
 /// If it has not been built.
 pub fn binary(name: &str) -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let found = own
+    let current_exe = std::env::current_exe()?;
+    let binary_path = current_exe
         .ancestors()
         .skip(1)
         .take(3)
         .map(|folder| folder.join(name))
         .find(|path| path.is_file());
-    found.with_context(|| format!("`{name}` is not built; run `cargo build --workspace --bins`"))
+    binary_path
+        .with_context(|| format!("`{name}` is not built; run `cargo build --workspace --bins`"))
 }
 
-/// A loopback address that nobody else on this machine uses.
+/// A loopback address that no other process on this machine uses.
 ///
-/// Asking the kernel for a free port and closing it again would race with
-/// every other test that does so. The whole of 127.0.0.0/8 is loopback, so
-/// each test process takes a /24 of its own by its process id.
+/// Taking a free port from the kernel and closing it again would race with other tests that do the
+/// same. All of 127.0.0.0/8 is loopback, so each test process uses a /24 of its own, chosen by its
+/// process id.
 #[must_use]
 pub fn free_address() -> SocketAddr {
     const HOSTS: u32 = 250;
     const FIRST_PORT: u32 = 9_000;
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::SeqCst);
-    let process = std::process::id() % 64_000 + 256;
-    let [_, _, high, low] = process.to_be_bytes();
+    let subnet = std::process::id() % 64_000 + 256;
+    let [_, _, high, low] = subnet.to_be_bytes();
     let host = u8::try_from(number % HOSTS + 1).expect("below 251");
     let port = u16::try_from(FIRST_PORT + number / HOSTS).expect("tests use few addresses");
     SocketAddr::from(([127, high, low, host], port))
--- a/crates/test-support/src/engine.rs
+++ b/crates/test-support/src/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: continuous batching in steps, streams that
-//! can be cancelled and resumed, and load reports that lag.
+//! A stand-in for a model engine: continuous batching in steps, streams that can be cancelled and
+//! resumed, and load reports that lag.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -14,14 +14,14 @@
 use crate::daemon::free_address;
 use crate::http::{self, NoResponse, Response, Server};
 
-/// How an engine behaves.
+/// Parameters of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineConfig {
-    /// Time of one step; each running stream gets one token a step.
+    /// Duration of one step; each running stream generates one token per step.
     pub step: Duration,
-    /// Streams that run at a time.
+    /// Maximum number of streams that run at a time.
     pub slots: usize,
-    /// Age of its load reports.
+    /// Age of the load reports.
     pub report_lag: Duration,
 }
 
@@ -35,10 +35,11 @@
     }
 }
 
-/// A generation that outlives the connection that asked for it.
+/// A generation, which may continue after the connection that requested it is lost.
 struct Generation {
-    tokens: watch::Receiver<usize>,
-    total: usize,
+    /// Number of tokens generated so far.
+    generated: watch::Receiver<usize>,
+    total_tokens: usize,
     prompt: String,
 }
 
@@ -50,22 +51,23 @@
     runs: Mutex<Vec<String>>,
     generations: Mutex<BTreeMap<String, Arc<Generation>>>,
     stalled: watch::Sender<bool>,
-    cut_after: AtomicU64,
+    cut_after_tokens: AtomicU64,
     unhealthy: AtomicBool,
     reports: Mutex<Vec<(Instant, Value)>>,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct Engine {
     shared: Arc<Shared>,
-    /// Its server.
+    /// The HTTP server.
     pub server: Server,
 }
 
-const NEVER: u64 = u64::MAX;
+/// Value of `cut_after_tokens` while streams are not cut.
+const NO_CUT: u64 = u64::MAX;
 
 impl Engine {
-    /// Starts an engine on a free port.
+    /// Starts an engine on a free address.
     pub async fn start(config: EngineConfig) -> Self {
         let shared = Arc::new(Shared {
             config,
@@ -75,7 +77,7 @@
             runs: Mutex::new(Vec::new()),
             generations: Mutex::new(BTreeMap::new()),
             stalled: watch::Sender::new(false),
-            cut_after: AtomicU64::new(NEVER),
+            cut_after_tokens: AtomicU64::new(NO_CUT),
             unhealthy: AtomicBool::new(false),
             reports: Mutex::new(Vec::new()),
         });
@@ -84,36 +86,36 @@
             free_address(),
             Arc::new(move |request| {
                 let shared = Arc::clone(&handler_shared);
-                Box::pin(shared.answer(request))
+                Box::pin(shared.respond(request))
             }),
         )
         .await;
         Self { shared, server }
     }
 
-    /// Request ids of the generations begun so far.
+    /// Request ids of the generations started so far.
     #[must_use]
     pub fn runs(&self) -> Vec<String> {
         self.shared.runs.lock().expect("no handler panics").clone()
     }
 
-    /// Freezes all generations, or lets them go on.
+    /// Stalls all generations, or resumes them.
     pub fn set_stalled(&self, stalled: bool) {
         self.shared.stalled.send_replace(stalled);
     }
 
-    /// Every stream is cut after this many tokens; `None` ends that.
+    /// Cuts each new stream after this many tokens of its generation; `None` ends that.
     pub fn cut_streams_after(&self, tokens: Option<u64>) {
-        let tokens = tokens.unwrap_or(NEVER);
-        self.shared.cut_after.store(tokens, Ordering::SeqCst);
+        let tokens = tokens.unwrap_or(NO_CUT);
+        self.shared.cut_after_tokens.store(tokens, Ordering::SeqCst);
     }
 
-    /// Answers every request with status 500, or works again.
+    /// Responds to every request with status 500, or normally again.
     pub fn set_unhealthy(&self, unhealthy: bool) {
         self.shared.unhealthy.store(unhealthy, Ordering::SeqCst);
     }
 
-    /// The text of token `index` of the answer to `prompt`.
+    /// The text of token `index` of the response to `prompt`.
     #[must_use]
     pub fn token_text(prompt: &str, index: usize) -> String {
         let sum = prompt
@@ -125,7 +127,7 @@
         )
     }
 
-    /// The whole answer to `prompt`.
+    /// The complete response to `prompt`.
     #[must_use]
     pub fn response_text(prompt: &str, tokens: usize) -> String {
         (0..tokens)
@@ -135,7 +137,7 @@
 }
 
 impl Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         if self.unhealthy.load(Ordering::SeqCst) {
@@ -143,7 +145,7 @@
             return Ok(http::json(StatusCode::INTERNAL_SERVER_ERROR, &body));
         }
         match path.as_str() {
-            "/load" => Ok(http::json(StatusCode::OK, &self.lagging_load())),
+            "/load" => Ok(http::json(StatusCode::OK, &self.lagging_load_report())),
             "/v1/completions" | "/v1/chat/completions" => self.complete(request).await,
             _ => match path.strip_prefix("/v1/streams/") {
                 Some(id) => Ok(self.resume(id, &query)),
@@ -152,7 +154,7 @@
         }
     }
 
-    fn lagging_load(&self) -> Value {
+    fn lagging_load_report(&self) -> Value {
         let now = Instant::now();
         let current = json!({
             "running": self.running.load(Ordering::SeqCst),
@@ -161,9 +163,9 @@
         });
         let mut reports = self.reports.lock().expect("no handler panics");
         reports.push((now, current));
-        let old_enough = |taken: Instant| now.duration_since(taken) >= self.config.report_lag;
-        let newest_old = reports.iter().rposition(|(taken, _)| old_enough(*taken));
-        let index = newest_old.unwrap_or(0);
+        let is_due = |taken: Instant| now.duration_since(taken) >= self.config.report_lag;
+        let newest_due = reports.iter().rposition(|(taken, _)| is_due(*taken));
+        let index = newest_due.unwrap_or(0);
         reports.drain(..index);
         reports[0].1.clone()
     }
@@ -171,10 +173,9 @@
     async fn complete(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let id = header(&request, "x-request-id");
         let stream_id = header(&request, "x-stream-id");
-        let question: Value =
-            serde_json::from_slice(&http::body(request).await).unwrap_or_default();
-        let prompt = prompt_of(&question);
-        let total = question["max_tokens"].as_u64().unwrap_or(16);
+        let body: Value = serde_json::from_slice(&http::body(request).await).unwrap_or_default();
+        let prompt = prompt_of(&body);
+        let total = body["max_tokens"].as_u64().unwrap_or(16);
         let total = usize::try_from(total).unwrap_or(16);
         self.runs.lock().expect("no handler panics").push(id);
         let generation = Arc::new(self.clone().generate(prompt, total));
@@ -182,26 +183,26 @@
             let mut generations = self.generations.lock().expect("no handler panics");
             generations.insert(stream_id, Arc::clone(&generation));
         }
-        if question["stream"].as_bool().unwrap_or(false) {
-            Ok(self.send_events(generation, 0))
+        if body["stream"].as_bool().unwrap_or(false) {
+            Ok(self.event_stream(generation, 0))
         } else {
-            Ok(self.send_whole(&generation).await)
+            Ok(self.complete_response(&generation).await)
         }
     }
 
-    /// Runs in the background, so that a lost connection can be resumed.
+    /// Generates in the background, so that a stream can be resumed after its connection is lost.
     fn generate(self: Arc<Self>, prompt: String, total: usize) -> Generation {
-        let (progress, tokens) = watch::channel(0);
+        let (progress, generated) = watch::channel(0);
         tokio::spawn(async move {
             self.waiting.fetch_add(1, Ordering::SeqCst);
             let slot = self.slots.acquire().await;
             self.waiting.fetch_sub(1, Ordering::SeqCst);
             self.running.fetch_add(1, Ordering::SeqCst);
             let mut stalled = self.stalled.subscribe();
-            for done in 1..=total {
+            for count in 1..=total {
                 tokio::time::sleep(self.config.step).await;
                 let _ = stalled.wait_for(|stalled| !stalled).await;
-                if progress.send(done).is_err() {
+                if progress.send(count).is_err() {
                     break;
                 }
             }
@@ -209,16 +210,16 @@
             drop(slot);
         });
         Generation {
-            tokens,
-            total,
+            generated,
+            total_tokens: total,
             prompt,
         }
     }
 
-    async fn send_whole(&self, generation: &Generation) -> Response {
-        let mut tokens = generation.tokens.clone();
-        let total = generation.total;
-        let _ = tokens.wait_for(|done| *done >= total).await;
+    async fn complete_response(&self, generation: &Generation) -> Response {
+        let mut generated = generation.generated.clone();
+        let total = generation.total_tokens;
+        let _ = generated.wait_for(|count| *count >= total).await;
         let text = Engine::response_text(&generation.prompt, total);
         let body = json!({
             "object": "chat.completion",
@@ -234,13 +235,13 @@
     }
 
     fn resume(&self, id: &str, query: &str) -> Response {
-        let from = query
+        let first_index = query
             .strip_prefix("from=")
-            .and_then(|from| from.parse().ok())
+            .and_then(|first_index| first_index.parse().ok())
             .unwrap_or(0);
         let generations = self.generations.lock().expect("no handler panics");
         match generations.get(id).cloned() {
-            Some(generation) => self.send_events(generation, from),
+            Some(generation) => self.event_stream(generation, first_index),
             None => http::json(
                 StatusCode::NOT_FOUND,
                 &json!({"error": {"message": "no such stream"}}),
@@ -248,22 +249,22 @@
         }
     }
 
-    fn send_events(&self, generation: Arc<Generation>, from: usize) -> Response {
+    fn event_stream(&self, generation: Arc<Generation>, first_index: usize) -> Response {
         let (sender, receiver) = mpsc::channel(64);
-        let cut_after = self.cut_after.load(Ordering::SeqCst);
+        let cut_after_tokens = self.cut_after_tokens.load(Ordering::SeqCst);
         tokio::spawn(async move {
-            let mut tokens = generation.tokens.clone();
-            for index in from..generation.total {
-                if tokens.wait_for(|done| *done > index).await.is_err() {
+            let mut generated = generation.generated.clone();
+            for index in first_index..generation.total_tokens {
+                if generated.wait_for(|count| *count > index).await.is_err() {
                     let _ = sender.send(Err(NoResponse)).await;
                     return;
                 }
-                if index as u64 >= cut_after {
+                if index as u64 >= cut_after_tokens {
                     let _ = sender.send(Err(NoResponse)).await;
                     return;
                 }
-                let event = event(&generation.prompt, index);
-                if sender.send(Ok(event)).await.is_err() {
+                let token_event = token_event(&generation.prompt, index);
+                if sender.send(Ok(token_event)).await.is_err() {
                     return;
                 }
             }
@@ -275,7 +276,7 @@
     }
 }
 
-fn event(prompt: &str, index: usize) -> Bytes {
+fn token_event(prompt: &str, index: usize) -> Bytes {
     let token = Engine::token_text(prompt, index);
     let body = json!({
         "object": "chat.completion.chunk",
@@ -293,9 +294,9 @@
         .to_owned()
 }
 
-fn prompt_of(question: &Value) -> String {
-    match question["prompt"].as_str() {
+fn prompt_of(body: &Value) -> String {
+    match body["prompt"].as_str() {
         Some(prompt) => prompt.to_owned(),
-        None => question["messages"].to_string(),
+        None => body["messages"].to_string(),
     }
 }
--- a/crates/test-support/src/history.rs
+++ b/crates/test-support/src/history.rs
@@ -1,10 +1,10 @@
-//! Recorded histories of concurrent calls, checked by a library.
+//! Recorded histories of concurrent calls, checked for linearizability.
 //!
-//! A history holds what callers were told and what really happened beside the
-//! target. It is linearizable against [`AtMostOnceSpec`] exactly if some order of
-//! events, consistent with real time, keeps the promises: a key takes effect
-//! at most once, "done" is said only of an effect that happened, and "not
-//! run" only of an attempt that had none and never gets one.
+//! A history contains the outcomes reported to callers and the effects observed at the target. It
+//! is linearizable against [`AtMostOnceSpec`] exactly if some order of its operations, consistent
+//! with real time, satisfies these rules: a key takes effect at most once, "done" is reported only
+//! if the effect has happened, and "not run" is reported only for an attempt that has had no effect
+//! and never will.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -16,54 +16,54 @@
 use crate::PlainRun;
 use crate::calls::CallResult;
 
-/// What a caller was told.
+/// The outcome of an attempt as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedOutcome {
-    /// It ran and the answer is whole.
+    /// The request ran and the response is complete.
     Done,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl ReportedOutcome {
-    /// What the answer to a call tells; no answer at all tells nothing.
+    /// The outcome that a call's result reports; [`Self::Unknown`] if there was no response.
     #[must_use]
-    pub fn of(answered: &CallResult) -> Self {
-        match answered.outcome.as_str() {
-            "done" if answered.is_complete => Self::Done,
+    pub fn of(result: &CallResult) -> Self {
+        match result.outcome.as_str() {
+            "done" if result.is_complete => Self::Done,
             "not-run" => Self::NotRun,
             _ => Self::Unknown,
         }
     }
 }
 
-/// One operation of a history.
+/// An operation of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A caller made an attempt and was told this.
+    /// A caller made an attempt and got an outcome.
     Attempt {
-        /// Names the attempt.
+        /// Id of the attempt.
         attempt: String,
-        /// What its caller was told.
+        /// The outcome reported to the caller.
         reported: ReportedOutcome,
     },
     /// The target ran the request of this attempt.
     Effect {
-        /// Names the attempt.
+        /// Id of the attempt.
         attempt: String,
     },
 }
 
-/// The promises about one key.
+/// The sequential specification of one key, which takes effect at most once.
 pub struct AtMostOnceSpec;
 
 /// The state of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeyState {
-    ran: Option<String>,
-    denied: BTreeSet<String>,
+    ran_attempt: Option<String>,
+    not_run_attempts: BTreeSet<String>,
 }
 
 impl Specification for AtMostOnceSpec {
@@ -76,51 +76,52 @@
 
     fn apply(operation: &Operation, state: &KeyState) -> (bool, KeyState) {
         let mut next = state.clone();
-        let is_allowed = match operation {
+        let is_permitted = match operation {
             Operation::Effect { attempt } => {
-                let allowed = state.ran.is_none() && !state.denied.contains(attempt);
-                next.ran = Some(attempt.clone());
-                allowed
+                let can_run =
+                    state.ran_attempt.is_none() && !state.not_run_attempts.contains(attempt);
+                next.ran_attempt = Some(attempt.clone());
+                can_run
             }
             Operation::Attempt { attempt, reported } => match reported {
-                ReportedOutcome::Done => state.ran.is_some(),
+                ReportedOutcome::Done => state.ran_attempt.is_some(),
                 ReportedOutcome::NotRun => {
-                    next.denied.insert(attempt.clone());
-                    state.ran.as_ref() != Some(attempt)
+                    next.not_run_attempts.insert(attempt.clone());
+                    state.ran_attempt.as_ref() != Some(attempt)
                 }
                 ReportedOutcome::Unknown => true,
             },
         };
-        (is_allowed, next)
+        (is_permitted, next)
     }
 }
 
-/// A timed operation on one key.
+/// An operation on one key with its start and end.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// The key.
+    /// The key that the operation applies to.
     pub key: String,
-    /// The operation.
+    /// The operation that was recorded.
     pub operation: Operation,
-    /// When it began.
+    /// When the operation was invoked.
     pub from: Instant,
-    /// When it ended.
+    /// When the operation returned.
     pub to: Instant,
 }
 
-/// Collects the events of a run.
+/// Collects the operations of a test run.
 #[derive(Default, Debug)]
 pub struct Recorder {
     events: Vec<Event>,
 }
 
 impl Recorder {
-    /// Adds an event.
+    /// Adds a recorded operation.
     pub fn push(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// Adds the effects that a service recorded; their bodies are the keys.
+    /// Adds the effects that a service recorded. The request bodies are the keys.
     pub fn add_runs(&mut self, runs: &[PlainRun]) {
         for run in runs {
             self.push(Event {
@@ -134,17 +135,17 @@
         }
     }
 
-    /// How often each thing was told.
+    /// Number of attempts whose callers got this outcome.
     #[must_use]
-    pub fn count_reported(&self, which: ReportedOutcome) -> usize {
-        let is_that = |event: &&Event| match event.operation {
-            Operation::Attempt { reported: told, .. } => told == which,
+    pub fn count_reported(&self, outcome: ReportedOutcome) -> usize {
+        let has_outcome = |event: &&Event| match event.operation {
+            Operation::Attempt { reported, .. } => reported == outcome,
             Operation::Effect { .. } => false,
         };
-        self.events.iter().filter(is_that).count()
+        self.events.iter().filter(has_outcome).count()
     }
 
-    /// The keys whose history breaks a promise.
+    /// The keys whose histories are not linearizable, each with its operations.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let mut keys: BTreeMap<&str, Vec<&Event>> = BTreeMap::new();
@@ -159,7 +160,7 @@
 }
 
 fn is_linearizable(events: &[&Event]) -> bool {
-    let mut timed = Vec::new();
+    let mut timed_actions = Vec::new();
     for (process, event) in events.iter().enumerate() {
         let call = (
             event.from,
@@ -173,11 +174,11 @@
             process,
             Action::Response(event.operation.clone()),
         );
-        timed.push(call);
-        timed.push(response);
+        timed_actions.push(call);
+        timed_actions.push(response);
     }
-    timed.sort_by_key(|(at, order, process, _)| (*at, *order, *process));
-    let actions = timed
+    timed_actions.sort_by_key(|(at, order, process, _)| (*at, *order, *process));
+    let actions = timed_actions
         .into_iter()
         .map(|(_, _, process, action)| (process, action))
         .collect();
--- a/crates/test-support/src/http.rs
+++ b/crates/test-support/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose handler may also answer with nothing at all.
+//! A minimal HTTP server whose handler may also close the connection without a response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,29 +15,29 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The connection is closed without an answer.
+/// Closes the connection without a response, or in the middle of a streamed body.
 #[derive(Debug)]
 pub struct NoResponse;
 
 impl std::fmt::Display for NoResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("closed without an answer, as the test asked")
+        f.write_str("connection closed without a response, as the test requested")
     }
 }
 
 impl std::error::Error for NoResponse {}
 
-/// An answer of a stand-in.
+/// An HTTP response of a stand-in.
 pub type Response = hyper::Response<BoxBody<Bytes, NoResponse>>;
 
-/// What a stand-in does with a request.
+/// Handles one request to a stand-in.
 pub(crate) type Handler = Arc<
     dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response, NoResponse>> + Send + Sync,
 >;
 
 /// A running server; it stops when dropped.
 pub struct Server {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -66,7 +66,7 @@
 }
 
 async fn accept_loop(listener: TcpListener, handler: Handler) {
-    // The connections end with the server, as those of a process do.
+    // Dropping the set closes all connections, as the exit of a process does.
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -76,7 +76,7 @@
         let handler = Arc::clone(&handler);
         connections.spawn(async move {
             let service = service_fn(move |request| handler(request));
-            // A connection the handler drops on purpose ends in an error.
+            // A connection that the handler closes on purpose ends in an error.
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -90,10 +90,10 @@
         .status(status)
         .header("content-type", "application/json")
         .body(full.boxed())
-        .expect("the head is valid")
+        .expect("the response head is valid")
 }
 
-/// An answer whose body is sent as it is produced; an `Err` cuts it off.
+/// A response whose body is sent in chunks as they arrive; an `Err` cuts the connection.
 pub(crate) fn stream(
     content_type: &str,
     chunks: mpsc::Receiver<Result<Bytes, NoResponse>>,
@@ -105,7 +105,7 @@
     hyper::Response::builder()
         .header("content-type", content_type)
         .body(BodyExt::boxed(StreamBody::new(frames)))
-        .expect("the head is valid")
+        .expect("the response head is valid")
 }
 
 pub(crate) async fn body(request: Request<Incoming>) -> Bytes {
--- a/crates/test-support/src/kv.rs
+++ b/crates/test-support/src/kv.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the platform's store: ranges, transactions, leases and
-//! watches, as its published protocol spells them.
+//! A stand-in for the platform's key-value service: ranges, transactions, leases and watches of the
+//! published protocol.
 //!
-//! It can come back from an older copy: see [`KeyValueStandIn::restore`].
+//! [`KeyValueStandIn::restore`] resets it to an older snapshot.
 
-mod question;
+mod request;
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,33 +15,33 @@
 use serde_json::{Value, json};
 use tokio::sync::broadcast;
 
-use self::question::Question;
+use self::request::StoreRequest;
 use crate::http::{self, NoResponse, Response, Server};
 
-/// How the service fails at present.
+/// Failure mode of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outage {
-    /// It works.
+    /// The service works.
     #[default]
     None,
-    /// Every call is answered with status 503 and has no effect.
+    /// Every call gets status 503 and has no effect.
     Refusing,
-    /// Calls are accepted and never answered, and have no effect.
+    /// Calls are accepted, but get no response and have no effect.
     Silent,
 }
 
-/// What the service held at one moment.
+/// The content of the service at one moment.
 #[derive(Clone)]
 pub struct StoreSnapshot {
     revision: i64,
     next_lease: i64,
-    keys: BTreeMap<Vec<u8>, Stored>,
+    keys: BTreeMap<Vec<u8>, StoredValue>,
     leases: BTreeMap<i64, Lease>,
-    log: Vec<Value>,
+    event_log: Vec<Value>,
 }
 
 #[derive(Clone)]
-struct Stored {
+struct StoredValue {
     value: Vec<u8>,
     create_revision: i64,
     mod_revision: i64,
@@ -56,23 +56,23 @@
 
 #[derive(Default)]
 struct State {
-    /// How often it was restored.
+    /// Number of restores so far.
     era: u64,
     revision: i64,
-    keys: BTreeMap<Vec<u8>, Stored>,
+    keys: BTreeMap<Vec<u8>, StoredValue>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
     outage: Outage,
     lose_responses: u32,
-    /// The write of a key with this in it loses its answer, and an outage
-    /// begins.
-    doubted_key: Option<String>,
+    /// The next write of a key that contains this text takes effect, but its response is lost and
+    /// an outage begins.
+    failing_write_key: Option<String>,
     mute_watches: bool,
-    /// Reads of keys that begin so are answered once this is taken back.
-    held_reads: Option<String>,
+    /// Reads of keys with this prefix get no response until it is cleared.
+    held_read_prefix: Option<String>,
     calls: u64,
     writes: u64,
-    log: Vec<Value>,
+    event_log: Vec<Value>,
 }
 
 struct Shared {
@@ -80,7 +80,7 @@
     changes: broadcast::Sender<()>,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct KeyValueStandIn {
     shared: Arc<Shared>,
     server: Server,
@@ -95,14 +95,14 @@
             changes,
         });
         let handler_shared = Arc::clone(&shared);
-        let server = Server::start(Arc::new(move |request| {
+        let server = Server::start(Arc::new(move |http_request| {
             let shared = Arc::clone(&handler_shared);
             Box::pin(async move {
-                let method = request.method().clone();
-                let uri = request.uri().clone();
-                let body = http::body(request).await;
-                let question = Question::new(&method, &uri, &body);
-                let mut response = Arc::clone(&shared).answer(&question).await?;
+                let method = http_request.method().clone();
+                let uri = http_request.uri().clone();
+                let body = http::body(http_request).await;
+                let request = StoreRequest::new(&method, &uri, &body);
+                let mut response = Arc::clone(&shared).respond(&request).await?;
                 let era = shared.lock().era;
                 response.headers_mut().insert("store-era", era.into());
                 Ok(response)
@@ -113,7 +113,7 @@
         Self { shared, server }
     }
 
-    /// Its base URL.
+    /// Base URL of the service.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address)
@@ -121,59 +121,59 @@
 
     /// Starts or ends an outage.
     ///
-    /// One that refuses calls also cuts the watches that wait.
+    /// An outage that refuses calls also ends the waiting watches.
     pub fn set_outage(&self, outage: Outage) {
         self.shared.lock().outage = outage;
         let _ = self.shared.changes.send(());
     }
 
-    /// The next `count` writes take effect, but their answers are lost.
+    /// The next `count` writes take effect, but their responses are lost.
     pub fn lose_responses(&self, count: u32) {
         self.shared.lock().lose_responses = count;
     }
 
-    /// The next write of a key that contains `part` takes effect, its answer is
-    /// lost, and the service refuses every call until the outage is ended.
-    pub fn fail_after_write_of(&self, part: &str) {
-        self.shared.lock().doubted_key = Some(part.to_owned());
+    /// The next write of a key that contains `key_part` takes effect, but its response is lost and
+    /// the service refuses every call until the outage is ended.
+    pub fn fail_after_write_of(&self, key_part: &str) {
+        self.shared.lock().failing_write_key = Some(key_part.to_owned());
     }
 
-    /// How the service fails at present.
+    /// The current outage.
     #[must_use]
     pub fn outage(&self) -> Outage {
         self.shared.lock().outage
     }
 
-    /// Watches stay open but tell nothing more.
+    /// Stops sending events on open watches, or sends them again.
     pub fn mute_watches(&self, mute: bool) {
         self.shared.lock().mute_watches = mute;
     }
 
-    /// Reads of keys, or of ranges, that begin with `prefix` are answered only once
+    /// Reads of keys or ranges that start with `prefix` get no response until
     /// [`Self::release_reads`] is called.
     pub fn hold_reads_of(&self, prefix: &str) {
-        self.shared.lock().held_reads = Some(prefix.to_owned());
+        self.shared.lock().held_read_prefix = Some(prefix.to_owned());
     }
 
-    /// Answers the reads that were held, and holds no more.
+    /// Responds to the held reads, and holds no further ones.
     pub fn release_reads(&self) {
-        self.shared.lock().held_reads = None;
+        self.shared.lock().held_read_prefix = None;
         let _ = self.shared.changes.send(());
     }
 
-    /// Calls answered so far, a watch counting as one.
+    /// Number of calls accepted so far; a watch counts as one.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
 
-    /// Writes carried out so far.
+    /// Number of keys written and leases granted or renewed so far.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.shared.lock().writes
     }
 
-    /// Writes a key past all checks, as a careless operator might.
+    /// Writes a key without the checks of a transaction, as a manual change by an operator might.
     pub fn put_raw(&self, key: &str, value: &[u8]) {
         let mut state = self.shared.lock();
         state.revision += 1;
@@ -182,13 +182,13 @@
         let _ = self.shared.changes.send(());
     }
 
-    /// Writes a value whose text on the wire is `text`, encoded or not.
+    /// Writes a value that is sent to readers as `text`, which need not be valid Base64.
     pub fn put_text(&self, key: &str, text: &str) {
-        let value = [AS_IT_IS, text.as_bytes()].concat();
+        let value = [RAW_TEXT_PREFIX, text.as_bytes()].concat();
         self.put_raw(key, &value);
     }
 
-    /// Removes a key past all checks.
+    /// Removes a key without the checks of a transaction.
     pub fn remove_raw(&self, key: &str) {
         let mut state = self.shared.lock();
         state.revision += 1;
@@ -197,7 +197,7 @@
         let _ = self.shared.changes.send(());
     }
 
-    /// A copy of all that it holds.
+    /// A snapshot of the current content.
     #[must_use]
     pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.shared.lock();
@@ -206,35 +206,35 @@
             next_lease: state.next_lease,
             keys: state.keys.clone(),
             leases: state.leases.clone(),
-            log: state.log.clone(),
+            event_log: state.event_log.clone(),
         }
     }
 
-    /// Comes back from a copy, in the next era: what was written since is gone, leases too,
-    /// and revisions and the numbers of leases are given out again.
-    pub fn restore(&self, copy: &StoreSnapshot) {
+    /// Restores the content of a snapshot and starts the next era. All writes since the snapshot
+    /// are lost, leases included, and the revisions and lease ids since then are issued again.
+    pub fn restore(&self, snapshot: &StoreSnapshot) {
         let now = Instant::now();
         let mut state = self.shared.lock();
         state.era += 1;
-        state.revision = copy.revision;
-        state.next_lease = copy.next_lease;
-        state.keys.clone_from(&copy.keys);
-        state.leases.clone_from(&copy.leases);
+        state.revision = snapshot.revision;
+        state.next_lease = snapshot.next_lease;
+        state.keys.clone_from(&snapshot.keys);
+        state.leases.clone_from(&snapshot.leases);
         for lease in state.leases.values_mut() {
             lease.expires = now + lease.ttl;
         }
-        state.log.clone_from(&copy.log);
+        state.event_log.clone_from(&snapshot.event_log);
         drop(state);
         let _ = self.shared.changes.send(());
     }
 
-    /// How often it was restored.
+    /// Number of restores so far.
     #[must_use]
     pub fn era(&self) -> u64 {
         self.shared.lock().era
     }
 
-    /// The value of a key as text.
+    /// The value of a key, read as UTF-8.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<String> {
         let state = self.shared.lock();
@@ -242,7 +242,7 @@
         Some(String::from_utf8_lossy(&stored.value).into_owned())
     }
 
-    /// Where it listens.
+    /// Address on which the service listens.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address
@@ -266,7 +266,7 @@
         self.state.lock().expect("no handler panics")
     }
 
-    async fn answer(self: Arc<Self>, question: &Question) -> Result<Response, NoResponse> {
+    async fn respond(self: Arc<Self>, request: &StoreRequest) -> Result<Response, NoResponse> {
         let outage = self.lock().outage;
         match outage {
             Outage::Silent => std::future::pending().await,
@@ -277,39 +277,39 @@
             Outage::None => {}
         }
         self.lock().calls += 1;
-        if question.call == "GET /-/kv-watch" {
-            return self.watch(question).await;
+        if request.call == "GET /-/kv-watch" {
+            return self.watch(request).await;
         }
-        self.until_released(question).await;
-        let (status, answer) = self.call(question);
+        self.wait_until_released(request).await;
+        let (status, body) = self.execute(request);
         let _ = self.changes.send(());
-        let is_write = !question.call.starts_with("GET");
-        if is_write && (self.take_lost_answer() || self.take_doubt(&question.body)) {
+        let is_write = !request.call.starts_with("GET");
+        if is_write && (self.take_lost_response() || self.take_write_failure(&request.body)) {
             return Err(NoResponse);
         }
-        Ok(http::json(status, &answer))
+        Ok(http::json(status, &body))
     }
 
-    async fn until_released(&self, question: &Question) {
+    async fn wait_until_released(&self, request: &StoreRequest) {
         let mut changes = self.changes.subscribe();
-        while self.is_held(question) {
-            // A lagging receiver has missed notices, and looks again all the same.
+        while self.is_held(request) {
+            // A lagging receiver has missed notifications, but checks the state again in any case.
             let _ = changes.recv().await;
         }
     }
 
-    fn is_held(&self, question: &Question) -> bool {
+    fn is_held(&self, request: &StoreRequest) -> bool {
         let state = self.lock();
-        let held = state.held_reads.as_deref();
-        let read = match question.call.as_str() {
-            "GET /-/kv-range" => question.query("prefix"),
-            "GET /-/kv-key" => question.query("key"),
+        let prefix = state.held_read_prefix.as_deref();
+        let key = match request.call.as_str() {
+            "GET /-/kv-range" => request.query("prefix"),
+            "GET /-/kv-key" => request.query("key"),
             _ => return false,
         };
-        held.is_some_and(|held| read.starts_with(held))
+        prefix.is_some_and(|prefix| key.starts_with(prefix))
     }
 
-    fn take_lost_answer(&self) -> bool {
+    fn take_lost_response(&self) -> bool {
         let mut state = self.lock();
         if state.lose_responses == 0 {
             return false;
@@ -318,31 +318,31 @@
         true
     }
 
-    fn take_doubt(&self, question: &Value) -> bool {
+    fn take_write_failure(&self, body: &Value) -> bool {
         let mut state = self.lock();
-        let Some(part) = state.doubted_key.clone() else {
+        let Some(key_part) = state.failing_write_key.clone() else {
             return false;
         };
-        let writes_it = array(&question["writes"])
+        let is_matching_write = array(&body["writes"])
             .iter()
-            .any(|write| text(&write["key"]).contains(&part));
-        if writes_it {
-            state.doubted_key = None;
+            .any(|write| text(&write["key"]).contains(&key_part));
+        if is_matching_write {
+            state.failing_write_key = None;
             state.outage = Outage::Refusing;
         }
-        writes_it
+        is_matching_write
     }
 
-    fn call(&self, question: &Question) -> (StatusCode, Value) {
+    fn execute(&self, request: &StoreRequest) -> (StatusCode, Value) {
         let mut state = self.lock();
-        match question.call.as_str() {
-            "GET /-/kv-key" => state.item(&question.query("key")),
-            "GET /-/kv-range" => state.range(question),
-            "POST /-/kv-txn" => state.txn(&question.body),
-            "POST /-/kv-lease" => state.grant(&question.body),
-            "POST /-/kv-keep" => state.keep(question.id),
+        match request.call.as_str() {
+            "GET /-/kv-key" => state.item(&request.query("key")),
+            "GET /-/kv-range" => state.range(request),
+            "POST /-/kv-txn" => state.txn(&request.body),
+            "POST /-/kv-lease" => state.grant_lease(&request.body),
+            "POST /-/kv-keep" => state.renew_lease(request.id),
             "DELETE /-/kv-lease-end" => {
-                state.end_lease(question.id);
+                state.revoke_lease(request.id);
                 (StatusCode::OK, json!({}))
             }
             other => (
@@ -352,21 +352,22 @@
         }
     }
 
-    /// Waits for events behind a revision, for as long as the call says.
-    async fn watch(self: Arc<Self>, question: &Question) -> Result<Response, NoResponse> {
-        let prefix = question.query("prefix");
-        let after = question.number("after");
-        let wait = Duration::from_millis(u64::try_from(question.number("wait-ms")).unwrap_or(0));
+    /// Waits for events after a revision, for at most the time that the request gives.
+    async fn watch(self: Arc<Self>, request: &StoreRequest) -> Result<Response, NoResponse> {
+        let prefix = request.query("prefix");
+        let after = request.query_number("after");
+        let wait =
+            Duration::from_millis(u64::try_from(request.query_number("wait-ms")).unwrap_or(0));
         let mut changes = self.changes.subscribe();
-        let (era, newest) = {
+        let (era, current_revision) = {
             let state = self.lock();
             (state.era, state.revision)
         };
-        if after > newest {
+        if after > current_revision {
             let body = json!({"error": "no such revision"});
             return Ok(http::json(StatusCode::GONE, &body));
         }
-        let waiting = async {
+        let next_events = async {
             loop {
                 if self.lock().outage == Outage::Refusing {
                     return Ok(None);
@@ -375,33 +376,33 @@
                     return Err(NoResponse);
                 }
                 let (events, revision) = self.lock().events_since(&prefix, after);
-                if !events.is_empty() && !self.is_silent() {
+                if !events.is_empty() && !self.are_watches_silent() {
                     return Ok(Some((events, revision)));
                 }
-                // A lagging receiver has missed notices, not events.
+                // A lagging receiver has missed notifications, but the events are in the log.
                 let _ = changes.recv().await;
             }
         };
-        let (events, revision) = match tokio::time::timeout(wait, waiting).await {
-            Ok(Ok(Some(found))) => found,
+        let (events, revision) = match tokio::time::timeout(wait, next_events).await {
+            Ok(Ok(Some(events_and_revision))) => events_and_revision,
             Ok(Ok(None)) => {
                 let body = json!({"error": "outage"});
                 return Ok(http::json(StatusCode::SERVICE_UNAVAILABLE, &body));
             }
-            Ok(Err(cut)) => return Err(cut),
+            Ok(Err(error)) => return Err(error),
             Err(_) => (Vec::new(), after),
         };
         let body = json!({"events": events, "as-of": revision});
         Ok(http::json(StatusCode::OK, &body))
     }
 
-    fn is_silent(&self) -> bool {
+    fn are_watches_silent(&self) -> bool {
         let state = self.lock();
         state.mute_watches || state.outage != Outage::None
     }
 }
 
-/// Items on one page of a range.
+/// Maximum number of items on one page of a range.
 const PAGE_ITEMS: usize = 500;
 
 impl State {
@@ -416,9 +417,9 @@
         }
     }
 
-    fn range(&self, question: &Question) -> (StatusCode, Value) {
-        let prefix = question.query("prefix");
-        let after = question.query("after");
+    fn range(&self, request: &StoreRequest) -> (StatusCode, Value) {
+        let prefix = request.query("prefix");
+        let after = request.query("after");
         let mut items: Vec<Value> = self
             .keys
             .iter()
@@ -430,23 +431,23 @@
             .collect();
         let more_pages = items.len() > PAGE_ITEMS;
         items.truncate(PAGE_ITEMS);
-        let answer = json!({"items": items, "more-pages": more_pages, "as-of": self.revision});
-        (StatusCode::OK, answer)
+        let body = json!({"items": items, "more-pages": more_pages, "as-of": self.revision});
+        (StatusCode::OK, body)
     }
 
     fn txn(&mut self, body: &Value) -> (StatusCode, Value) {
-        let holds = array(&body["expected"]).iter().all(|row| {
+        let is_expected_state = array(&body["expected"]).iter().all(|row| {
             let stored = self.keys.get(text(&row["key"]).as_bytes());
             stored.map_or(0, |stored| stored.mod_revision) == int(&row["revision"])
         });
-        if !holds {
+        if !is_expected_state {
             return (StatusCode::PRECONDITION_FAILED, json!({"items": []}));
         }
         let leases = array(&body["writes"]).iter().map(|row| int(&row["lease"]));
-        let missing = leases
+        let has_unknown_lease = leases
             .clone()
             .any(|id| id != 0 && !self.leases.contains_key(&id));
-        if missing {
+        if has_unknown_lease {
             return (StatusCode::NOT_FOUND, json!({"error": "no such lease"}));
         }
         self.revision += 1;
@@ -466,13 +467,13 @@
             .keys
             .get(&key)
             .map_or(self.revision, |stored| stored.create_revision);
-        let stored = Stored {
+        let stored = StoredValue {
             value,
             create_revision,
             mod_revision: self.revision,
             lease,
         };
-        self.log.push(item_json(&key, &stored));
+        self.event_log.push(item_json(&key, &stored));
         self.keys.insert(key, stored);
     }
 
@@ -481,13 +482,13 @@
             return;
         }
         let key = String::from_utf8_lossy(key);
-        self.log
+        self.event_log
             .push(json!({"key": key, "revision": self.revision, "deleted": true}));
     }
 
     fn events_since(&self, prefix: &str, after: i64) -> (Vec<Value>, i64) {
         let events = self
-            .log
+            .event_log
             .iter()
             .filter(|event| int(&event["revision"]) > after)
             .filter(|event| text(&event["key"]).starts_with(prefix))
@@ -496,7 +497,7 @@
         (events, self.revision)
     }
 
-    fn grant(&mut self, body: &Value) -> (StatusCode, Value) {
+    fn grant_lease(&mut self, body: &Value) -> (StatusCode, Value) {
         let ttl_ms = int(&body["ttl-ms"]);
         self.next_lease += 1;
         self.writes += 1;
@@ -509,7 +510,7 @@
         )
     }
 
-    fn keep(&mut self, id: i64) -> (StatusCode, Value) {
+    fn renew_lease(&mut self, id: i64) -> (StatusCode, Value) {
         self.writes += 1;
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -521,7 +522,7 @@
         }
     }
 
-    fn end_lease(&mut self, id: i64) {
+    fn revoke_lease(&mut self, id: i64) {
         self.leases.remove(&id);
         self.revision += 1;
         let keys: Vec<_> = self
@@ -548,7 +549,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in &expired {
-            state.end_lease(*id);
+            state.revoke_lease(*id);
         }
         drop(state);
         if !expired.is_empty() {
@@ -557,11 +558,11 @@
     }
 }
 
-/// What a value begins with whose text goes on the wire unencoded.
-const AS_IT_IS: &[u8] = b"\0as it is:";
+/// Prefix of a stored value whose remaining text is sent without Base64 encoding.
+const RAW_TEXT_PREFIX: &[u8] = b"\0as it is:";
 
-fn item_json(key: &[u8], stored: &Stored) -> Value {
-    let value = match stored.value.strip_prefix(AS_IT_IS) {
+fn item_json(key: &[u8], stored: &StoredValue) -> Value {
+    let value = match stored.value.strip_prefix(RAW_TEXT_PREFIX) {
         Some(text) => String::from_utf8_lossy(text).into_owned(),
         None => STANDARD.encode(&stored.value),
     };
--- a/crates/test-support/src/kv/question.rs
+++ b/crates/test-support/src/kv/request.rs
@@ -1,32 +1,32 @@
-//! Calls to the stand-in, decoded from the request.
+//! Decodes requests to the stand-in.
 
 use std::collections::BTreeMap;
 
 use percent_encoding::percent_decode_str;
 use serde_json::Value;
 
-/// One call as the protocol spells it.
-pub(super) struct Question {
-    /// Method and path, without what follows the call's name.
+/// A request of the store's protocol.
+pub(super) struct StoreRequest {
+    /// Method and path, without the id that may follow the call's name.
     pub(super) call: String,
-    /// What follows the call's name.
+    /// The id that follows the call's name in the path; 0 if there is none.
     pub(super) id: i64,
     query: BTreeMap<String, String>,
     pub(super) body: Value,
 }
 
-impl Question {
+impl StoreRequest {
     pub(super) fn new(method: &hyper::Method, uri: &hyper::Uri, body: &[u8]) -> Self {
         let path = uri.path();
         let (name, id) = match path.rsplit_once('/') {
             Some((name, last)) if last.parse::<i64>().is_ok() => (name, last),
             _ => (path, "0"),
         };
-        let pairs = uri.query().unwrap_or_default().split('&');
+        let parameters = uri.query().unwrap_or_default().split('&');
         Self {
             call: format!("{method} {name}"),
             id: id.parse().unwrap_or(0),
-            query: pairs
+            query: parameters
                 .filter_map(|pair| pair.split_once('='))
                 .map(|(name, value)| (name.to_owned(), unescaped(value)))
                 .collect(),
@@ -38,7 +38,7 @@
         self.query.get(name).cloned().unwrap_or_default()
     }
 
-    pub(super) fn number(&self, name: &str) -> i64 {
+    pub(super) fn query_number(&self, name: &str) -> i64 {
         self.query(name).parse().unwrap_or(0)
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,12 +1,12 @@
-//! Small stand-ins for what berylhook meets outside, for tests, benches and
-//! the quickstart. Not shipped.
+//! Stand-ins for the services that berylhook depends on, for tests, measurements and the
+//! quickstart. Not shipped.
 //!
-//! Each stand-in speaks the published protocol of what it stands for over a
-//! real socket, and is steered through its handle: outages, lost answers,
-//! stalls, cuts. [`Daemon`] starts the real binaries. None of it simulates a
-//! cluster; a test wires up what its failure needs.
+//! Each stand-in serves the published protocol of the real service over a socket. Its handle
+//! injects faults: outages, lost responses, stalls and cut connections. [`Daemon`] runs the real
+//! binaries. Nothing here simulates a whole cluster; each test starts the processes that its
+//! failure scenario needs.
 
-// A stand-in that cannot do its part panics, and the test fails.
+// A stand-in that cannot do its work panics, which fails the test.
 #![allow(clippy::missing_panics_doc)]
 
 pub mod calls;
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -1,5 +1,5 @@
-//! A TCP forwarder that can be cut, frozen or slowed, for what happens
-//! between two processes.
+//! A TCP forwarder that cuts, freezes or delays connections, to inject network faults between two
+//! processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,79 +13,79 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What happens to connections through the link.
+/// A fault of all connections through a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// They work.
+    /// Connections work.
     #[default]
     None,
-    /// Open connections are closed and new ones refused.
+    /// Open connections are closed, and new ones are closed as soon as they are accepted.
     Cut,
-    /// Connections that are open at this moment carry nothing any more and
-    /// stay open; new ones work.
+    /// Connections that are open when the fault is set stay open but carry no more data; new ones
+    /// work.
     FreezeOpen,
-    /// Nothing gets through on any connection; all stay open.
+    /// All connections stay open but carry no data.
     FreezeAll,
-    /// Answers do not get through; what the dialling side sends does.
+    /// Data from the destination is held back; data from the connecting side is forwarded.
     FreezeResponses,
-    /// Everything gets through late.
+    /// Data is forwarded with a delay.
     Delay,
 }
 
-/// How late what a delayed link carries arrives.
+/// Delay of forwarded data under [`Fault::Delay`].
 const DELAY: Duration = Duration::from_millis(60);
 
-/// Time between two looks at whether somebody listens again.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which the link checks whether the destination accepts connections again.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running forwarder; it stops when dropped. While nobody listens behind it, nobody
-/// listens here, as on a way without a forwarder.
+/// A running forwarder; it stops when dropped. While the destination refuses connections, the link
+/// does not listen either, so that connecting fails as it would without a forwarder.
 pub struct Link {
-    /// Where to connect instead of the real address.
+    /// Address to connect to in place of the destination.
     pub address: SocketAddr,
-    fault: Arc<watch::Sender<State>>,
+    state: Arc<watch::Sender<State>>,
     task: JoinHandle<()>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct State {
     fault: Fault,
-    /// Connections numbered below this are frozen.
+    /// Connections with a number below this are frozen.
     frozen_below: u64,
     accepted: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    Question,
-    Answer,
+    Request,
+    Response,
 }
 
 impl Link {
-    /// Forwards a free port to `to`.
-    pub async fn start(to: SocketAddr) -> Self {
+    /// Forwards a free port to `destination`.
+    pub async fn start(destination: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a loopback port is free");
         let address = listener
             .local_addr()
             .expect("a bound socket has an address");
-        let fault = Arc::new(watch::Sender::new(State::default()));
-        let task = tokio::spawn(accept_loop(listener, to, Arc::clone(&fault)));
+        let state = Arc::new(watch::Sender::new(State::default()));
+        let task = tokio::spawn(accept_loop(listener, destination, Arc::clone(&state)));
         Self {
             address,
-            fault,
+            state,
             task,
         }
     }
 
-    /// Changes what happens from now on.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: Fault) {
-        self.fault.send_modify(|state| {
+        self.state.send_modify(|state| {
             state.fault = fault;
             match fault {
                 Fault::FreezeOpen => state.frozen_below = state.accepted,
-                // What was held back arrives now, late.
+                // Data held back by a freeze is delivered late, from now on.
                 Fault::None => state.frozen_below = 0,
                 _ => {}
             }
@@ -96,105 +96,123 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.task.abort();
-        self.fault.send_modify(|state| state.fault = Fault::Cut);
+        self.state.send_modify(|state| state.fault = Fault::Cut);
     }
 }
 
-async fn accept_loop(listener: TcpListener, to: SocketAddr, fault: Arc<watch::Sender<State>>) {
+async fn accept_loop(
+    listener: TcpListener,
+    destination: SocketAddr,
+    state: Arc<watch::Sender<State>>,
+) {
     let address = listener
         .local_addr()
         .expect("a bound socket has an address");
     let mut listener = Some(listener);
-    let ended = Arc::new(AtomicBool::new(false));
+    let is_server_down = Arc::new(AtomicBool::new(false));
     loop {
-        if ended.load(Ordering::SeqCst) {
+        if is_server_down.load(Ordering::SeqCst) {
             drop(listener.take());
-            tokio::time::sleep(LOOK_EVERY).await;
-            ended.store(TcpStream::connect(to).await.is_err(), Ordering::SeqCst);
+            tokio::time::sleep(POLL_INTERVAL).await;
+            is_server_down.store(
+                TcpStream::connect(destination).await.is_err(),
+                Ordering::SeqCst,
+            );
             continue;
         }
-        let open = match listener.take() {
-            Some(open) => open,
+        let listening = match listener.take() {
+            Some(listening) => listening,
             None => match TcpListener::bind(address).await {
-                Ok(open) => open,
+                Ok(listening) => listening,
                 Err(_) => continue,
             },
         };
-        let open = listener.insert(open);
-        let accepted = timeout(LOOK_EVERY, open.accept()).await;
-        let Ok(Ok((near, _))) = accepted else {
+        let listening = listener.insert(listening);
+        let accepted = timeout(POLL_INTERVAL, listening.accept()).await;
+        let Ok(Ok((client, _))) = accepted else {
             continue;
         };
-        if fault.borrow().fault == Fault::Cut {
+        if state.borrow().fault == Fault::Cut {
             continue;
         }
-        let mut number = 0;
-        fault.send_modify(|state| {
-            number = state.accepted;
+        let mut connection_id = 0;
+        state.send_modify(|state| {
+            connection_id = state.accepted;
             state.accepted += 1;
         });
-        let states = fault.subscribe();
-        let ended = Arc::clone(&ended);
+        let states = state.subscribe();
+        let is_server_down = Arc::clone(&is_server_down);
         tokio::spawn(async move {
-            match TcpStream::connect(to).await {
-                Ok(far) => forward(near, far, number, states).await,
-                Err(_) => ended.store(true, Ordering::SeqCst),
+            match TcpStream::connect(destination).await {
+                Ok(server) => forward(client, server, connection_id, states).await,
+                Err(_) => is_server_down.store(true, Ordering::SeqCst),
             }
         });
     }
 }
 
-async fn forward(near: TcpStream, far: TcpStream, number: u64, states: watch::Receiver<State>) {
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let mut cut = states.clone();
-    let question = pump(
-        near_read,
-        far_write,
-        number,
+async fn forward(
+    client: TcpStream,
+    server: TcpStream,
+    connection_id: u64,
+    states: watch::Receiver<State>,
+) {
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let mut cut_states = states.clone();
+    let requests = forward_direction(
+        client_read,
+        server_write,
+        connection_id,
         states.clone(),
-        Direction::Question,
+        Direction::Request,
+    );
+    let responses = forward_direction(
+        server_read,
+        client_write,
+        connection_id,
+        states,
+        Direction::Response,
     );
-    let answer = pump(far_read, near_write, number, states, Direction::Answer);
     tokio::select! {
-        _ = cut.wait_for(|state| state.fault == Fault::Cut) => {}
-        () = async { tokio::join!(question, answer); } => {}
+        _ = cut_states.wait_for(|state| state.fault == Fault::Cut) => {}
+        () = async { tokio::join!(requests, responses); } => {}
     }
 }
 
-async fn pump(
+async fn forward_direction(
     mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
-    number: u64,
+    mut destination: OwnedWriteHalf,
+    connection_id: u64,
     mut states: watch::Receiver<State>,
     direction: Direction,
 ) {
     let mut buffer = vec![0; 16 << 10];
     loop {
-        let read = match from.read(&mut buffer).await {
+        let length = match from.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
-            Ok(read) => read,
+            Ok(length) => length,
         };
-        let flows = |state: &State| !is_frozen(state, number, direction);
-        if states.wait_for(flows).await.is_err() {
+        let may_forward = |state: &State| !is_frozen(state, connection_id, direction);
+        if states.wait_for(may_forward).await.is_err() {
             return;
         }
         if states.borrow().fault == Fault::Delay {
             tokio::time::sleep(DELAY).await;
         }
-        if to.write_all(&buffer[..read]).await.is_err() {
+        if destination.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
 }
 
-fn is_frozen(state: &State, number: u64, direction: Direction) -> bool {
+fn is_frozen(state: &State, connection_id: u64, direction: Direction) -> bool {
     match state.fault {
-        _ if number < state.frozen_below => true,
+        _ if connection_id < state.frozen_below => true,
         Fault::FreezeAll => true,
-        Fault::FreezeResponses => direction == Direction::Answer,
+        Fault::FreezeResponses => direction == Direction::Response,
         _ => false,
     }
 }
--- a/crates/test-support/src/plain.rs
+++ b/crates/test-support/src/plain.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a plain service whose calls have an effect: it records
-//! every run, and runs an order twice if it is asked twice.
+//! A stand-in for a plain service whose calls have an effect. It records every run, and runs a
+//! request twice if it is sent twice.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,32 +11,32 @@
 
 use crate::http::{self, NoResponse, Response, Server};
 
-/// One effect.
+/// One run of a request, which is its effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainRun {
-    /// The request's body.
+    /// Body of the request.
     pub body: String,
-    /// The path it came to.
+    /// Path of the request.
     pub path: String,
-    /// The header `x-attempt` of the call that caused it.
+    /// The `x-attempt` header of the request; empty if it is missing.
     pub attempt: String,
-    /// When it happened.
+    /// When the request ran.
     pub at: Instant,
 }
 
 struct Shared {
     runs: Mutex<Vec<PlainRun>>,
     delay: Mutex<Duration>,
-    hung: watch::Sender<bool>,
+    is_hung: watch::Sender<bool>,
     drop_responses: Mutex<u32>,
-    rest: Mutex<Option<String>>,
+    backoff: Mutex<Option<String>>,
     refused: AtomicUsize,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct PlainService {
     shared: Arc<Shared>,
-    /// Its server.
+    /// The HTTP server.
     pub server: Server,
 }
 
@@ -46,48 +46,48 @@
         let shared = Arc::new(Shared {
             runs: Mutex::new(Vec::new()),
             delay: Mutex::new(Duration::ZERO),
-            hung: watch::Sender::new(false),
+            is_hung: watch::Sender::new(false),
             drop_responses: Mutex::new(0),
-            rest: Mutex::new(None),
+            backoff: Mutex::new(None),
             refused: AtomicUsize::new(0),
         });
         let handler_shared = Arc::clone(&shared);
         let server = Server::start(Arc::new(move |request| {
             let shared = Arc::clone(&handler_shared);
-            Box::pin(shared.answer(request))
+            Box::pin(shared.respond(request))
         }))
         .await;
         Self { shared, server }
     }
 
-    /// The effects so far.
+    /// The runs so far.
     #[must_use]
     pub fn runs(&self) -> Vec<PlainRun> {
         self.shared.runs.lock().expect("no handler panics").clone()
     }
 
-    /// Each answer takes this long after its effect.
+    /// Delays each response by this time after the run.
     pub fn set_delay(&self, delay: Duration) {
         *self.shared.delay.lock().expect("no handler panics") = delay;
     }
 
-    /// Effects happen but answers wait, or answers come again.
-    pub fn set_hung(&self, hung: bool) {
-        self.shared.hung.send_replace(hung);
+    /// Holds back the responses to requests, which still run, or sends them again.
+    pub fn set_hung(&self, is_hung: bool) {
+        self.shared.is_hung.send_replace(is_hung);
     }
 
-    /// It refuses all requests and asks for that rest, or not any more.
-    pub fn set_backoff(&self, rest: Option<&str>) {
-        *self.shared.rest.lock().expect("no handler panics") = rest.map(str::to_owned);
+    /// Refuses all requests with this `retry-after` header; `None` ends that.
+    pub fn set_backoff(&self, backoff: Option<&str>) {
+        *self.shared.backoff.lock().expect("no handler panics") = backoff.map(str::to_owned);
     }
 
-    /// The requests that it refused.
+    /// Number of requests refused so far.
     #[must_use]
     pub fn refused_count(&self) -> usize {
         self.shared.refused.load(Ordering::SeqCst)
     }
 
-    /// The next `count` requests take effect, then lose their connection.
+    /// Runs the next `count` requests, but closes their connections without a response.
     pub fn drop_responses(&self, count: u32) {
         *self
             .shared
@@ -98,18 +98,18 @@
 }
 
 impl Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Result<Response, NoResponse> {
         let path = request.uri().path().to_owned();
         if path == "/load" {
             let body = json!({"running": 0, "waiting": 0, "slots": 32});
             return Ok(http::json(StatusCode::OK, &body));
         }
-        let rest = self.rest.lock().expect("no handler panics").clone();
-        if let Some(rest) = rest {
+        let backoff = self.backoff.lock().expect("no handler panics").clone();
+        if let Some(backoff) = backoff {
             self.refused.fetch_add(1, Ordering::SeqCst);
             let mut response = http::json(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
-            let rest = rest.parse().expect("a header's text");
-            response.headers_mut().insert("retry-after", rest);
+            let backoff = backoff.parse().expect("a valid header");
+            response.headers_mut().insert("retry-after", backoff);
             return Ok(response);
         }
         let attempt = request
@@ -126,13 +126,13 @@
             attempt,
             at: Instant::now(),
         });
-        if self.takes_drop() {
+        if self.take_dropped_response() {
             return Err(NoResponse);
         }
         let delay = *self.delay.lock().expect("no handler panics");
         tokio::time::sleep(delay).await;
-        let mut hung = self.hung.subscribe();
-        let _ = hung.wait_for(|hung| !hung).await;
+        let mut is_hung = self.is_hung.subscribe();
+        let _ = is_hung.wait_for(|is_hung| !is_hung).await;
         Ok(http::json(StatusCode::OK, &json!({"run": number})))
     }
 
@@ -142,12 +142,12 @@
         runs.len()
     }
 
-    fn takes_drop(&self) -> bool {
-        let mut left = self.drop_responses.lock().expect("no handler panics");
-        if *left == 0 {
+    fn take_dropped_response(&self) -> bool {
+        let mut remaining = self.drop_responses.lock().expect("no handler panics");
+        if *remaining == 0 {
             return false;
         }
-        *left -= 1;
+        *remaining -= 1;
         true
     }
 }
--- a/crates/test-support/src/platform_group.rs
+++ b/crates/test-support/src/platform_group.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a group of model engines on the platform: ranks that begin
-//! each pass together, hold, and switch maps when armed. It answers no callers.
+//! A stand-in for a group of model engines on the platform. Its ranks begin each forward pass
+//! together, pause on command, and switch expert maps when armed. It serves no callers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,34 +12,39 @@
 use crate::http::{self, NoResponse, Response, Server};
 use crate::kv::KeyValueStandIn;
 
-/// Time of a pass.
-const PASS: Duration = Duration::from_millis(15);
+/// Duration of a pass.
+const PASS_DURATION: Duration = Duration::from_millis(15);
 
 /// Time to copy the experts of a new map.
-const COPY: Duration = Duration::from_millis(40);
+const COPY_DURATION: Duration = Duration::from_millis(40);
 
-/// Choices that each pass adds to a rank's counts.
-const CHOICES: u64 = 400;
+/// Selections of the hot expert that each pass adds to a rank's counts; each other expert gets a
+/// twentieth.
+const HOT_EXPERT_SELECTIONS: u64 = 400;
 
-/// Experts of the only set.
+/// Number of experts in the only layer set.
 pub const EXPERT_COUNT: usize = 16;
 
-/// Unix time of the first start of each engine, in milliseconds.
+/// Unix time at which each engine first started, in milliseconds.
 const FIRST_START_UNIX_MS: u64 = 1_790_000_000_000;
 
 #[derive(Clone, Default)]
 struct Rank {
-    /// Times that its engine has started again.
+    /// Number of restarts of the engine.
     restarts: u64,
     map: Vec<Vec<u16>>,
     version: u64,
+    /// Version and map that the rank has prepared.
     prepared: Option<(u64, Vec<Vec<u16>>)>,
-    highest: u64,
+    /// The highest version that a prepare command has named.
+    highest_version: u64,
+    /// The armed version, and the pass at whose start the rank switches to it.
     armed: Option<(u64, u64)>,
-    held: Option<u64>,
-    /// Hold orders that it accepted.
-    holds: u64,
-    /// Requests that wait there, as it tells.
+    /// The pass that the rank does not begin before it is released.
+    paused_before: Option<u64>,
+    /// Number of pause commands that the rank has accepted.
+    pause_commands: u64,
+    /// Number of waiting requests that the rank reports.
     queued: u32,
     counts: Vec<u64>,
 }
@@ -47,21 +52,21 @@
 struct State {
     name: String,
     epoch: u64,
-    first_map: Vec<Vec<u16>>,
-    /// Whether copies of experts end.
-    copies_end: bool,
-    /// Prepare orders that were accepted.
-    prepares: u64,
-    /// The rank whose orders are carried out without an answer.
-    mute_rank: Option<usize>,
+    initial_map: Vec<Vec<u16>>,
+    /// Whether copies of experts complete.
+    copies_complete: bool,
+    /// Number of prepare commands that ranks have accepted.
+    prepare_commands: u64,
+    /// The rank that executes commands without a reply.
+    silent_rank: Option<usize>,
     pass: u64,
-    favourite: usize,
+    hot_expert: usize,
     ranks: Vec<Rank>,
-    /// Passes that began with two maps.
-    mixed: u64,
+    /// Number of passes that began with different maps on two ranks.
+    mixed_passes: u64,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct PlatformGroup {
     state: Arc<Mutex<State>>,
     servers: Vec<Server>,
@@ -69,41 +74,41 @@
 }
 
 impl PlatformGroup {
-    /// Starts a group of that name whose ranks listen at these addresses, experts
-    /// in turn.
+    /// Starts a group whose ranks listen on these addresses. Experts are assigned to ranks
+    /// round-robin.
     pub async fn start(name: &str, addresses: &[SocketAddr]) -> Self {
         let size = addresses.len();
-        let first: Vec<Vec<u16>> = (0..size)
+        let initial_map: Vec<Vec<u16>> = (0..size)
             .map(|rank| (0..EXPERT_COUNT).filter(move |expert| expert % size == rank))
             .map(|experts| experts.map(|it| u16::try_from(it).expect("few")).collect())
             .collect();
         let rank = Rank {
-            map: first.clone(),
+            map: initial_map.clone(),
             counts: vec![0; EXPERT_COUNT],
             ..Rank::default()
         };
         let state = Arc::new(Mutex::new(State {
             name: name.to_owned(),
             epoch: 1,
-            first_map: first,
-            copies_end: true,
-            prepares: 0,
-            mute_rank: None,
+            initial_map,
+            copies_complete: true,
+            prepare_commands: 0,
+            silent_rank: None,
             pass: 0,
-            favourite: 0,
+            hot_expert: 0,
             ranks: vec![rank; size],
-            mixed: 0,
+            mixed_passes: 0,
         }));
         let mut servers = Vec::new();
         for (rank, address) in addresses.iter().enumerate() {
             let state = Arc::clone(&state);
             let handler = Arc::new(move |request: hyper::Request<hyper::body::Incoming>| {
                 let state = Arc::clone(&state);
-                let answered: futures_util::future::BoxFuture<
+                let response: futures_util::future::BoxFuture<
                     'static,
                     Result<Response, NoResponse>,
-                > = Box::pin(async move { answer(&state, rank, request).await });
-                answered
+                > = Box::pin(async move { respond(&state, rank, request).await });
+                response
             });
             servers.push(Server::start_at(*address, handler).await);
         }
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Lists its engines in the store.
+    /// Registers the engines in the store.
     pub fn register(&self, store: &KeyValueStandIn, service: &str) {
         for (rank, server) in self.servers.iter().enumerate() {
             let document = json!({
@@ -128,77 +133,83 @@
         }
     }
 
-    /// Callers begin to ask for what this expert knows.
-    pub fn set_hot_expert(&self, favourite: usize) {
-        self.lock().favourite = favourite;
+    /// Sets the expert that requests select most often from now on.
+    pub fn set_hot_expert(&self, hot_expert: usize) {
+        self.lock().hot_expert = hot_expert;
     }
 
-    /// Ranks that hold the expert, by the map in use.
+    /// Number of ranks that hold the expert in the active map.
     #[must_use]
     pub fn replicas_of(&self, expert: u16) -> usize {
         let state = self.lock();
         let map = &state.ranks[0].map;
-        map.iter().filter(|held| held.contains(&expert)).count()
+        map.iter()
+            .filter(|experts| experts.contains(&expert))
+            .count()
     }
 
-    /// An engine starts again under its id, and the group forms anew: all ranks
-    /// have their first map, and nothing prepared, armed or held.
+    /// Restarts an engine under its id. The group then forms again in a new epoch: all ranks have
+    /// the initial map, and nothing is prepared, armed or paused.
     pub fn restart_engine(&self, rank: usize) {
         let mut state = self.lock();
         state.epoch += 1;
-        let first_map = state.first_map.clone();
+        let initial_map = state.initial_map.clone();
         for rank in &mut state.ranks {
             *rank = Rank {
                 restarts: rank.restarts,
-                holds: rank.holds,
+                pause_commands: rank.pause_commands,
                 queued: rank.queued,
                 counts: rank.counts.clone(),
-                map: first_map.clone(),
+                map: initial_map.clone(),
                 ..Rank::default()
             };
         }
-        let own = &mut state.ranks[rank];
-        own.restarts += 1;
-        own.counts = vec![0; EXPERT_COUNT];
+        let rank_state = &mut state.ranks[rank];
+        rank_state.restarts += 1;
+        rank_state.counts = vec![0; EXPERT_COUNT];
     }
 
-    /// From now on copies of experts end, or never do.
-    pub fn set_copies_complete(&self, copies_end: bool) {
-        self.lock().copies_end = copies_end;
+    /// Sets whether copies of experts complete from now on.
+    pub fn set_copies_complete(&self, copies_complete: bool) {
+        self.lock().copies_complete = copies_complete;
     }
 
-    /// Prepare orders that its ranks have accepted.
+    /// Number of prepare commands that the ranks have accepted.
     #[must_use]
     pub fn prepare_commands(&self) -> u64 {
-        self.lock().prepares
+        self.lock().prepare_commands
     }
 
-    /// Hold orders that its ranks have accepted.
+    /// Number of pause commands that the ranks have accepted.
     #[must_use]
     pub fn pause_commands(&self) -> u64 {
-        self.lock().ranks.iter().map(|rank| rank.holds).sum()
+        self.lock()
+            .ranks
+            .iter()
+            .map(|rank| rank.pause_commands)
+            .sum()
     }
 
-    /// Hold orders that were accepted so far by that rank.
+    /// Number of pause commands that one rank has accepted.
     #[must_use]
     pub fn pause_commands_of(&self, rank: usize) -> u64 {
-        self.lock().ranks[rank].holds
+        self.lock().ranks[rank].pause_commands
     }
 
-    /// Has a rank tell from now on that so many requests wait there.
+    /// Sets the number of waiting requests that a rank reports from now on.
     pub fn set_queued(&self, rank: usize, queued: u32) {
         self.lock().ranks[rank].queued = queued;
     }
 
-    /// From now on that rank carries orders out without an answer; `None` ends that.
+    /// Makes a rank execute commands without a reply; `None` ends that.
     pub fn drop_command_replies_of(&self, rank: Option<usize>) {
-        self.lock().mute_rank = rank;
+        self.lock().silent_rank = rank;
     }
 
-    /// Passes that began while two ranks had different maps.
+    /// Number of passes that began with different maps on two ranks.
     #[must_use]
     pub fn mixed_passes(&self) -> u64 {
-        self.lock().mixed
+        self.lock().mixed_passes
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -214,7 +225,7 @@
 
 async fn run_passes(state: Arc<Mutex<State>>) {
     loop {
-        tokio::time::sleep(PASS).await;
+        tokio::time::sleep(PASS_DURATION).await;
         state.lock().expect("no handler panics").begin_pass();
     }
 }
@@ -222,22 +233,26 @@
 impl State {
     fn begin_pass(&mut self) {
         let next = self.pass + 1;
-        if self.ranks.iter().any(|rank| rank.held == Some(next)) {
+        if self
+            .ranks
+            .iter()
+            .any(|rank| rank.paused_before == Some(next))
+        {
             return;
         }
         self.pass = next;
-        let favourite = self.favourite;
+        let hot_expert = self.hot_expert;
         for rank in &mut self.ranks {
-            rank.begin(next, favourite);
+            rank.begin(next, hot_expert);
         }
         let first = (self.ranks[0].version, self.ranks[0].map.clone());
         let is_mixed = |rank: &Rank| (rank.version, &rank.map) != (first.0, &first.1);
-        self.mixed += u64::from(self.ranks.iter().any(is_mixed));
+        self.mixed_passes += u64::from(self.ranks.iter().any(is_mixed));
     }
 }
 
 impl Rank {
-    fn begin(&mut self, pass: u64, favourite: usize) {
+    fn begin(&mut self, pass: u64, hot_expert: usize) {
         match (self.armed, self.prepared.clone()) {
             (Some((version, at)), Some((prepared, map))) if at == pass && prepared == version => {
                 self.version = version;
@@ -247,31 +262,33 @@
             _ => {}
         }
         for (expert, count) in self.counts.iter_mut().enumerate() {
-            *count += if expert == favourite {
-                CHOICES
+            *count += if expert == hot_expert {
+                HOT_EXPERT_SELECTIONS
             } else {
-                CHOICES / 20
+                HOT_EXPERT_SELECTIONS / 20
             };
         }
     }
 }
 
-async fn answer(
+async fn respond(
     state: &Arc<Mutex<State>>,
     rank: usize,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> Result<Response, NoResponse> {
-    let wants_lists = request.uri().query().is_some();
+    let wants_map = request.uri().query().is_some();
     let call = (request.method().clone(), request.uri().path().to_owned());
     let body = http::body(request).await;
     let response = match (call.0, call.1.as_str()) {
         (Method::GET, "/-/report") => report(&state.lock().expect("no panics"), rank),
-        (Method::GET, "/-/picked") if wants_lists => lists(&state.lock().expect("no panics"), rank),
-        (Method::GET, "/-/picked") => picked(&state.lock().expect("no panics"), rank),
+        (Method::GET, "/-/picked") if wants_map => {
+            active_map(&state.lock().expect("no panics"), rank)
+        }
+        (Method::GET, "/-/picked") => selection_counts(&state.lock().expect("no panics"), rank),
         (Method::POST, "/-/order") => {
-            let order = serde_json::from_slice(&body).unwrap_or_default();
-            let status = obey(state, rank, &order);
-            if state.lock().expect("no panics").mute_rank == Some(rank) {
+            let command = serde_json::from_slice(&body).unwrap_or_default();
+            let status = execute(state, rank, &command);
+            if state.lock().expect("no panics").silent_rank == Some(rank) {
                 return Err(NoResponse);
             }
             http::json(status, &json!({}))
@@ -282,94 +299,102 @@
 }
 
 fn report(state: &State, rank: usize) -> Response {
-    let own = &state.ranks[rank];
-    let armed = own
+    let rank_state = &state.ranks[rank];
+    let armed = rank_state
         .armed
         .map(|(version, step)| json!({"version": version, "step": step}));
     http::json(
         StatusCode::OK,
         &json!({
-            "born": FIRST_START_UNIX_MS + own.restarts,
+            "born": FIRST_START_UNIX_MS + rank_state.restarts,
             "group": {"name": state.name, "epoch": state.epoch, "rank": rank, "phase": "open"},
-            "size": state.ranks.len(), "queued": own.queued, "active": 1, "pace": 1.0,
-            "step": state.pass, "map": own.version,
-            "prepared": own.prepared.as_ref().map(|(version, _)| version),
-            "armed": armed, "held": own.held,
+            "size": state.ranks.len(), "queued": rank_state.queued, "active": 1, "pace": 1.0,
+            "step": state.pass, "map": rank_state.version,
+            "prepared": rank_state.prepared.as_ref().map(|(version, _)| version),
+            "armed": armed, "held": rank_state.paused_before,
         }),
     )
 }
 
-fn picked(state: &State, rank: usize) -> Response {
-    let own = &state.ranks[rank];
+fn selection_counts(state: &State, rank: usize) -> Response {
+    let rank_state = &state.ranks[rank];
     let body = json!({
-        "born": FIRST_START_UNIX_MS + own.restarts,
-        "step": state.pass, "epoch": state.epoch, "counts": own.counts,
+        "born": FIRST_START_UNIX_MS + rank_state.restarts,
+        "step": state.pass, "epoch": state.epoch, "counts": rank_state.counts,
     });
     http::json(StatusCode::OK, &body)
 }
 
-fn lists(state: &State, rank: usize) -> Response {
-    let own = &state.ranks[rank];
-    let map = json!({"version": own.version, "experts": [own.map[rank]]});
+fn active_map(state: &State, rank: usize) -> Response {
+    let rank_state = &state.ranks[rank];
+    let map = json!({"version": rank_state.version, "experts": [rank_state.map[rank]]});
     http::json(
         StatusCode::OK,
         &json!({"epoch": state.epoch, "map": map, "prepared": null}),
     )
 }
 
-/// Carries out an order as the platform describes it.
-fn obey(shared: &Arc<Mutex<State>>, rank: usize, order: &Value) -> StatusCode {
+/// Executes a command as the platform describes it.
+fn execute(shared: &Arc<Mutex<State>>, rank: usize, command: &Value) -> StatusCode {
     let mut state = shared.lock().expect("no handler panics");
     let pass = state.pass;
-    let step = order["step"].as_u64().unwrap_or(0);
-    let version = order["version"].as_u64().unwrap_or(0);
-    let (epoch, copies_end) = (state.epoch, state.copies_end);
-    if order["epoch"].as_u64() != Some(epoch) {
+    let step = command["step"].as_u64().unwrap_or(0);
+    let version = command["version"].as_u64().unwrap_or(0);
+    let (epoch, copies_complete) = (state.epoch, state.copies_complete);
+    if command["epoch"].as_u64() != Some(epoch) {
         return StatusCode::CONFLICT;
     }
-    let own = &mut state.ranks[rank];
-    let is_done = match order["op"].as_str().unwrap_or_default() {
-        "prepare" if own.prepared.as_ref().is_some_and(|it| it.0 == version) => {
+    let rank_state = &mut state.ranks[rank];
+    let is_accepted = match command["op"].as_str().unwrap_or_default() {
+        "prepare"
+            if rank_state
+                .prepared
+                .as_ref()
+                .is_some_and(|it| it.0 == version) =>
+        {
             return StatusCode::OK;
         }
-        "prepare" if version > own.highest && own.armed.is_none() => {
-            own.highest = version;
-            let map = serde_json::from_value(order["map"][0].clone()).unwrap_or_default();
+        "prepare" if version > rank_state.highest_version && rank_state.armed.is_none() => {
+            rank_state.highest_version = version;
+            let map = serde_json::from_value(command["map"][0].clone()).unwrap_or_default();
             let shared = Arc::clone(shared);
             tokio::spawn(async move {
-                tokio::time::sleep(COPY).await;
+                tokio::time::sleep(COPY_DURATION).await;
                 let mut state = shared.lock().expect("no handler panics");
-                let is_same_life = state.epoch == epoch;
-                let own = &mut state.ranks[rank];
-                if own.highest == version && is_same_life && copies_end {
-                    own.prepared = Some((version, map));
+                let is_same_epoch = state.epoch == epoch;
+                let rank_state = &mut state.ranks[rank];
+                if rank_state.highest_version == version && is_same_epoch && copies_complete {
+                    rank_state.prepared = Some((version, map));
                 }
             });
             true
         }
-        "hold" if pass < step && own.held.is_none_or(|held| held == step) => {
-            own.held = Some(step);
-            own.holds += 1;
+        "hold" if pass < step && rank_state.paused_before.is_none_or(|paused| paused == step) => {
+            rank_state.paused_before = Some(step);
+            rank_state.pause_commands += 1;
             true
         }
         "arm" => {
-            let is_prepared = own.prepared.as_ref().is_some_and(|it| it.0 == version);
+            let is_prepared = rank_state
+                .prepared
+                .as_ref()
+                .is_some_and(|it| it.0 == version);
             let is_in_time = pass < step && is_prepared;
-            own.armed = if is_in_time {
+            rank_state.armed = if is_in_time {
                 Some((version, step))
             } else {
-                own.armed
+                rank_state.armed
             };
             is_in_time
         }
         "go" => {
-            own.held = own.held.filter(|held| *held != step);
+            rank_state.paused_before = rank_state.paused_before.filter(|paused| *paused != step);
             true
         }
         _ => false,
     };
-    state.prepares += u64::from(is_done && order["op"] == "prepare");
-    if is_done {
+    state.prepare_commands += u64::from(is_accepted && command["op"] == "prepare");
+    if is_accepted {
         StatusCode::ACCEPTED
     } else {
         StatusCode::CONFLICT
--- a/crates/test-support/src/platform_target.rs
+++ b/crates/test-support/src/platform_target.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a target on the platform: it answers requests under their
-//! attempt ids, marks its answers, and streams numbered events.
+//! A stand-in for a target on the platform. It responds to requests under their attempt ids, adds
+//! its seal to its responses, and streams numbered events.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,98 +15,97 @@
 use crate::http::{self, NoResponse, Response, Server};
 use crate::kv::KeyValueStandIn;
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 pub const EVENTS_PER_STREAM: u64 = 8;
 
-/// Time between two events.
-const EVENT_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two events.
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the stand-in does with requests.
+/// How the stand-in responds to requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers them.
+    /// Runs requests and responds normally.
     #[default]
     Responds,
-    /// It says that it did not run them.
+    /// Rejects requests and states that they were not executed.
     RejectsAsNotExecuted,
-    /// It refuses them without saying that it did not run them.
+    /// Rejects requests without stating that they were not executed.
     RejectsWithoutReason,
-    /// It runs them and closes the connection without an answer.
+    /// Runs requests, then closes their connections without a response.
     DropsResponses,
-    /// It answers with the answer to another request.
+    /// Responds with the attempt id of another request.
     RespondsWithWrongAttemptId,
-    /// It answers without its mark.
+    /// Responds without its seal.
     RespondsWithoutSeal,
-    /// It breaks streams off behind this event.
+    /// Cuts streams after this event.
     CutsStreamAfter(u64),
-    /// It runs them and says nothing.
+    /// Runs requests and never responds.
     Hangs,
-    /// It is another incarnation than those that requests are meant for, and says so.
+    /// Rejects requests as another incarnation than the one that they are meant for.
     IsOtherIncarnation,
-    /// It answers them, but for those whose body is [`POISON_BODY`]: its process ends soon
-    /// after it began to run one.
+    /// Responds normally, except to requests with the body [`POISON_BODY`]: the process exits
+    /// shortly after it has started one of these.
     ExitsOnPoison,
-    /// The same at once, and another incarnation has the address before anybody finds it free.
+    /// Like [`Self::ExitsOnPoison`], but at once, and another incarnation takes over the address
+    /// before any connection to it is refused.
     IsReplacedOnPoison,
 }
 
-/// The body of the requests under which a target ends that
-/// [ends under poison](Behaviour::EndsUnderPoison).
+/// The body of the requests on which a target with [`Behaviour::ExitsOnPoison`] exits.
 pub const POISON_BODY: &str = "what no engine survives";
 
-/// Time from the beginning of such a run to the end of the target's process, unless
-/// [`PlatformTarget::set_ends_after`] says otherwise.
-const ENDS_AFTER: Duration = Duration::from_millis(30);
+/// Time from the start of a poison request to the exit of the target's process, unless
+/// [`PlatformTarget::set_exit_delay`] was called.
+const DEFAULT_EXIT_DELAY: Duration = Duration::from_millis(30);
 
-/// A request as the stand-in got it.
+/// A request that the stand-in has run.
 #[derive(Clone, Debug)]
 pub struct TargetRun {
     /// Method and path with query.
     pub request: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When it began.
+    /// When the run began.
     pub began: Instant,
-    /// Whether its answer was written to the end.
+    /// Whether the response was sent completely.
     pub is_finished: bool,
 }
 
 impl TargetRun {
-    /// A header as text.
+    /// The value of a header, if it is text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Where it tells its health.
+/// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
 
 #[derive(Default)]
 struct State {
     id: String,
     behaviour: Behaviour,
-    /// `None` for the usual time.
-    ends_after: Option<Duration>,
-    /// What it names as its limit in all answers, as the header's text.
+    /// `None` stands for [`DEFAULT_EXIT_DELAY`].
+    exit_delay: Option<Duration>,
+    /// Value of the `server-limit` header of all responses.
     limit: Option<String>,
-    /// The time that it asks for in all answers while it refuses everything, as the
-    /// header's text.
-    rest: Option<String>,
-    /// Whether it says in all answers that it leaves.
+    /// Value of the `retry-after` header while all requests are rejected.
+    backoff: Option<String>,
+    /// Whether all responses have the `server-leaving` header.
     is_leaving: bool,
     runs: Vec<TargetRun>,
-    /// When requests came, those that it refused among them.
+    /// Arrival times of all requests, including rejected ones.
     arrivals: Vec<Instant>,
-    /// `None` once its process has ended.
+    /// `None` after the process has exited.
     server: Option<Server>,
-    /// When it ended under a request.
-    ended: Option<Instant>,
+    /// When the process exited on a poison request.
+    exited_at: Option<Instant>,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct PlatformTarget {
     id: String,
     state: Arc<Mutex<State>>,
@@ -114,26 +113,27 @@
 }
 
 impl Drop for PlatformTarget {
-    // The server's handler holds the state, so the state would outlive the target.
+    // The state and the server's handler hold each other, so the server would otherwise outlive the
+    // target.
     fn drop(&mut self) {
-        end(&self.state);
+        stop_server(&self.state);
     }
 }
 
-fn end(state: &Mutex<State>) {
+fn stop_server(state: &Mutex<State>) {
     let server = state.lock().expect("no handler panics").server.take();
     drop(server);
 }
 
 impl PlatformTarget {
-    /// Starts a target of that incarnation, at an address that no other test takes when it
-    /// has ended.
+    /// Starts a target with the given incarnation id, at an address that no other test takes after
+    /// the target has exited.
     pub async fn start(id: &str) -> Self {
         Self::start_at(id, free_address()).await
     }
 
-    /// Starts a target of that incarnation at `address`, where a former one may have
-    /// ended.
+    /// Starts a target with the given incarnation id at `address`, which an exited target may have
+    /// used before.
     pub async fn start_at(id: &str, address: SocketAddr) -> Self {
         let state = Arc::new(Mutex::new(State {
             id: id.to_owned(),
@@ -142,9 +142,9 @@
         let handler_state = Arc::clone(&state);
         let handler = Arc::new(move |request| {
             let state = Arc::clone(&handler_state);
-            let answered: BoxFuture<'static, Result<Response, NoResponse>> =
-                Box::pin(answer(state, request));
-            answered
+            let response: BoxFuture<'static, Result<Response, NoResponse>> =
+                Box::pin(respond(state, request));
+            response
         });
         let server = Server::start_at(address, handler).await;
         let address = server.address;
@@ -156,30 +156,30 @@
         }
     }
 
-    /// Its id.
+    /// Incarnation id of the target.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Where it listens.
+    /// Address on which the target listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its process ends at once: all connections to it end, and nobody listens.
+    /// Ends the process at once: all its connections are closed, and new ones are refused.
     pub fn kill(&self) {
-        end(&self.state);
+        stop_server(&self.state);
     }
 
-    /// When its process ended under a request; `None` if it did not.
+    /// When the process exited on a poison request; `None` if it has not.
     #[must_use]
     pub fn exited_on_poison(&self) -> Option<Instant> {
-        self.state.lock().expect("no handler panics").ended
+        self.state.lock().expect("no handler panics").exited_at
     }
 
-    /// Whether its process has ended.
+    /// Whether the process has exited.
     #[must_use]
     pub fn has_exited(&self) -> bool {
         self.state
@@ -189,12 +189,12 @@
             .is_none()
     }
 
-    /// Lists it in the store.
+    /// Registers the target in the store.
     pub fn register(&self, store: &KeyValueStandIn, service: &str, phase: &str) {
         self.register_at(store, service, phase, self.address);
     }
 
-    /// Lists it in the store, reached through another address.
+    /// Registers the target in the store with another address, such as that of a link.
     pub fn register_at(
         &self,
         store: &KeyValueStandIn,
@@ -216,56 +216,56 @@
         store.put_raw(&key, document.to_string().as_bytes());
     }
 
-    /// Takes it off the list in the store.
+    /// Removes the target from the store.
     pub fn remove(&self, store: &KeyValueStandIn) {
         store.remove_raw(&format!("servers/{}", self.id));
     }
 
-    /// Changes what it does.
+    /// Sets how the target responds from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.lock().expect("no handler panics").behaviour = behaviour;
     }
 
-    /// Has its process end this long after it began to run poison.
-    pub fn set_exit_delay(&self, ends_after: Duration) {
-        self.state.lock().expect("no handler panics").ends_after = Some(ends_after);
+    /// Sets the time from the start of a poison request to the exit of the process.
+    pub fn set_exit_delay(&self, exit_delay: Duration) {
+        self.state.lock().expect("no handler panics").exit_delay = Some(exit_delay);
     }
 
-    /// Has it name that limit in all answers from now on, or none.
+    /// Sets the `server-limit` header of all responses from now on; `None` removes it.
     pub fn set_limit(&self, limit: Option<&str>) {
         self.state.lock().expect("no handler panics").limit = limit.map(str::to_owned);
     }
 
-    /// Has it refuse everything and ask for that rest from now on, or not any more.
-    pub fn set_backoff(&self, rest: Option<&str>) {
-        self.state.lock().expect("no handler panics").rest = rest.map(str::to_owned);
+    /// Rejects all requests with this `retry-after` header from now on; `None` ends that.
+    pub fn set_backoff(&self, backoff: Option<&str>) {
+        self.state.lock().expect("no handler panics").backoff = backoff.map(str::to_owned);
     }
 
-    /// Has it say in all answers from now on that it leaves.
+    /// Adds the `server-leaving` header to all responses from now on.
     pub fn announce_leaving(&self) {
         self.state.lock().expect("no handler panics").is_leaving = true;
     }
 
-    /// When requests came so far, those that it refused among them.
+    /// Arrival times of the requests so far, including rejected ones.
     #[must_use]
     pub fn arrivals(&self) -> Vec<Instant> {
         let state = self.state.lock().expect("no handler panics");
         state.arrivals.clone()
     }
 
-    /// The requests that it ran so far.
+    /// The requests that the target has run so far.
     #[must_use]
     pub fn runs(&self) -> Vec<TargetRun> {
         self.state.lock().expect("no handler panics").runs.clone()
     }
 }
 
-async fn answer(
+async fn respond(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
 ) -> Result<Response, NoResponse> {
     if request.uri().path() == HEALTH_PATH {
-        return Ok(health(&state));
+        return Ok(health_response(&state));
     }
     let arrived = Instant::now();
     state
@@ -273,72 +273,72 @@
         .expect("no handler panics")
         .arrivals
         .push(arrived);
-    let mut response = made_answer(Arc::clone(&state), request).await?;
+    let mut response = respond_by_behaviour(Arc::clone(&state), request).await?;
     add_signals(&state, response.headers_mut());
     Ok(response)
 }
 
-/// What it tells of its health, whoever was meant.
-fn health(state: &Mutex<State>) -> Response {
+/// Responds to a health check, whichever incarnation it is meant for.
+fn health_response(state: &Mutex<State>) -> Response {
     let state = state.lock().expect("no handler panics");
     let status = match state.behaviour {
         Behaviour::IsOtherIncarnation => StatusCode::MISDIRECTED_REQUEST,
         _ => StatusCode::OK,
     };
-    let mut answer = http::json(status, &json!({}));
-    let id = state.id.parse().expect("a header's text");
-    answer.headers_mut().insert("berylhook-instance-id", id);
-    answer
+    let mut response = http::json(status, &json!({}));
+    let id = state.id.parse().expect("a valid header");
+    response.headers_mut().insert("berylhook-instance-id", id);
+    response
 }
 
-/// Adds what the target says of how much it takes.
-fn add_signals(state: &Mutex<State>, answer: &mut HeaderMap) {
+/// Adds the headers about the target's limit and its leaving.
+fn add_signals(state: &Mutex<State>, response_headers: &mut HeaderMap) {
     let state = state.lock().expect("no handler panics");
     if state.is_leaving {
-        answer.insert("server-leaving", "1".parse().expect("a digit"));
+        response_headers.insert("server-leaving", "1".parse().expect("a digit"));
     }
     let limit = state.limit.clone();
     if let Some(limit) = limit {
-        answer.insert("server-limit", limit.parse().expect("a header's text"));
+        response_headers.insert("server-limit", limit.parse().expect("a valid header"));
     }
 }
 
-async fn made_answer(
+async fn respond_by_behaviour(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
 ) -> Result<Response, NoResponse> {
     let headers = request.headers().clone();
-    let line = format!("{} {}", request.method(), request.uri());
+    let request_line = format!("{} {}", request.method(), request.uri());
     let body = http::body(request).await;
     let is_poison = body == POISON_BODY;
-    let rest = state.lock().expect("no handler panics").rest.clone();
-    if let Some(rest) = rest {
-        return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, |answer| {
-            answer.insert("berylhook-not-executed", "1".parse().expect("a digit"));
-            answer.insert("retry-after", rest.parse().expect("a header's text"));
+    let backoff = state.lock().expect("no handler panics").backoff.clone();
+    if let Some(backoff) = backoff {
+        return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &headers, |map| {
+            map.insert("berylhook-not-executed", "1".parse().expect("a digit"));
+            map.insert("retry-after", backoff.parse().expect("a valid header"));
         }));
     }
     let behaviour = state.lock().expect("no handler panics").behaviour;
     match behaviour {
         Behaviour::RejectsAsNotExecuted => {
-            return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, |answer| {
-                answer.insert("berylhook-not-executed", "1".parse().expect("a digit"));
+            return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &headers, |map| {
+                map.insert("berylhook-not-executed", "1".parse().expect("a digit"));
             }));
         }
         Behaviour::IsOtherIncarnation => {
-            return Ok(head(StatusCode::MISDIRECTED_REQUEST, &headers, |answer| {
-                answer.insert("berylhook-not-executed", "1".parse().expect("a digit"));
+            return Ok(reply(StatusCode::MISDIRECTED_REQUEST, &headers, |map| {
+                map.insert("berylhook-not-executed", "1".parse().expect("a digit"));
             }));
         }
         Behaviour::RejectsWithoutReason => {
-            return Ok(head(StatusCode::SERVICE_UNAVAILABLE, &headers, mark));
+            return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &headers, add_seal));
         }
         _ => {}
     }
     let index = {
         let mut state = state.lock().expect("no handler panics");
         state.runs.push(TargetRun {
-            request: line.clone(),
+            request: request_line.clone(),
             headers: headers.clone(),
             body,
             began: Instant::now(),
@@ -346,66 +346,72 @@
         });
         state.runs.len() - 1
     };
-    let is_poisoned = behaviour == Behaviour::ExitsOnPoison && is_poison;
-    if is_poisoned {
-        let ends_after = state.lock().expect("no handler panics").ends_after;
+    let is_exiting = behaviour == Behaviour::ExitsOnPoison && is_poison;
+    if is_exiting {
+        let exit_delay = state.lock().expect("no handler panics").exit_delay;
         let state = Arc::clone(&state);
         tokio::spawn(async move {
-            tokio::time::sleep(ends_after.unwrap_or(ENDS_AFTER)).await;
+            tokio::time::sleep(exit_delay.unwrap_or(DEFAULT_EXIT_DELAY)).await;
             let mut locked = state.lock().expect("no handler panics");
-            locked.ended.get_or_insert_with(Instant::now);
+            locked.exited_at.get_or_insert_with(Instant::now);
             drop(locked);
-            end(&state);
+            stop_server(&state);
         });
     }
     match behaviour {
         Behaviour::IsReplacedOnPoison if is_poison => {
             let mut state = state.lock().expect("no handler panics");
-            state.ended.get_or_insert_with(Instant::now);
+            state.exited_at.get_or_insert_with(Instant::now);
             state.behaviour = Behaviour::IsOtherIncarnation;
             Err(NoResponse)
         }
         Behaviour::DropsResponses => Err(NoResponse),
         Behaviour::Hangs => std::future::pending().await,
-        Behaviour::RespondsWithoutSeal => Ok(head(StatusCode::OK, &headers, |_| {})),
-        Behaviour::RespondsWithWrongAttemptId => Ok(head(StatusCode::OK, &headers, |answer| {
-            mark(answer);
+        Behaviour::RespondsWithoutSeal => Ok(reply(StatusCode::OK, &headers, |_| {})),
+        Behaviour::RespondsWithWrongAttemptId => Ok(reply(StatusCode::OK, &headers, |map| {
+            add_seal(map);
             let other = "another-attempt".parse().expect("plain text");
-            answer.insert("berylhook-attempt-id", other);
+            map.insert("berylhook-attempt-id", other);
         })),
-        _ if is_poisoned && !line.contains("/stream") => std::future::pending().await,
-        _ if line.contains("/stream") => Ok(stream(Arc::clone(&state), index, behaviour, &headers)),
+        _ if is_exiting && !request_line.contains("/stream") => std::future::pending().await,
+        _ if request_line.contains("/stream") => {
+            Ok(stream(Arc::clone(&state), index, behaviour, &headers))
+        }
         _ => {
             state.lock().expect("no handler panics").runs[index].is_finished = true;
-            Ok(head(StatusCode::OK, &headers, mark))
+            Ok(reply(StatusCode::OK, &headers, add_seal))
         }
     }
 }
 
-fn mark(answer: &mut HeaderMap) {
-    answer.insert(
+fn add_seal(response_headers: &mut HeaderMap) {
+    response_headers.insert(
         "berylhook-response-seal",
         "seal".parse().expect("plain text"),
     );
 }
 
-fn head(status: StatusCode, request: &HeaderMap, add: impl Fn(&mut HeaderMap)) -> Response {
-    let mut response = http::json(status, &json!({"served": attempt(request)}));
-    echo(request, response.headers_mut());
+fn reply(
+    status: StatusCode,
+    request_headers: &HeaderMap,
+    add: impl Fn(&mut HeaderMap),
+) -> Response {
+    let mut response = http::json(status, &json!({"served": attempt_id(request_headers)}));
+    echo_attempt_id(request_headers, response.headers_mut());
     add(response.headers_mut());
     response
 }
 
-/// The attempt that a request belongs to; empty if it does not say.
-fn attempt(request: &HeaderMap) -> String {
-    let id = request.get("berylhook-attempt-id");
+/// The attempt id of a request; empty if it has none.
+fn attempt_id(request_headers: &HeaderMap) -> String {
+    let id = request_headers.get("berylhook-attempt-id");
     let id = id.and_then(|id| id.to_str().ok());
     id.unwrap_or_default().to_owned()
 }
 
-fn echo(request: &HeaderMap, answer: &mut HeaderMap) {
-    if let Some(id) = request.get("berylhook-attempt-id") {
-        answer.insert("berylhook-attempt-id", id.clone());
+fn echo_attempt_id(request_headers: &HeaderMap, response_headers: &mut HeaderMap) {
+    if let Some(id) = request_headers.get("berylhook-attempt-id") {
+        response_headers.insert("berylhook-attempt-id", id.clone());
     }
 }
 
@@ -416,21 +422,21 @@
     headers: &HeaderMap,
 ) -> Response {
     let (sender, receiver) = mpsc::channel(1);
-    let after = headers
+    let last_event_id = headers
         .get("last-event-id")
         .and_then(|id| id.to_str().ok()?.parse().ok())
         .unwrap_or(0);
-    let attempt = attempt(headers);
+    let attempt_id = attempt_id(headers);
     tokio::spawn(async move {
-        for id in after + 1..=EVENTS_PER_STREAM {
+        for id in last_event_id + 1..=EVENTS_PER_STREAM {
             if behaviour == Behaviour::CutsStreamAfter(id - 1) {
-                // Half an event, and the connection is gone.
+                // Sends half an event and closes the connection.
                 let _ = sender.send(Ok(Bytes::from(format!("id: {id}\nda")))).await;
                 let _ = sender.send(Err(NoResponse)).await;
                 return;
             }
-            tokio::time::sleep(EVENT_PAUSE).await;
-            let event = Bytes::from(format!("id: {id}\ndata: {attempt} {id}\n\n"));
+            tokio::time::sleep(EVENT_INTERVAL).await;
+            let event = Bytes::from(format!("id: {id}\ndata: {attempt_id} {id}\n\n"));
             if sender.send(Ok(event)).await.is_err() {
                 return;
             }
@@ -438,7 +444,7 @@
         state.lock().expect("no handler panics").runs[index].is_finished = true;
     });
     let mut response = http::stream("text/event-stream", receiver);
-    echo(headers, response.headers_mut());
-    mark(response.headers_mut());
+    echo_attempt_id(headers, response.headers_mut());
+    add_seal(response.headers_mut());
     response
 }
--- a/crates/test-support/src/vms.rs
+++ b/crates/test-support/src/vms.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of VMs.
+//! A stand-in for the platform's VM list.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,21 +9,21 @@
 use crate::http::{self, NoResponse, Server};
 
 #[derive(Clone)]
-struct Listed {
+struct ListedVm {
     name: String,
     address: SocketAddr,
     data_centre: String,
     service: String,
-    leaving: bool,
+    is_leaving: bool,
 }
 
 #[derive(Default)]
 struct State {
-    vms: Vec<Listed>,
-    down: bool,
+    vms: Vec<ListedVm>,
+    is_down: bool,
 }
 
-/// The running stand-in.
+/// Handle of a running stand-in.
 pub struct VmListStandIn {
     state: Arc<Mutex<State>>,
     server: Server,
@@ -36,45 +36,45 @@
         let handler_state = Arc::clone(&state);
         let server = Server::start(Arc::new(move |_| {
             let state = Arc::clone(&handler_state);
-            Box::pin(async move { answer(&state) })
+            Box::pin(async move { respond(&state) })
         }))
         .await;
         Self { state, server }
     }
 
-    /// Its URL.
+    /// URL of the list.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}/vms", self.server.address)
     }
 
-    /// Lists a VM as live, in place of the one of that name.
+    /// Adds a VM as live, replacing one of the same name.
     pub fn add(&self, name: &str, address: SocketAddr, data_centre: &str, service: &str) {
         self.remove(name);
-        self.lock().vms.push(Listed {
+        self.lock().vms.push(ListedVm {
             name: name.to_owned(),
             address,
             data_centre: data_centre.to_owned(),
             service: service.to_owned(),
-            leaving: false,
+            is_leaving: false,
         });
     }
 
     /// Marks a VM as leaving.
     pub fn mark_leaving(&self, name: &str) {
         for vm in &mut self.lock().vms {
-            vm.leaving |= vm.name == name;
+            vm.is_leaving |= vm.name == name;
         }
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, name: &str) {
         self.lock().vms.retain(|vm| vm.name != name);
     }
 
-    /// Makes the list unreadable, or readable again.
-    pub fn set_down(&self, down: bool) {
-        self.lock().down = down;
+    /// Makes the list unavailable, or available again.
+    pub fn set_down(&self, is_down: bool) {
+        self.lock().is_down = is_down;
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
@@ -82,9 +82,9 @@
     }
 }
 
-fn answer(state: &Mutex<State>) -> Result<http::Response, NoResponse> {
+fn respond(state: &Mutex<State>) -> Result<http::Response, NoResponse> {
     let state = state.lock().expect("no handler panics");
-    if state.down {
+    if state.is_down {
         return Err(NoResponse);
     }
     let vms: Vec<Value> = state
@@ -96,7 +96,7 @@
                 "address": vm.address.to_string(),
                 "data_centre": vm.data_centre,
                 "service": vm.service,
-                "state": if vm.leaving { "leaving" } else { "live" },
+                "state": if vm.is_leaving { "leaving" } else { "live" },
             })
         })
         .collect();
--- a/crates/test-support/tests/history.rs
+++ b/crates/test-support/tests/history.rs
@@ -1,4 +1,4 @@
-//! The checker must reject histories that break a promise.
+//! The checker rejects histories that violate at-most-once execution or a reported outcome.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +18,10 @@
     recorder
 }
 
-fn told(attempt: &str, told: ReportedOutcome) -> Operation {
+fn reported_attempt(attempt: &str, outcome: ReportedOutcome) -> Operation {
     Operation::Attempt {
         attempt: attempt.to_owned(),
-        reported: told,
+        reported: outcome,
     }
 }
 
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_run_with_a_lost_answer_and_a_repeat_is_accepted() {
+fn a_run_with_a_lost_response_and_a_retry_is_accepted() {
     let history = history(&[
-        (told("a", ReportedOutcome::Unknown), 0, 10),
+        (reported_attempt("a", ReportedOutcome::Unknown), 0, 10),
         (effect("a"), 5, 5),
-        (told("b", ReportedOutcome::Done), 20, 30),
+        (reported_attempt("b", ReportedOutcome::Done), 20, 30),
     ]);
 
     assert_eq!(history.violations(), Vec::<String>::new());
@@ -45,9 +45,9 @@
 #[test]
 fn a_second_run_is_rejected() {
     let history = history(&[
-        (told("a", ReportedOutcome::Unknown), 0, 10),
+        (reported_attempt("a", ReportedOutcome::Unknown), 0, 10),
         (effect("a"), 5, 5),
-        (told("b", ReportedOutcome::Done), 20, 30),
+        (reported_attempt("b", ReportedOutcome::Done), 20, 30),
         (effect("b"), 25, 25),
     ]);
 
@@ -57,7 +57,7 @@
 #[test]
 fn not_run_before_a_late_effect_is_rejected() {
     let history = history(&[
-        (told("a", ReportedOutcome::NotRun), 0, 10),
+        (reported_attempt("a", ReportedOutcome::NotRun), 0, 10),
         (effect("a"), 50, 50),
     ]);
 
@@ -68,7 +68,7 @@
 fn not_run_after_its_own_effect_is_rejected() {
     let history = history(&[
         (effect("a"), 5, 5),
-        (told("a", ReportedOutcome::NotRun), 0, 10),
+        (reported_attempt("a", ReportedOutcome::NotRun), 0, 10),
     ]);
 
     assert_eq!(history.violations().len(), 1);
@@ -76,7 +76,7 @@
 
 #[test]
 fn done_without_an_effect_is_rejected() {
-    let history = history(&[(told("a", ReportedOutcome::Done), 0, 10)]);
+    let history = history(&[(reported_attempt("a", ReportedOutcome::Done), 0, 10)]);
 
     assert_eq!(history.violations().len(), 1);
 }
