--- a/crates/test-support/examples/slopes.rs
+++ b/crates/test-support/examples/slopes.rs
@@ -122,7 +122,7 @@
         for round in 0..rounds {
             for (index, holder) in holders.iter_mut().enumerate() {
                 let is_busy = (index as u64 + round / 20).is_multiple_of(3);
-                let confirmed = Some(holder.confirmed_seq()).filter(|asked| *asked > 0);
+                let confirmed = Some(holder.confirmed_seq()).filter(|seq| *seq > 0);
                 let request = ShareRequest {
                     holder: index as u64,
                     request_seq: holder.begin_request(MonoMs(now_ms)),
--- a/crates/test-support/src/group_model.rs
+++ b/crates/test-support/src/group_model.rs
@@ -306,8 +306,10 @@
             };
             self.submit(request, now_ms);
         }
-        let due_retries: Vec<(u64, Request)> =
-            self.retries.extract_if(.., |it| it.0 <= now_ms).collect();
+        let due_retries: Vec<(u64, Request)> = self
+            .retries
+            .extract_if(.., |retry| retry.0 <= now_ms)
+            .collect();
         for (_, request) in due_retries {
             let entry = self.pick_entry(now_ms);
             self.submit(Request { entry, ..request }, now_ms);
--- a/crates/test-support/src/platform_group.rs
+++ b/crates/test-support/src/platform_group.rs
@@ -80,7 +80,11 @@
         let size = addresses.len();
         let initial_map: Vec<Vec<u16>> = (0..size)
             .map(|rank| (0..EXPERT_COUNT).filter(move |expert| expert % size == rank))
-            .map(|experts| experts.map(|it| u16::try_from(it).expect("few")).collect())
+            .map(|experts| {
+                experts
+                    .map(|expert| u16::try_from(expert).expect("few"))
+                    .collect()
+            })
             .collect();
         let rank = Rank {
             map: initial_map.clone(),
@@ -350,7 +354,7 @@
             if rank_state
                 .prepared
                 .as_ref()
-                .is_some_and(|it| it.0 == version) =>
+                .is_some_and(|prepared| prepared.0 == version) =>
         {
             return StatusCode::OK;
         }
@@ -378,7 +382,7 @@
             let is_prepared = rank_state
                 .prepared
                 .as_ref()
-                .is_some_and(|it| it.0 == version);
+                .is_some_and(|prepared| prepared.0 == version);
             let is_in_time = pass < step && is_prepared;
             rank_state.armed = if is_in_time {
                 Some((version, step))
