--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -17,9 +17,9 @@
 use tokio::sync::{Notify, Semaphore, mpsc, watch};
 
 use crate::control::{self, ControlRequest};
-use crate::homes::Homes;
-use crate::life::Lives;
+use crate::home_shards::Homes;
 use crate::server;
+use crate::target_incarnation::Lives;
 
 /// Orders remembered at a time; at 64 bytes each this bounds the gate to a
 /// few megabytes.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -12,10 +12,10 @@
 mod args;
 mod control;
 mod handover;
-mod homes;
-mod life;
+mod home_shards;
 mod run;
 mod server;
+mod target_incarnation;
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use crate::agent::{Agent, Running, lock};
-use crate::homes::{KeyedDecision, Recorder, decide};
+use crate::home_shards::{KeyedDecision, Recorder, decide};
 
 /// Body bytes an answer may be ahead of its reader.
 pub(crate) const INITIAL_CREDIT_BYTES: usize = 256 << 10;
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -8,11 +8,11 @@
 //! says so, and its writer must read back before it says anything: see
 //! [`KvError::may_have_applied`].
 
-mod era_gate;
+mod claim_guard;
 mod kv;
 mod vms;
 
-pub use era_gate::{ClaimGuard, era_of};
+pub use claim_guard::{ClaimGuard, era_of};
 pub use kv::{
     AddressError, Compare, KeyValue, Kv, KvError, KvFuture, LeaseGrant, Put, RangeResponse, Txn,
     TxnResponse, Watch, WatchEvent, WatchFuture, WatchSource, parse_base_url,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -12,7 +12,7 @@
 //! has no answer, which is what a leader has to expect of any order.
 
 pub mod counts;
-mod fence;
+mod fencing;
 
 pub mod settings;
 
@@ -29,8 +29,8 @@
 use tokio::sync::Mutex;
 
 use crate::counts::{CountsEncoder, CountsRequest, CountsUpdate};
-use crate::fence::FENCE_PATH;
-pub use crate::fence::{FencingGuard, era_base_token, fencing_token_key, parse_fencing_token};
+use crate::fencing::FENCE_PATH;
+pub use crate::fencing::{FencingGuard, era_base_token, fencing_token_key, parse_fencing_token};
 use crate::settings::RelaySettings;
 
 /// What a leader asks.
