--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's shared state and its life from start to graceful shutdown.
+//! State shared by the agent's tasks, and the agent's lifecycle from start to graceful shutdown.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,57 +17,57 @@
 use tokio::sync::{Notify, Semaphore, mpsc, watch};
 
 use crate::control::{self, ControlRequest};
-use crate::home_shards::Homes;
+use crate::home_shards::HomeShards;
 use crate::server;
-use crate::target_incarnation::Lives;
+use crate::target_incarnation::TargetIncarnations;
 
-/// Orders remembered at a time; at 64 bytes each this bounds the gate to a
+/// Maximum number of requests that the start gate tracks; at 64 bytes each, they take at most a
 /// few megabytes.
-const GATE_CAPACITY: usize = 65_536;
+const START_GATE_CAPACITY: usize = 65_536;
 
-/// How often a drain looks whether it is done.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a drain checks for requests in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A load report and when it arrived.
+/// The target's last load report and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadSample {
     pub(crate) report: LoadReport,
-    pub(crate) taken_ms: MonoMs,
+    pub(crate) received_ms: MonoMs,
 }
 
-/// A running order as the connection's reader reaches it.
+/// Handles through which frames of the entry's connection control a running request.
 #[derive(Clone)]
-pub(crate) struct Running {
-    /// Body bytes the entry is ready to take.
+pub(crate) struct RunningRequest {
+    /// Flow-control credit: bytes of the response body that the entry is ready to receive.
     pub(crate) credit: Arc<Semaphore>,
-    /// Told when the entry no longer wants the answer.
+    /// Notified when the entry cancels the request.
     pub(crate) cancel: Arc<Notify>,
-    /// The life of the target in which it runs.
-    pub(crate) life: u64,
+    /// Incarnation of the target that the request runs in.
+    pub(crate) target_incarnation: u64,
 }
 
-/// Everything the agent's tasks share.
+/// State shared by the agent's tasks.
 pub(crate) struct Agent {
     pub(crate) settings: AgentSettings,
     pub(crate) keys: KeyRing,
     pub(crate) incarnation: Incarnation,
     pub(crate) target: Arc<dyn Target>,
-    pub(crate) lives: Lives,
-    /// Whether the target wants rest.
-    pub(crate) pressure: Mutex<AdmissionGate>,
-    pub(crate) gate: Mutex<StartGate>,
-    pub(crate) homes: Mutex<Homes>,
+    pub(crate) target_incarnations: TargetIncarnations,
+    /// Backoff that the target has asked for.
+    pub(crate) admission_gate: Mutex<AdmissionGate>,
+    pub(crate) start_gate: Mutex<StartGate>,
+    pub(crate) home_shards: Mutex<HomeShards>,
     pub(crate) load: ArcSwap<LoadSample>,
     pub(crate) documents: Mutex<Documents>,
-    pub(crate) running: Mutex<HashMap<RequestId, Running>>,
+    pub(crate) running: Mutex<HashMap<RequestId, RunningRequest>>,
     pub(crate) control: mpsc::UnboundedSender<ControlRequest>,
     pub(crate) stopping: watch::Sender<bool>,
     in_flight: AtomicU32,
-    epoch: Instant,
+    started_at: Instant,
 }
 
 impl Agent {
-    /// Runs until told to stop and everything in flight has ended.
+    /// Runs the agent until it has received a signal to stop and all requests in flight have ended.
     pub(crate) fn run(settings: AgentSettings) -> anyhow::Result<()> {
         let (control, requests) = mpsc::unbounded_channel();
         let agent = Arc::new(Self::new(settings, control)?);
@@ -86,14 +86,14 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let served = runtime.block_on(server::serve(Arc::clone(&agent)));
+        let server_result = runtime.block_on(server::serve(Arc::clone(&agent)));
         agent.stopping.send_replace(true);
-        let control_ended = control_thread.join();
-        if control_ended.is_err() {
+        let control_result = control_thread.join();
+        if control_result.is_err() {
             anyhow::bail!("the control thread panicked; see the log above");
         }
         log::info!("agent {} has stopped", agent.settings.node.name);
-        served
+        server_result
     }
 
     fn new(
@@ -111,86 +111,89 @@
             keys: KeyRing::new(key, previous),
             incarnation,
             target,
-            lives: Lives::new(),
-            pressure: Mutex::new(AdmissionGate::default()),
-            gate: Mutex::new(StartGate::new(incarnation, GATE_CAPACITY)),
-            homes: Mutex::new(Homes::default()),
+            target_incarnations: TargetIncarnations::new(),
+            admission_gate: Mutex::new(AdmissionGate::default()),
+            start_gate: Mutex::new(StartGate::new(incarnation, START_GATE_CAPACITY)),
+            home_shards: Mutex::new(HomeShards::default()),
             load: ArcSwap::from_pointee(LoadSample {
                 report: LoadReport::default(),
-                taken_ms: MonoMs(0),
+                received_ms: MonoMs(0),
             }),
             documents: Mutex::new(Documents::default()),
             running: Mutex::new(HashMap::new()),
             control,
             stopping: watch::Sender::new(false),
             in_flight: AtomicU32::new(0),
-            epoch: Instant::now(),
+            started_at: Instant::now(),
             settings,
         })
     }
 
-    /// This process's monotonic clock.
+    /// Time on this process's monotonic clock.
     pub(crate) fn now_ms(&self) -> MonoMs {
-        let elapsed = self.epoch.elapsed().as_millis();
+        let elapsed = self.started_at.elapsed().as_millis();
         MonoMs(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// Requests being worked on.
+    /// Number of requests in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn begin(&self) {
+    pub(crate) fn request_started(&self) {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub(crate) fn end(&self, id: RequestId) {
+    pub(crate) fn request_ended(&self, id: RequestId) {
         lock(&self.running).remove(&id);
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// The name of the life in which a run lost its answer, if the target has ended; empty if
-    /// it lives, or if it is leaving and ends by itself.
-    pub(crate) async fn ended_target(&self, life: u64) -> String {
-        let has_ended = self.lives.has_ended(life) || probe::has_exited(self.settings.target).await;
-        if has_ended {
-            self.lives.on_end(life);
+    /// Checks whether the target has exited, after a run in this incarnation lost its response.
+    /// Returns the incarnation's name if so. Returns an empty name if the target still runs, or if
+    /// the agent is draining, as the target then stops on purpose.
+    pub(crate) async fn exited_target_name(&self, target_incarnation: u64) -> String {
+        let has_exited = self.target_incarnations.has_exited(target_incarnation)
+            || probe::has_exited(self.settings.target).await;
+        if has_exited {
+            self.target_incarnations.on_exit(target_incarnation);
         }
-        self.name_of_ended(life)
+        self.exited_incarnation_name(target_incarnation)
     }
 
-    /// The name of a life that has ended under its requests; empty if it has not.
-    pub(crate) fn name_of_ended(&self, life: u64) -> String {
-        if self.is_draining() || !self.lives.has_ended(life) {
+    /// Name of an incarnation that has exited while requests ran in it; empty if it has not exited,
+    /// or if the agent is draining.
+    pub(crate) fn exited_incarnation_name(&self, target_incarnation: u64) -> String {
+        if self.is_draining() || !self.target_incarnations.has_exited(target_incarnation) {
             return String::new();
         }
         let name = &self.settings.node.name;
-        format!("{name}/{}/{life}", self.incarnation)
+        format!("{name}/{}/{target_incarnation}", self.incarnation)
     }
 
     pub(crate) fn is_draining(&self) -> bool {
-        lock(&self.gate).is_draining()
+        lock(&self.start_gate).is_draining()
     }
 
-    /// Waits until nothing is in flight, or the operator's bound has passed.
-    pub(crate) async fn drained(&self) {
-        let bound_ms = self.settings.drain_bound_ms;
+    /// Waits until no request is in flight, or until the configured drain bound has passed.
+    pub(crate) async fn wait_until_drained(&self) {
+        let drain_bound_ms = self.settings.drain_bound_ms;
         let began = Instant::now();
         while self.in_flight() > 0 {
             let waited_ms = began.elapsed().as_millis();
-            if bound_ms > 0 && waited_ms >= u128::from(bound_ms) {
+            if drain_bound_ms > 0 && waited_ms >= u128::from(drain_bound_ms) {
                 log::warn!(
-                    "drain bound of {bound_ms} ms reached with {} in flight",
+                    "drain bound of {drain_bound_ms} ms reached with {} in flight",
                     self.in_flight()
                 );
                 return;
             }
-            tokio::time::sleep(DRAIN_CHECK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Locks a state that is only ever held for a few instructions.
+/// Locks a mutex that is never held for more than a few instructions.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of this lock panics")
 }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -15,27 +15,28 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::agent::{Agent, LoadSample, lock};
-use claims::Claims;
+use claims::ShardClaims;
 
-/// Time between two load reports.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the target's load is polled.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks at leases and shards.
-const CLAIMS_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two maintenance passes over the lease and the key shards.
+const CLAIM_MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long shards are offered to others before the agent stops anyway.
-const RELEASE_BOUND: Duration = Duration::from_secs(5);
+/// How long a stopping agent tries to hand its key shards over before it drains without that.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What traffic asks of the control thread.
+/// Requests of the traffic thread to the control thread.
 pub(crate) enum ControlRequest {
-    /// Claim a shard if nobody holds it; `done` is told either way.
+    /// Claim a key shard that has no home, the agent that alone may run its keyed requests.
+    /// `done` is notified whether or not the claim succeeds.
     Claim {
         shard: u32,
         done: oneshot::Sender<()>,
     },
 }
 
-/// Runs until the agent has been told to stop and has drained.
+/// Runs the control thread until the agent has received a signal to stop and has drained.
 pub(crate) fn run(
     agent: &Arc<Agent>,
     key_value: Arc<dyn KeyValue>,
@@ -47,17 +48,18 @@
         .expect("the control runtime starts");
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime, async {
-        let claims = Rc::new(Claims::new(Arc::clone(agent), key_value));
+        let claims = Rc::new(ShardClaims::new(Arc::clone(agent), key_value));
         tokio::task::spawn_local(poll_load(Arc::clone(agent)));
         tokio::task::spawn_local(serve_requests(Rc::clone(&claims), requests));
-        let upkeep = tokio::task::spawn_local(keep_claims(Arc::clone(agent), Rc::clone(&claims)));
-        until_told_to_stop().await;
-        upkeep.abort();
+        let maintenance =
+            tokio::task::spawn_local(maintain_claims(Arc::clone(agent), Rc::clone(&claims)));
+        wait_for_stop_signal().await;
+        maintenance.abort();
         stop(agent, &claims).await;
     });
 }
 
-async fn until_told_to_stop() {
+async fn wait_for_stop_signal() {
     let mut terminate = signal(SignalKind::terminate()).expect("SIGTERM can be watched");
     let mut interrupt = signal(SignalKind::interrupt()).expect("SIGINT can be watched");
     tokio::select! {
@@ -66,47 +68,56 @@
     }
 }
 
-/// Graceful shutdown: no new orders, shards to others, then the rest drains.
-async fn stop(agent: &Arc<Agent>, claims: &Claims) {
+/// Shuts down gracefully: refuses new requests, hands key shards over to other agents, then waits
+/// for the requests in flight.
+async fn stop(agent: &Arc<Agent>, claims: &ShardClaims) {
     log::info!("told to stop; {} requests in flight", agent.in_flight());
-    lock(&agent.gate).drain();
-    let _ = tokio::time::timeout(RELEASE_BOUND, claims.release_all()).await;
-    agent.drained().await;
+    lock(&agent.start_gate).drain();
+    let _ = tokio::time::timeout(RELEASE_TIMEOUT, claims.release_all()).await;
+    agent.wait_until_drained().await;
     claims.end_lease().await;
     agent.stopping.send_replace(true);
 }
 
 async fn poll_load(agent: Arc<Agent>) {
     loop {
-        let life = agent.lives.of_a_call();
+        let target_incarnation = agent.target_incarnations.current();
         match agent.target.load().await {
             Ok(report) => {
-                agent.lives.on_answer(life);
-                let taken_ms = agent.now_ms();
-                agent.load.store(Arc::new(LoadSample { report, taken_ms }));
+                agent.target_incarnations.on_response(target_incarnation);
+                let received_ms = agent.now_ms();
+                agent.load.store(Arc::new(LoadSample {
+                    report,
+                    received_ms,
+                }));
             }
             Err(error) => {
-                log::debug!("no load report: {error}");
-                look_for_target(&agent, &error).await;
+                log::debug!("load poll of the target failed: {error}");
+                probe_target(&agent, &error).await;
             }
         }
-        tokio::time::sleep(LOAD_EVERY).await;
+        tokio::time::sleep(LOAD_POLL_INTERVAL).await;
     }
 }
 
-/// Targets also end under runs whose callers have left, and nobody would lose an answer
-/// that tells of it. One that answers anything lives, also if it has no load to report.
-async fn look_for_target(agent: &Agent, error: &TargetError) {
+/// Probes the target after a failed load poll.
+///
+/// A target can also exit during abandoned runs, where no lost response shows the exit. A target
+/// that responds at all is running, even if it reports no load.
+async fn probe_target(agent: &Agent, error: &TargetError) {
     match error {
         TargetError::Unreachable(_) => {}
         TargetError::Interrupted(_) | TargetError::InvalidRequest(_) => return,
     }
     if probe::probe(agent.settings.target).await == ProbeOutcome::Refused {
-        agent.lives.on_nobody();
+        agent.target_incarnations.on_connection_refused();
     }
 }
 
-async fn serve_requests(claims: Rc<Claims>, mut requests: mpsc::UnboundedReceiver<ControlRequest>) {
+async fn serve_requests(
+    claims: Rc<ShardClaims>,
+    mut requests: mpsc::UnboundedReceiver<ControlRequest>,
+) {
     while let Some(ControlRequest::Claim { shard, done }) = requests.recv().await {
         let claims = Rc::clone(&claims);
         tokio::task::spawn_local(async move {
@@ -116,16 +127,16 @@
     }
 }
 
-async fn keep_claims(agent: Arc<Agent>, claims: Rc<Claims>) {
+async fn maintain_claims(agent: Arc<Agent>, claims: Rc<ShardClaims>) {
     loop {
         if runs_at_most_once(&agent) {
-            claims.upkeep().await;
+            claims.maintain().await;
         }
-        tokio::time::sleep(CLAIMS_EVERY).await;
+        tokio::time::sleep(CLAIM_MAINTENANCE_INTERVAL).await;
     }
 }
 
-/// Whether the catalogue says that this agent's entry may not be repeated.
+/// Whether the catalogue forbids retries of requests to this agent's service.
 fn runs_at_most_once(agent: &Agent) -> bool {
     let id = ItemId {
         kind: ItemKind::Entry,
--- a/crates/agent/src/control/claims.rs
+++ b/crates/agent/src/control/claims.rs
@@ -1,14 +1,14 @@
-//! Claims on key shards through the key-value service.
+//! Claims of key shards through the key-value service.
 //!
-//! A shard's home key is created only where it is absent and is bound to the
-//! home's lease, so there is at most one. A claim whose answer was lost is
-//! read back by the number drawn for it. A claim that stays in doubt is not
-//! used: the next look finds it and takes the shard over as if from another
-//! agent, which costs "unknown" answers and never a second run.
+//! The home of a shard is the agent that alone may run the shard's keyed requests. A shard's home
+//! key is created only if it is absent, and is bound to the home's lease, so there is at most one
+//! home. If the reply to a claim is lost, the key is read back and compared by the claim's random
+//! ID. A claim that stays unconfirmed is not used: the next maintenance pass finds it and takes the
+//! shard over as if from another agent, which costs "unknown" responses but never a second run.
 //!
-//! A store that was restored from an older copy has lost claims whose homes still run
-//! requests. Nothing is claimed there until their leases have run out, and what the
-//! copy tells of former homes is taken for less than it says: see [`ledger_for`].
+//! A store that was restored from an older copy has lost claims whose homes still run requests.
+//! Nothing is claimed there until the leases of these homes have expired, and the copy is not
+//! trusted to list all previous homes and their runs: see [`initial_ledger`].
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -23,72 +23,78 @@
 
 use crate::agent::{Agent, lock};
 use crate::handover::{
-    HomeValue, MAX_MOVED_RECORDS, ShardKeys, decode, encode, members_prefix, settled_key,
+    HomeDocument, MAX_EXPORTED_RECORDS, ShardKeys, candidate_agents_prefix, decode, encode,
+    era_marker_key,
 };
 
-/// Records kept per shard.
+/// Maximum number of records in a shard's ledger.
 const LEDGER_CAPACITY: usize = 16_384;
 
-/// Shards moved to other agents in one look.
-const MOVES_AT_A_TIME: usize = 2;
+/// Maximum number of shards released to other agents in one maintenance pass.
+const MAX_RELEASES_PER_PASS: usize = 2;
 
-pub(crate) struct Claims {
+pub(crate) struct ShardClaims {
     agent: Arc<Agent>,
     key_value: Arc<dyn KeyValue>,
     lease_id: Cell<i64>,
-    is_member: Cell<bool>,
-    /// Claims of this process that may be in the service although it does not
-    /// act on them: their answers were lost.
-    doubtful: RefCell<IndexMap<u32, u64>>,
-    gate: ClaimGuard,
-    /// One claim or renewal at a time; two at once would grant two leases.
-    busy: Mutex<()>,
+    is_registered: Cell<bool>,
+    /// Claim IDs by shard, of claims and releases whose replies were lost. The home key may name
+    /// this process although the process does not act as the shard's home.
+    unconfirmed: RefCell<IndexMap<u32, u64>>,
+    claim_guard: ClaimGuard,
+    /// Serializes claims and renewals; two at once could be granted two leases.
+    claim_lock: Mutex<()>,
 }
 
-/// What the service holds about a shard.
+/// State of a shard in the key-value service.
 struct ShardState {
-    home: Option<HomeValue>,
+    home: Option<HomeDocument>,
     was_claimed: bool,
     handover: Option<Kv>,
-    /// The era of the store in which it was read.
+    /// Era of the store in which the state was read.
     era: u64,
 }
 
-impl Claims {
+impl ShardClaims {
     pub(crate) fn new(agent: Arc<Agent>, key_value: Arc<dyn KeyValue>) -> Self {
         let lease_ms = u64::from(agent.settings.lease_ttl_s) * 1_000;
         Self {
-            gate: ClaimGuard::new(settled_key(&agent.settings.service), lease_ms),
+            claim_guard: ClaimGuard::new(era_marker_key(&agent.settings.service), lease_ms),
             agent,
             key_value,
             lease_id: Cell::new(0),
-            is_member: Cell::new(false),
-            doubtful: RefCell::new(IndexMap::new()),
-            busy: Mutex::new(()),
+            is_registered: Cell::new(false),
+            unconfirmed: RefCell::new(IndexMap::new()),
+            claim_lock: Mutex::new(()),
         }
     }
 
-    /// Renews the lease, then claims or gives away shards towards an even
-    /// share.
-    pub(crate) async fn upkeep(&self) {
-        let _busy = self.busy.lock().await;
-        if let Err(error) = self.try_upkeep().await {
-            log::warn!("shards of {}: {error}", self.agent.settings.service);
+    /// Renews the lease, then claims or releases shards so that each agent gets an even share.
+    pub(crate) async fn maintain(&self) {
+        let _guard = self.claim_lock.lock().await;
+        if let Err(error) = self.try_maintain().await {
+            log::warn!(
+                "maintenance of the shards of {} failed: {error}",
+                self.agent.settings.service
+            );
         }
     }
 
-    async fn try_upkeep(&self) -> Result<(), KvError> {
+    async fn try_maintain(&self) -> Result<(), KvError> {
         self.ensure_lease().await?;
-        self.ensure_member().await?;
+        self.ensure_registered().await?;
         let entry = &self.agent.settings.service;
-        let members = self.key_value.range(&members_prefix(entry)).await?;
+        let candidates = self
+            .key_value
+            .range(&candidate_agents_prefix(entry))
+            .await?;
         let shards = self
             .key_value
             .range(&format!("berylhook/homes/{entry}/"))
             .await?;
-        let even_share = (KEY_SHARDS as usize).div_ceil(members.kvs.len().max(1));
-        let owned = lock(&self.agent.homes).owned();
-        for shard in self.doubtful_shards() {
+        let even_share = (KEY_SHARDS as usize).div_ceil(candidates.kvs.len().max(1));
+        let owned = lock(&self.agent.home_shards).owned_shards();
+        for shard in self.unconfirmed_shards() {
             self.claim_shard(shard).await?;
         }
         let free = free_shards(entry, &shards);
@@ -98,20 +104,23 @@
         {
             self.claim_shard(shard).await?;
         }
-        let excess = owned.len().saturating_sub(even_share).min(MOVES_AT_A_TIME);
+        let excess = owned
+            .len()
+            .saturating_sub(even_share)
+            .min(MAX_RELEASES_PER_PASS);
         for shard in owned.into_iter().take(excess) {
             self.release(shard).await?;
         }
         Ok(())
     }
 
-    fn doubtful_shards(&self) -> Vec<u32> {
-        self.doubtful.borrow().keys().copied().collect()
+    fn unconfirmed_shards(&self) -> Vec<u32> {
+        self.unconfirmed.borrow().keys().copied().collect()
     }
 
-    /// Claims one shard on behalf of an order that waits for it.
+    /// Claims one shard for a request that waits for it.
     pub(crate) async fn claim(&self, shard: u32) {
-        let _busy = self.busy.lock().await;
+        let _guard = self.claim_lock.lock().await;
         let claimed = async {
             self.ensure_lease().await?;
             self.claim_shard(shard).await
@@ -121,11 +130,11 @@
         }
     }
 
-    /// Gives all shards to whoever claims them next.
+    /// Releases all shards to other agents; tries again until none is left.
     pub(crate) async fn release_all(&self) {
-        let _busy = self.busy.lock().await;
+        let _guard = self.claim_lock.lock().await;
         loop {
-            let owned = lock(&self.agent.homes).owned();
+            let owned = lock(&self.agent.home_shards).owned_shards();
             if owned.is_empty() {
                 return;
             }
@@ -150,40 +159,41 @@
         if self.lease_id.get() == 0 {
             let grant = self.key_value.grant(ttl_s).await?;
             self.lease_id.set(grant.id);
-            self.confirm(sent_ms, grant.ttl_s);
+            self.confirm_lease(sent_ms, grant.ttl_s);
             return Ok(());
         }
-        if !lock(&self.agent.homes).should_renew(sent_ms) {
+        if !lock(&self.agent.home_shards).should_renew(sent_ms) {
             return Ok(());
         }
         match self.key_value.renew(self.lease_id.get()).await {
             Ok(granted_s) => {
-                self.confirm(sent_ms, granted_s);
+                self.confirm_lease(sent_ms, granted_s);
                 Ok(())
             }
             Err(KvError::LeaseGone) => {
-                log::warn!("the lease has expired; all shards are given up");
-                lock(&self.agent.homes).lease_gone();
+                log::warn!("the lease has expired; all shards are lost");
+                lock(&self.agent.home_shards).on_lease_expired();
                 self.lease_id.set(0);
-                self.is_member.set(false);
-                // Their keys end with the lease, or are bound to another's by now.
-                self.doubtful.borrow_mut().clear();
+                self.is_registered.set(false);
+                // Their keys were deleted with the lease, or are bound to another agent's lease
+                // by now.
+                self.unconfirmed.borrow_mut().clear();
                 Err(KvError::LeaseGone)
             }
             Err(error) => Err(error),
         }
     }
 
-    fn confirm(&self, sent_ms: berylhook_core::time::MonoMs, ttl_s: i64) {
+    fn confirm_lease(&self, sent_ms: berylhook_core::time::MonoMs, ttl_s: i64) {
         let ttl_ms = u64::try_from(ttl_s).unwrap_or(0) * 1_000;
-        lock(&self.agent.homes).lease_confirmed(ttl_ms, sent_ms);
+        lock(&self.agent.home_shards).on_lease_confirmed(ttl_ms, sent_ms);
     }
 
-    async fn ensure_member(&self) -> Result<(), KvError> {
-        if self.is_member.get() {
+    async fn ensure_registered(&self) -> Result<(), KvError> {
+        if self.is_registered.get() {
             return Ok(());
         }
-        let prefix = members_prefix(&self.agent.settings.service);
+        let prefix = candidate_agents_prefix(&self.agent.settings.service);
         let put = Put {
             key: format!("{prefix}{}", self.agent.settings.node.name).into(),
             value: Vec::new(),
@@ -194,7 +204,7 @@
             ..Txn::default()
         };
         self.key_value.commit(txn).await?;
-        self.is_member.set(true);
+        self.is_registered.set(true);
         Ok(())
     }
 
@@ -205,13 +215,13 @@
         match state.home {
             Some(home) if home.agent == *self.agent.settings.node.name => {
                 if self.may_claim(state.era).await? {
-                    self.settle_own(shard, &home);
+                    self.resolve_own_claim(shard, &home);
                 }
                 Ok(())
             }
             Some(home) => {
-                let holder = home.agent.as_str().into();
-                lock(&self.agent.homes).held_elsewhere(shard, holder);
+                let home_agent = home.agent.as_str().into();
+                lock(&self.agent.home_shards).record_other_home(shard, home_agent);
                 Ok(())
             }
             None if self.may_claim(state.era).await? => self.claim_free(shard, &keys, &state).await,
@@ -219,34 +229,34 @@
         }
     }
 
-    /// The service says that this agent is home.
+    /// Handles a home key that names this agent.
     ///
-    /// Where this process itself made the claim and its answer was lost, it
-    /// becomes home now, as if it took over from another: the key is bound to
-    /// its own lease, which it renews, so the shard would have no home for as
-    /// long as the process lives. Where an earlier incarnation made the claim,
-    /// that one may only be frozen: its lease has to end first.
-    fn settle_own(&self, shard: u32, home: &HomeValue) {
-        let is_doubtful = self.doubtful.borrow().get(&shard) == Some(&home.claim);
-        let mut homes = lock(&self.agent.homes);
-        match homes.owned().contains(&shard) {
+    /// If this process made the claim and the reply was lost, it becomes home now, as if it took
+    /// the shard over from another agent: the key is bound to its own lease, which it renews, so
+    /// the shard would otherwise have no home as long as the process runs. If an earlier
+    /// incarnation made the claim, that process may merely be frozen: its lease has to expire
+    /// first.
+    fn resolve_own_claim(&self, shard: u32, home: &HomeDocument) {
+        let is_unconfirmed = self.unconfirmed.borrow().get(&shard) == Some(&home.claim);
+        let mut home_shards = lock(&self.agent.home_shards);
+        match home_shards.owned_shards().contains(&shard) {
             true => {}
-            false if is_doubtful => {
+            false if is_unconfirmed => {
                 let ledger =
                     Ledger::takeover(ClockBounds::default(), WallMs::now(), LEDGER_CAPACITY);
-                homes.claimed(shard, home.claim, ledger);
-                self.doubtful.borrow_mut().swap_remove(&shard);
-                log::info!("home to shard {shard} by a claim whose answer was lost");
+                home_shards.add_claimed(shard, home.claim, ledger);
+                self.unconfirmed.borrow_mut().swap_remove(&shard);
+                log::info!("home to shard {shard} by a claim whose reply was lost");
             }
-            false => log::info!("shard {shard} is still bound to an earlier incarnation"),
+            false => log::info!("shard {shard} is bound to an earlier incarnation's lease"),
         }
     }
 
-    /// Whether no home of an era before can act on its claim any more.
+    /// Whether claims are safe in `era`: no home of a previous era can still act on its claim.
     async fn may_claim(&self, era: u64) -> Result<bool, KvError> {
         let now_ms = self.agent.now_ms();
         let key_value = &*self.key_value;
-        self.gate.may_claim(key_value, era, now_ms).await
+        self.claim_guard.may_claim(key_value, era, now_ms).await
     }
 
     async fn claim_free(
@@ -257,32 +267,32 @@
     ) -> Result<(), KvError> {
         let claim = rand::random();
         let txn = self.claim_txn(keys, state, claim);
-        let won = match self.key_value.commit(txn).await {
-            Ok(answer) => answer.succeeded,
+        let is_claimed = match self.key_value.commit(txn).await {
+            Ok(response) => response.succeeded,
             Err(error) if error.may_have_applied() => {
-                self.doubtful.borrow_mut().insert(shard, claim);
-                self.read_back(keys, claim, state.era).await?
+                self.unconfirmed.borrow_mut().insert(shard, claim);
+                self.is_claim_stored(keys, claim, state.era).await?
             }
             Err(error) => return Err(error),
         };
-        self.doubtful.borrow_mut().swap_remove(&shard);
-        if !won {
+        self.unconfirmed.borrow_mut().swap_remove(&shard);
+        if !is_claimed {
             return Ok(());
         }
-        // Made after the claim is certain, so that the floor lies after
-        // everything the former home may have accepted.
-        let ledger = ledger_for(state);
+        // Created after the claim is confirmed, so that the low-water mark lies above every key
+        // that the previous home may have accepted.
+        let ledger = initial_ledger(state);
         log::info!(
-            "home to shard {shard} of {}, floor {}",
+            "home to shard {shard} of {}, low-water mark {}",
             self.agent.settings.service,
             ledger.low_water_ms().0
         );
-        lock(&self.agent.homes).claimed(shard, claim, ledger);
+        lock(&self.agent.home_shards).add_claimed(shard, claim, ledger);
         Ok(())
     }
 
     fn claim_txn(&self, keys: &ShardKeys, state: &ShardState, claim: u64) -> Txn {
-        let value = HomeValue {
+        let value = HomeDocument {
             agent: self.agent.settings.node.name.to_string(),
             claim,
         };
@@ -318,68 +328,73 @@
         txn
     }
 
-    async fn read_back(&self, keys: &ShardKeys, claim: u64, era: u64) -> Result<bool, KvError> {
+    async fn is_claim_stored(
+        &self,
+        keys: &ShardKeys,
+        claim: u64,
+        era: u64,
+    ) -> Result<bool, KvError> {
         let range = self.key_value.range(&keys.prefix).await?;
         let state = ShardState::read(keys, &range);
-        // What was read in an era before says nothing of who is home in this one.
+        // A key that was read in another era does not tell which agent is home in this one.
         Ok(state.era == era && state.home.is_some_and(|home| home.claim == claim))
     }
 
-    /// Hands a shard's records over, if nothing runs in it.
+    /// Releases a shard and hands its records over, if no request runs in it.
     async fn release(&self, shard: u32) -> Result<(), KvError> {
         let keys = ShardKeys::new(&self.agent.settings.service, shard);
         let range = self.key_value.range(&keys.prefix).await?;
-        let own = range.kvs.iter().find(|kv| kv.key == keys.home);
-        let Some(own) = own.filter(|kv| is_own(kv, &self.agent)) else {
+        let home_kv = range.kvs.iter().find(|kv| kv.key == keys.home);
+        let Some(home_kv) = home_kv.filter(|kv| names_agent(kv, &self.agent)) else {
             return Ok(());
         };
-        let Some(home) = lock(&self.agent.homes).take_idle(shard) else {
+        let Some(home) = lock(&self.agent.home_shards).release_if_idle(shard) else {
             return Ok(());
         };
-        let moved = home.ledger.export(MAX_MOVED_RECORDS);
+        let export = home.ledger.export(MAX_EXPORTED_RECORDS);
         let txn = Txn {
-            // After its lease has ended the key may be a successor's.
+            // If this agent's lease has expired, the key may already belong to a successor.
             compares: vec![Compare::ModRevision(
                 Arc::clone(&keys.home),
-                own.mod_revision,
+                home_kv.mod_revision,
             )],
             puts: vec![Put {
                 key: Arc::clone(&keys.handover),
-                value: encode(&moved, era_of(range.revision)),
+                value: encode(&export, era_of(range.revision)),
                 lease_id: 0,
             }],
             deletes: vec![Arc::clone(&keys.home)],
         };
         if let Err(error) = self.key_value.commit(txn).await {
-            // If it did not take effect, the key still names this process.
-            self.doubtful.borrow_mut().insert(shard, home.claim);
+            // If the transaction did not take effect, the key still names this process.
+            self.unconfirmed.borrow_mut().insert(shard, home.claim);
             return Err(error);
         }
         log::info!(
             "shard {shard} handed over with {} records",
-            moved.records.len()
+            export.records.len()
         );
         Ok(())
     }
 }
 
-/// The records to begin with. In a restored store the absence of a former home proves
-/// nothing, and neither do records that were left in a former era: others may have run keys
-/// since.
-fn ledger_for(state: &ShardState) -> Ledger {
+/// Creates the ledger of a newly claimed shard. In a restored store, the absence of a previous
+/// home proves nothing, and neither does a handover of a previous era: other agents may have run
+/// keys since.
+fn initial_ledger(state: &ShardState) -> Ledger {
     let clocks = ClockBounds::default();
     let handover = state.handover.as_ref();
-    let moved = handover.and_then(|kv| decode(&kv.value, state.era));
+    let export = handover.and_then(|kv| decode(&kv.value, state.era));
     let may_have_been_home = state.was_claimed || state.era > 0;
-    match moved {
-        Some(moved) => Ledger::import(clocks, &moved, LEDGER_CAPACITY),
+    match export {
+        Some(export) => Ledger::import(clocks, &export, LEDGER_CAPACITY),
         None if may_have_been_home => Ledger::takeover(clocks, WallMs::now(), LEDGER_CAPACITY),
         None => Ledger::for_new_shard(clocks, LEDGER_CAPACITY),
     }
 }
 
-fn is_own(kv: &Kv, agent: &Agent) -> bool {
-    serde_json::from_slice::<HomeValue>(&kv.value)
+fn names_agent(kv: &Kv, agent: &Agent) -> bool {
+    serde_json::from_slice::<HomeDocument>(&kv.value)
         .is_ok_and(|home| home.agent == *agent.settings.node.name)
 }
 
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -1,4 +1,6 @@
-//! What a home leaves in the key-value service for the next one.
+//! Keys and values of key shards in the key-value service, and the handover of a shard's records.
+//!
+//! The home of a key shard is the only agent that may run the shard's keyed requests.
 
 use std::sync::Arc;
 
@@ -6,19 +8,19 @@
 use berylhook_core::time::WallMs;
 use serde::{Deserialize, Serialize};
 
-/// Records handed over at most: with about 70 bytes each they stay well under
-/// the service's bound of 1 MB for a value.
-pub(crate) const MAX_MOVED_RECORDS: usize = 8_000;
+/// Maximum number of records in a handover: at about 70 bytes each, they stay well under the
+/// key-value service's limit of 1 MB per value.
+pub(crate) const MAX_EXPORTED_RECORDS: usize = 8_000;
 
-/// Keys about one shard.
+/// Keys of one shard in the key-value service.
 pub(crate) struct ShardKeys {
-    /// All of them.
+    /// Common prefix of the shard's keys.
     pub(crate) prefix: String,
-    /// Who is home; bound to the home's lease.
+    /// Names the agent that is home to the shard; bound to that agent's lease.
     pub(crate) home: Arc<str>,
-    /// Present once the shard has ever had a home.
+    /// Exists once the shard has had a home, and is bound to no lease.
     pub(crate) claimed: Arc<str>,
-    /// Left behind by a planned move.
+    /// Holds the records exported by the previous home in a planned handover.
     pub(crate) handover: Arc<str>,
 }
 
@@ -34,65 +36,68 @@
     }
 }
 
-/// The mark that claims may be made again after the store was restored: its era.
-pub(crate) fn settled_key(entry: &str) -> Arc<str> {
+/// Key of the marker that claims are safe again after a restore of the store; its value is the
+/// store's era.
+pub(crate) fn era_marker_key(entry: &str) -> Arc<str> {
     format!("berylhook/homes-settled/{entry}").into()
 }
 
-/// Where the agents that may be home to an entry's shards are listed.
-pub(crate) fn members_prefix(entry: &str) -> String {
+/// Prefix of the keys that list the agents which can be home to shards of a catalogue entry.
+pub(crate) fn candidate_agents_prefix(entry: &str) -> String {
     format!("berylhook/home-agents/{entry}/")
 }
 
-/// The value of the home key.
+/// Value of the home key of a shard.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct HomeValue {
-    /// The agent's name.
+pub(crate) struct HomeDocument {
+    /// Name of the agent that is home.
     pub(crate) agent: String,
-    /// Drawn for this claim, to find it again if the answer was lost.
+    /// Random ID of this claim, by which the agent recognizes it if the reply was lost.
     pub(crate) claim: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct MovedValue {
-    /// The era of the store in which the records were left.
+struct HandoverDocument {
+    /// Era of the store in which the records were exported.
     #[serde(default)]
     era: u64,
-    floor_ms: u64,
-    records: Vec<MovedRecordValue>,
+    #[serde(rename = "floor_ms")]
+    low_water_ms: u64,
+    records: Vec<RecordDocument>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct MovedRecordValue {
+struct RecordDocument {
     key: String,
     issued_ms: u64,
     digest: u64,
     status: Option<u16>,
 }
 
-pub(crate) fn encode(moved: &LedgerExport, era: u64) -> Vec<u8> {
-    let records = moved
+pub(crate) fn encode(export: &LedgerExport, era: u64) -> Vec<u8> {
+    let records = export
         .records
         .iter()
-        .map(|record| MovedRecordValue {
+        .map(|record| RecordDocument {
             key: format!("{:x}", record.key),
             issued_ms: record.issued_ms.0,
             digest: record.digest,
             status: record.status,
         })
         .collect();
-    let value = MovedValue {
+    let value = HandoverDocument {
         era,
-        floor_ms: moved.low_water_ms.0,
+        low_water_ms: export.low_water_ms.0,
         records,
     };
     serde_json::to_vec(&value).expect("handover values serialize")
 }
 
-/// Reads a handover; `None` if it is damaged or of a former era, which counts as none at
-/// all. One that an older copy of the store brought back lacks the runs of whoever took it.
+/// Decodes a handover; `None` if it is malformed or of a previous era, and must be ignored. A
+/// handover that reappears with a restored copy of the store lacks the runs of the agents that
+/// have imported it since.
 pub(crate) fn decode(bytes: &[u8], era: u64) -> Option<LedgerExport> {
-    let value: MovedValue = serde_json::from_slice(bytes).ok()?;
+    let value: HandoverDocument = serde_json::from_slice(bytes).ok()?;
     if value.era != era {
         return None;
     }
@@ -109,7 +114,7 @@
         })
         .collect::<Option<Vec<_>>>()?;
     Some(LedgerExport {
-        low_water_ms: WallMs(value.floor_ms),
+        low_water_ms: WallMs(value.low_water_ms),
         records,
     })
 }
--- a/crates/agent/src/home_shards.rs
+++ b/crates/agent/src/home_shards.rs
@@ -1,12 +1,10 @@
-//! The key shards this agent is home to.
+//! The key shards that this agent is home to: it alone may run their keyed requests.
 //!
-//! What goes wrong without care: the agent is frozen, its lease expires,
-//! another agent takes a shard over, and the first one wakes and runs a key
-//! that its successor has already run. Three things prevent it together: the
-//! right to start ends on this agent's own monotonic clock
-//! ([`HeldLease`]); a key is only accepted up to the wall clock read *before*
-//! that check; and the successor's floor lies above every key that could
-//! have been accepted so.
+//! No key may run twice when this agent freezes, its lease expires, another agent takes a shard
+//! over, and this agent resumes. Three rules ensure that together: the right to start a run
+//! expires on this agent's own monotonic clock ([`HeldLease`]); a key is accepted only up to the
+//! wall-clock time read *before* that check; and the successor's low-water mark lies above the
+//! issue time of every key that could have been accepted that way.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,104 +20,105 @@
 use crate::agent::{Agent, lock};
 use crate::control::ControlRequest;
 
-/// How long an order waits for the agent to claim the key's shard.
-const CLAIM_WAIT: Duration = Duration::from_millis(500);
+/// How long a keyed request waits for the claim of its shard.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One shard this agent is home to.
-struct Home {
+/// A shard that this agent is home to.
+struct HomeShard {
     claim: u64,
     ledger: Ledger,
-    /// Counts ended runs, for repeats that wait for the first one's answer.
-    ended: watch::Sender<u64>,
+    /// Number of ended runs; wakes retries that wait for the response of the first run.
+    ended_runs: watch::Sender<u64>,
 }
 
-/// All shards this agent is home to, and who is believed to hold the others.
+/// All shards that this agent is home to, and the last known homes of the others.
 #[derive(Default)]
-pub(crate) struct Homes {
+pub(crate) struct HomeShards {
     lease: Option<HeldLease>,
-    shards: IndexMap<u32, Home>,
-    holders: IndexMap<u32, Arc<str>>,
+    shards: IndexMap<u32, HomeShard>,
+    other_homes: IndexMap<u32, Arc<str>>,
 }
 
-/// A shard that was given up.
-pub(crate) struct Taken {
+/// A shard that this agent has released.
+pub(crate) struct ReleasedShard {
     pub(crate) claim: u64,
     pub(crate) ledger: Ledger,
 }
 
-/// What becomes of a keyed order here.
+/// How this agent handles a keyed request.
 pub(crate) enum KeyedDecision {
-    Run(Recorder),
+    Run(RunRecorder),
     Repeat(Arc<RecordedResponse>),
     Unknown,
     NotHome { home: Arc<str> },
     Refused(Refusal),
 }
 
-/// The duty to record how a run ended.
-pub(crate) struct Recorder {
+/// Records in the shard's ledger how one run of a key ended. One of the methods has to be called
+/// for each run.
+pub(crate) struct RunRecorder {
     shard: u32,
     claim: u64,
     key: u128,
 }
 
-enum Step {
+enum KeyedStep {
     Decided(KeyedDecision),
-    WaitForFirst(watch::Receiver<u64>),
+    AwaitFirstRun(watch::Receiver<u64>),
     Claim,
 }
 
-impl Homes {
-    /// The lease was granted or renewed by a call sent at `sent_ms`.
-    pub(crate) fn lease_confirmed(&mut self, ttl_ms: u64, sent_ms: MonoMs) {
+impl HomeShards {
+    /// Records that the lease was granted or renewed by a call sent at `sent_ms`.
+    pub(crate) fn on_lease_confirmed(&mut self, ttl_ms: u64, sent_ms: MonoMs) {
         match &mut self.lease {
             Some(lease) => lease.on_renewed(sent_ms),
             None => self.lease = Some(HeldLease::granted(ttl_ms, sent_ms)),
         }
     }
 
-    /// Whether the lease is due for renewal.
+    /// Whether the lease is missing or due for renewal.
     pub(crate) fn should_renew(&self, now_ms: MonoMs) -> bool {
         self.lease.is_none_or(|lease| lease.should_renew(now_ms))
     }
 
-    /// The service says that the lease is gone, and with it all shards.
-    pub(crate) fn lease_gone(&mut self) {
+    /// Drops the lease and all shards: the key-value service has reported the lease as expired.
+    pub(crate) fn on_lease_expired(&mut self) {
         self.lease = None;
         self.shards.clear();
     }
 
-    /// The shard is this agent's from now on.
-    pub(crate) fn claimed(&mut self, shard: u32, claim: u64, ledger: Ledger) {
-        self.holders.swap_remove(&shard);
+    /// Adds a shard that this agent has claimed.
+    pub(crate) fn add_claimed(&mut self, shard: u32, claim: u64, ledger: Ledger) {
+        self.other_homes.swap_remove(&shard);
         self.shards.insert(
             shard,
-            Home {
+            HomeShard {
                 claim,
                 ledger,
-                ended: watch::Sender::new(0),
+                ended_runs: watch::Sender::new(0),
             },
         );
     }
 
-    /// Another agent holds the shard.
-    pub(crate) fn held_elsewhere(&mut self, shard: u32, holder: Arc<str>) {
+    /// Records that another agent is home to the shard.
+    pub(crate) fn record_other_home(&mut self, shard: u32, home_agent: Arc<str>) {
         self.shards.swap_remove(&shard);
-        self.holders.insert(shard, holder);
+        self.other_homes.insert(shard, home_agent);
     }
 
-    /// The shards this agent is home to.
-    pub(crate) fn owned(&self) -> Vec<u32> {
+    /// The shards that this agent is home to.
+    pub(crate) fn owned_shards(&self) -> Vec<u32> {
         self.shards.keys().copied().collect()
     }
 
-    /// Gives the shard up if nothing runs in it; nothing new starts then.
-    pub(crate) fn take_idle(&mut self, shard: u32) -> Option<Taken> {
+    /// Releases the shard if no request runs in it; no request can start in it afterwards.
+    pub(crate) fn release_if_idle(&mut self, shard: u32) -> Option<ReleasedShard> {
         let is_idle = !self.shards.get(&shard)?.ledger.has_running_requests();
         match self.shards.entry(shard) {
             indexmap::map::Entry::Occupied(home) if is_idle => {
                 let home = home.swap_remove();
-                Some(Taken {
+                Some(ReleasedShard {
                     claim: home.claim,
                     ledger: home.ledger,
                 })
@@ -128,42 +127,50 @@
         }
     }
 
-    fn step(&mut self, shard: u32, request: KeyedRequest, wall_ms: WallMs, now_ms: MonoMs) -> Step {
-        let holds = self.lease.is_some_and(|lease| lease.is_valid(now_ms));
+    fn next_step(
+        &mut self,
+        shard: u32,
+        request: KeyedRequest,
+        wall_ms: WallMs,
+        now_ms: MonoMs,
+    ) -> KeyedStep {
+        let is_lease_valid = self.lease.is_some_and(|lease| lease.is_valid(now_ms));
         let Some(home) = self.shards.get_mut(&shard) else {
-            return Step::Claim;
+            return KeyedStep::Claim;
         };
         let admission = match home.ledger.lookup(&request) {
             Some(known) => known,
-            None if holds => home.ledger.admit(request, wall_ms),
+            None if is_lease_valid => home.ledger.admit(request, wall_ms),
             None => {
                 let home = Arc::default();
-                return Step::Decided(KeyedDecision::NotHome { home });
+                return KeyedStep::Decided(KeyedDecision::NotHome { home });
             }
         };
         match admission {
-            Admission::Run => Step::Decided(KeyedDecision::Run(Recorder {
+            Admission::Run => KeyedStep::Decided(KeyedDecision::Run(RunRecorder {
                 shard,
                 claim: home.claim,
                 key: request.key,
             })),
-            Admission::InProgress => Step::WaitForFirst(home.ended.subscribe()),
-            Admission::Repeat(answer) => Step::Decided(KeyedDecision::Repeat(answer)),
-            Admission::Unknown => Step::Decided(KeyedDecision::Unknown),
-            Admission::FromFuture => Step::Decided(KeyedDecision::Refused(Refusal::KeyFromFuture)),
-            Admission::Reused => Step::Decided(KeyedDecision::Refused(Refusal::KeyReused)),
+            Admission::InProgress => KeyedStep::AwaitFirstRun(home.ended_runs.subscribe()),
+            Admission::Repeat(response) => KeyedStep::Decided(KeyedDecision::Repeat(response)),
+            Admission::Unknown => KeyedStep::Decided(KeyedDecision::Unknown),
+            Admission::FromFuture => {
+                KeyedStep::Decided(KeyedDecision::Refused(Refusal::KeyFromFuture))
+            }
+            Admission::Reused => KeyedStep::Decided(KeyedDecision::Refused(Refusal::KeyReused)),
         }
     }
 
-    fn ledger_of(&mut self, recorder: &Recorder) -> Option<&mut Home> {
+    fn shard_of_run(&mut self, recorder: &RunRecorder) -> Option<&mut HomeShard> {
         self.shards
             .get_mut(&recorder.shard)
             .filter(|home| home.claim == recorder.claim)
     }
 }
 
-/// Decides a keyed order, waiting for a first run of the same key to end.
-pub(crate) async fn decide(agent: &Arc<Agent>, entry: &str, keyed: &Keyed) -> KeyedDecision {
+/// Decides how to handle a keyed request. Waits for the end of a first run of the same key.
+pub(crate) async fn decide_keyed(agent: &Arc<Agent>, entry: &str, keyed: &Keyed) -> KeyedDecision {
     if entry != &*agent.settings.service {
         return KeyedDecision::Refused(Refusal::NotHome);
     }
@@ -172,64 +179,68 @@
         issued_ms: WallMs(keyed.issued_ms),
         digest: keyed.digest,
     };
-    let mut has_claimed = false;
+    let mut has_requested_claim = false;
     loop {
-        // The wall clock is read before the right is checked. If the process
-        // is frozen in between, the right has lapsed; if it is frozen after
-        // the check, the key was already accepted by the older reading.
+        // The wall clock is read before the lease is checked. If the process freezes between the
+        // two, the check finds the lease expired; if it freezes after the check, the key was
+        // accepted by the earlier wall-clock time.
         let wall_ms = WallMs::now();
         let now_ms = agent.now_ms();
-        let step = lock(&agent.homes).step(keyed.shard, request, wall_ms, now_ms);
+        let step = lock(&agent.home_shards).next_step(keyed.shard, request, wall_ms, now_ms);
         match step {
-            Step::Decided(decision) => return decision,
-            Step::WaitForFirst(mut ended) => {
-                // An error means that the shard was given up: decide anew.
-                let _ = ended.changed().await;
+            KeyedStep::Decided(decision) => return decision,
+            KeyedStep::AwaitFirstRun(mut ended_runs) => {
+                // An error means that the shard was released or lost: decide again.
+                let _ = ended_runs.changed().await;
             }
-            Step::Claim if has_claimed => {
-                let homes = lock(&agent.homes);
-                let home = homes.holders.get(&keyed.shard).cloned().unwrap_or_default();
+            KeyedStep::Claim if has_requested_claim => {
+                let home_shards = lock(&agent.home_shards);
+                let home = home_shards
+                    .other_homes
+                    .get(&keyed.shard)
+                    .cloned()
+                    .unwrap_or_default();
                 return KeyedDecision::NotHome { home };
             }
-            Step::Claim => {
-                has_claimed = true;
-                claim(agent, keyed.shard).await;
+            KeyedStep::Claim => {
+                has_requested_claim = true;
+                request_claim(agent, keyed.shard).await;
             }
         }
     }
 }
 
-async fn claim(agent: &Arc<Agent>, shard: u32) {
+async fn request_claim(agent: &Arc<Agent>, shard: u32) {
     let (done, claimed) = oneshot::channel();
     let request = ControlRequest::Claim { shard, done };
     if agent.control.send(request).is_ok() {
-        let _ = tokio::time::timeout(CLAIM_WAIT, claimed).await;
+        let _ = tokio::time::timeout(CLAIM_TIMEOUT, claimed).await;
     }
 }
 
-impl Recorder {
-    pub(crate) fn finish(self, agent: &Agent, answer: Arc<RecordedResponse>) {
-        self.end(agent, |ledger, key| ledger.finish(key, answer));
+impl RunRecorder {
+    pub(crate) fn finish(self, agent: &Agent, response: Arc<RecordedResponse>) {
+        self.update_ledger(agent, |ledger, key| ledger.finish(key, response));
     }
 
-    pub(crate) fn cut_off(self, agent: &Agent) {
-        self.end(agent, Ledger::mark_interrupted);
+    pub(crate) fn mark_interrupted(self, agent: &Agent) {
+        self.update_ledger(agent, Ledger::mark_interrupted);
     }
 
-    pub(crate) fn withdraw(self, agent: &Agent) {
-        self.end(agent, Ledger::discard_not_run);
+    pub(crate) fn discard_not_run(self, agent: &Agent) {
+        self.update_ledger(agent, Ledger::discard_not_run);
     }
 
-    fn end(self, agent: &Agent, change: impl FnOnce(&mut Ledger, u128)) {
-        let mut homes = lock(&agent.homes);
-        let Some(home) = homes.ledger_of(&self) else {
+    fn update_ledger(self, agent: &Agent, change: impl FnOnce(&mut Ledger, u128)) {
+        let mut home_shards = lock(&agent.home_shards);
+        let Some(home) = home_shards.shard_of_run(&self) else {
             log::warn!(
-                "a run ended after its shard {} was lost; its key stays unknown",
+                "a run ended after its shard {} was lost; the outcome of its key stays unknown",
                 self.shard
             );
             return;
         };
         change(&mut home.ledger, self.key);
-        home.ended.send_modify(|count| *count += 1);
+        home.ended_runs.send_modify(|count| *count += 1);
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,9 @@
-//! The agent beside a target.
+//! The agent that runs beside a target.
 //!
-//! The agent alone gives its target orders. It decides whether an order may
-//! still start ([`berylhook_core::start_gate`]) and, for requests that must
-//! not be repeated, whether it is the one that may run them
-//! ([`berylhook_core::ledger`]). Sockets are a thin shell around those.
+//! The target receives requests from its agent only. The agent decides whether a request may still
+//! start ([`berylhook_core::start_gate`]) and, for requests that must not be retried, whether this
+//! agent may run them ([`berylhook_core::ledger`]). The crate connects these decisions, which do
+//! no I/O, to sockets.
 //!
 //! Two threads: one for control state (leases, load reports, signals), one
 //! for traffic.
@@ -26,7 +26,7 @@
 
 pub use args::{Args, Command};
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until it receives a signal to stop.
 #[must_use]
 pub fn main(args: &Args) -> ExitCode {
     match start(args) {
@@ -40,27 +40,27 @@
 
 fn start(args: &Args) -> anyhow::Result<()> {
     match (&args.command, &args.settings) {
-        (Some(Command::Relay { settings }), _) => relay(settings),
-        (None, Some(settings)) => serve(settings),
-        (None, None) => anyhow::bail!("no settings file is named; give its path"),
+        (Some(Command::Relay { settings }), _) => run_relay(settings),
+        (None, Some(settings)) => run_agent(settings),
+        (None, None) => anyhow::bail!("no settings file is given; pass its path as the argument"),
     }
 }
 
-fn serve(path: &Path) -> anyhow::Result<()> {
-    let text = read(path)?;
+fn run_agent(path: &Path) -> anyhow::Result<()> {
+    let text = read_settings(path)?;
     let settings = AgentSettings::parse(&text).with_context(|| path.display().to_string())?;
     let _logger = start_logger(&settings.logs)?;
     agent::Agent::run(settings)
 }
 
-fn relay(path: &Path) -> anyhow::Result<()> {
-    let text = read(path)?;
+fn run_relay(path: &Path) -> anyhow::Result<()> {
+    let text = read_settings(path)?;
     let settings = RelaySettings::parse(&text).with_context(|| path.display().to_string())?;
     berylhook_logs::start(&settings.log_level)?;
     berylhook_relay::run(&settings)
 }
 
-fn read(path: &Path) -> anyhow::Result<String> {
+fn read_settings(path: &Path) -> anyhow::Result<String> {
     std::fs::read_to_string(path).with_context(|| {
         let shown = path.display();
         format!("{shown} cannot be read; check the path and its permissions")
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs beside each target: takes orders from entries, gives them to the
-//! target, and streams the answers back.
+//! The agent beside a target: receives requests from entries, runs them on the target, and streams
+//! the responses back.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,11 +1,11 @@
-//! One order, from its arrival to the end of its answer.
+//! Runs one request, from its arrival to the end of its response.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use berylhook_backpressure::signal::backoff_ms;
 use berylhook_core::ids::{Incarnation, RequestId};
-use berylhook_core::ledger::RecordedResponse as RecordedAnswer;
+use berylhook_core::ledger::RecordedResponse;
 use berylhook_core::outcome::Refusal;
 use berylhook_core::start_gate::RunCommand;
 use berylhook_core::time::MonoMs;
@@ -17,44 +17,45 @@
 use tokio::sync::{Notify, Semaphore, mpsc};
 use tokio::time::timeout;
 
-use crate::agent::{Agent, Running, lock};
-use crate::home_shards::{KeyedDecision, Recorder, decide};
+use crate::agent::{Agent, RunningRequest, lock};
+use crate::home_shards::{KeyedDecision, RunRecorder, decide_keyed};
 
-/// Body bytes an answer may be ahead of its reader.
+/// Flow-control window: response body bytes that may be sent before the entry grants more credit.
 pub(crate) const INITIAL_CREDIT_BYTES: usize = 256 << 10;
 
-/// Largest body kept for repeats of a keyed request.
-const MAX_KEPT_BODY_BYTES: usize = 64 << 10;
+/// Largest response body that is recorded for retries of a keyed request.
+const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
-/// A target that ends under a run does so within this time of its cancellation, or has been
-/// told that nobody waits.
-const LEFT_COUNTS: Duration = Duration::from_secs(1);
+/// How long after a run was abandoned an exit of the target is still reported to the entry. A
+/// target that exits because of the run does so within this time, or has learnt by then that the
+/// client has disconnected.
+const ABANDONED_RUN_WINDOW: Duration = Duration::from_secs(1);
 
-/// When a refused caller should come back, where nothing better is known.
+/// Retry delay for refused callers where no better estimate is known.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Where the frames of one order go.
+/// Sends the frames of one request to its entry.
 #[derive(Clone)]
-pub(crate) struct Reply {
+pub(crate) struct ReplySender {
     pub(crate) id: RequestId,
     outgoing: mpsc::UnboundedSender<Frame>,
 }
 
-/// The connection to the entry is gone.
-pub(crate) struct EntryGone;
+/// The connection to the entry has closed.
+pub(crate) struct EntryDisconnected;
 
-impl Reply {
-    pub(crate) fn send(&self, kind: Kind) -> Result<(), EntryGone> {
+impl ReplySender {
+    pub(crate) fn send(&self, kind: Kind) -> Result<(), EntryDisconnected> {
         self.outgoing
             .send(frame(self.id, kind))
-            .map_err(|_| EntryGone)
+            .map_err(|_| EntryDisconnected)
     }
 
     pub(crate) fn refuse(&self, refusal: Refusal) {
-        self.refuse_for(refusal, RETRY_AFTER_MS);
+        self.refuse_with_retry_after(refusal, RETRY_AFTER_MS);
     }
 
-    fn refuse_for(&self, refusal: Refusal, retry_after_ms: u64) {
+    fn refuse_with_retry_after(&self, refusal: Refusal, retry_after_ms: u64) {
         let refused = Refused {
             reason: refusal.as_str().to_owned(),
             retry_after_ms,
@@ -83,67 +84,72 @@
     }
 }
 
-/// Decides an order and starts it, or refuses it.
+/// Starts a request, or refuses it.
 pub(crate) fn start(
     agent: &Arc<Agent>,
     id: RequestId,
     start: Start,
     outgoing: &mpsc::UnboundedSender<Frame>,
 ) {
-    let reply = Reply {
+    let reply = ReplySender {
         id,
         outgoing: outgoing.clone(),
     };
     if let Err(refusal) = admit(agent, id, &start) {
-        if !lock(&agent.gate).has_started(id) {
+        if !lock(&agent.start_gate).has_started(id) {
             log::info!("request {id} refused: {}", refusal.as_str());
-            let rest_left_ms = lock(&agent.pressure).backoff_left_ms(agent.now_ms());
-            reply.refuse_for(refusal, rest_left_ms.max(RETRY_AFTER_MS));
+            let backoff_left_ms = lock(&agent.admission_gate).backoff_left_ms(agent.now_ms());
+            reply.refuse_with_retry_after(refusal, backoff_left_ms.max(RETRY_AFTER_MS));
         }
         return;
     }
-    agent.begin();
-    let running = Running {
+    agent.request_started();
+    let running = RunningRequest {
         credit: Arc::new(Semaphore::new(INITIAL_CREDIT_BYTES)),
         cancel: Arc::new(Notify::new()),
-        life: agent.lives.of_a_call(),
+        target_incarnation: agent.target_incarnations.current(),
     };
     lock(&agent.running).insert(id, running.clone());
     let agent = Arc::clone(agent);
     tokio::spawn(async move {
-        serve_order(&agent, start, &reply, &running).await;
-        agent.end(id);
+        run_request(&agent, start, &reply, &running).await;
+        agent.request_ended(id);
     });
 }
 
 fn admit(agent: &Agent, id: RequestId, start: &Start) -> Result<(), Refusal> {
-    let bound = agent.settings.concurrency;
-    if bound > 0 && agent.in_flight() >= bound {
+    let limit = agent.settings.concurrency;
+    if limit > 0 && agent.in_flight() >= limit {
         return Err(Refusal::Busy);
     }
-    // The target asked for rest; another one may take the request.
-    let mut pressure = lock(&agent.pressure);
-    pressure.place();
-    if pressure.admit(agent.now_ms()).is_err() {
+    // During a backoff of this target, another target may take the request.
+    let mut admission_gate = lock(&agent.admission_gate);
+    admission_gate.place();
+    if admission_gate.admit(agent.now_ms()).is_err() {
         return Err(Refusal::Busy);
     }
-    drop(pressure);
-    let order = RunCommand {
+    drop(admission_gate);
+    let command = RunCommand {
         id,
         for_incarnation: Incarnation(start.for_incarnation),
         start_by_ms: MonoMs(start.start_by_ms),
     };
-    lock(&agent.gate).start(order, agent.now_ms())
+    lock(&agent.start_gate).start(command, agent.now_ms())
 }
 
-async fn serve_order(agent: &Arc<Agent>, start: Start, reply: &Reply, running: &Running) {
+async fn run_request(
+    agent: &Arc<Agent>,
+    start: Start,
+    reply: &ReplySender,
+    running: &RunningRequest,
+) {
     let deadline = Duration::from_millis(start.deadline_after_ms);
-    // A keyed run goes on, and tells its own end.
-    let is_left_alone = start.keyed.is_none();
+    // A keyed run continues after a cancellation or the deadline, and reports its own end.
+    let can_be_abandoned = start.keyed.is_none();
     let work = async {
         match start.keyed {
-            Some(keyed) => serve_keyed(agent, start, &keyed, reply, running).await,
-            None => serve_repeatable(agent, start, reply, running).await,
+            Some(keyed) => handle_keyed(agent, start, &keyed, reply, running).await,
+            None => run_unkeyed(agent, start, reply, running).await,
         }
     };
     tokio::select! {
@@ -151,7 +157,7 @@
             if finished.is_err() {
                 log::info!("request {} passed its deadline", reply.id);
                 let _ = reply.send(Kind::End(End {
-                    unsettled: is_left_alone,
+                    unsettled: can_be_abandoned,
                     ..End::default()
                 }));
             } else {
@@ -160,48 +166,61 @@
         }
         () = running.cancel.notified() => log::info!("request {} cancelled", reply.id),
     }
-    if is_left_alone {
-        tokio::spawn(tell_of_end(Arc::clone(agent), reply.clone(), running.life));
+    if can_be_abandoned {
+        tokio::spawn(report_target_exit(
+            Arc::clone(agent),
+            reply.clone(),
+            running.target_incarnation,
+        ));
     }
 }
 
-/// Tells the entry if the target ends under a run for which nobody waits any more.
-async fn tell_of_end(agent: Arc<Agent>, reply: Reply, life: u64) {
-    if agent.lives.ends_within(life, LEFT_COUNTS).await {
-        // The entry may have gone too.
+/// Reports to the entry if the target exits soon after a run was abandoned.
+async fn report_target_exit(agent: Arc<Agent>, reply: ReplySender, target_incarnation: u64) {
+    if agent
+        .target_incarnations
+        .exits_within(target_incarnation, ABANDONED_RUN_WINDOW)
+        .await
+    {
+        // The entry may have disconnected too.
         let _ = reply.send(Kind::End(End {
-            ended_target: agent.name_of_ended(life),
+            ended_target: agent.exited_incarnation_name(target_incarnation),
             ..End::default()
         }));
     }
 }
 
-async fn serve_repeatable(agent: &Arc<Agent>, start: Start, reply: &Reply, running: &Running) {
-    let call = call_of(start, reply.id);
+async fn run_unkeyed(
+    agent: &Arc<Agent>,
+    start: Start,
+    reply: &ReplySender,
+    running: &RunningRequest,
+) {
+    let call = target_call(start, reply.id);
     match agent.target.call(call).await {
-        Ok(answer) => {
-            let mut sender = AnswerSender::new(agent, reply, running);
-            // The entry has gone: dropping the body cancels at the target.
-            let _ = sender.pass_on(answer, None).await;
+        Ok(response) => {
+            let mut sender = ResponseSender::new(agent, reply, running);
+            // If the entry has disconnected, dropping the body cancels the request at the target.
+            let _ = sender.forward(response, None).await;
         }
-        Err(TargetError::Unreachable(why)) => {
-            log::warn!("request {} did not reach the target: {why}", reply.id);
+        Err(TargetError::Unreachable(reason)) => {
+            log::warn!("request {} did not reach the target: {reason}", reply.id);
             reply.refuse(Refusal::TargetUnreachable);
         }
-        Err(error) => fail(agent, reply, running, &error).await,
+        Err(error) => report_failure(agent, reply, running, &error).await,
     }
 }
 
-/// A keyed request goes on even if nobody waits for it any more: its record
-/// must tell the caller's retry what became of it.
-async fn serve_keyed(
+/// Handles a keyed request. A run continues even if the entry cancels it, because the caller's
+/// retry needs the record of its outcome.
+async fn handle_keyed(
     agent: &Arc<Agent>,
     start: Start,
     keyed: &Keyed,
-    reply: &Reply,
-    running: &Running,
+    reply: &ReplySender,
+    running: &RunningRequest,
 ) {
-    match decide(agent, &start.entry, keyed).await {
+    match decide_keyed(agent, &start.entry, keyed).await {
         KeyedDecision::Run(recorder) => {
             let run = run_keyed(
                 Arc::clone(agent),
@@ -210,11 +229,11 @@
                 running.clone(),
                 recorder,
             );
-            // A task of its own, so that neither the deadline nor a cancel
-            // drops the run between its effect and its record.
+            // Runs in a task of its own, so that neither the deadline nor a cancellation drops the
+            // run between its effect and its record.
             let _ = tokio::spawn(run).await;
         }
-        KeyedDecision::Repeat(answer) => repeat_answer(reply, &answer),
+        KeyedDecision::Repeat(response) => send_recorded_response(reply, &response),
         KeyedDecision::Unknown => reply.refuse_unknown(),
         KeyedDecision::NotHome { home } => reply.refuse_not_home(&home),
         KeyedDecision::Refused(refusal) => reply.refuse(refusal),
@@ -224,51 +243,58 @@
 async fn run_keyed(
     agent: Arc<Agent>,
     start: Start,
-    reply: Reply,
-    running: Running,
-    recorder: Recorder,
+    reply: ReplySender,
+    running: RunningRequest,
+    recorder: RunRecorder,
 ) {
-    let call = call_of(start, reply.id);
+    let call = target_call(start, reply.id);
     match agent.target.call(call).await {
-        Ok(answer) => {
-            let mut sender = AnswerSender::new(&agent, &reply, &running);
-            let recorded = sender.pass_on(answer, Some(MAX_KEPT_BODY_BYTES)).await;
+        Ok(response) => {
+            let mut sender = ResponseSender::new(&agent, &reply, &running);
+            let recorded = sender
+                .forward(response, Some(MAX_RECORDED_BODY_BYTES))
+                .await;
             match recorded {
                 Some(recorded) => recorder.finish(&agent, Arc::new(recorded)),
-                None => recorder.cut_off(&agent),
+                None => recorder.mark_interrupted(&agent),
             }
         }
-        Err(TargetError::Unreachable(why)) => {
-            log::warn!("request {} did not reach the target: {why}", reply.id);
-            recorder.withdraw(&agent);
+        Err(TargetError::Unreachable(reason)) => {
+            log::warn!("request {} did not reach the target: {reason}", reply.id);
+            recorder.discard_not_run(&agent);
             reply.refuse(Refusal::TargetUnreachable);
         }
         Err(error) => {
-            recorder.cut_off(&agent);
-            fail(&agent, &reply, &running, &error).await;
+            recorder.mark_interrupted(&agent);
+            report_failure(&agent, &reply, &running, &error).await;
         }
     }
 }
 
-async fn fail(agent: &Agent, reply: &Reply, running: &Running, error: &TargetError) {
+async fn report_failure(
+    agent: &Agent,
+    reply: &ReplySender,
+    running: &RunningRequest,
+    error: &TargetError,
+) {
     log::warn!("request {} failed: {error}", reply.id);
     let _ = reply.send(Kind::End(End {
-        ended_target: agent.ended_target(running.life).await,
+        ended_target: agent.exited_target_name(running.target_incarnation).await,
         ..End::default()
     }));
 }
 
-fn repeat_answer(reply: &Reply, answer: &RecordedAnswer) {
+fn send_recorded_response(reply: &ReplySender, response: &RecordedResponse) {
     let head = Head {
-        status: u32::from(answer.status),
+        status: u32::from(response.status),
         headers: vec![Header {
             name: "content-type".to_owned(),
-            value: Bytes::copy_from_slice(answer.content_type.as_bytes()),
+            value: Bytes::copy_from_slice(response.content_type.as_bytes()),
         }],
         repeated_answer: true,
     };
     let _ = reply.send(Kind::Head(head));
-    let bytes = answer.body.clone().unwrap_or_default();
+    let bytes = response.body.clone().unwrap_or_default();
     let _ = reply.send(Kind::Data(Data {
         seq: 0,
         bytes: bytes.into(),
@@ -281,7 +307,7 @@
     }));
 }
 
-fn call_of(start: Start, id: RequestId) -> Call {
+fn target_call(start: Start, id: RequestId) -> Call {
     let repeatable = start.keyed.is_none();
     let mut headers: Vec<_> = start
         .headers
@@ -315,94 +341,100 @@
     }
 }
 
-/// The status by which a target refuses a request, with when it takes the next one.
-const REFUSED_STATUS: u16 = 503;
+/// Status with which a target asks for backoff, for the time in its `retry-after` header.
+const BACKOFF_STATUS: u16 = 503;
 
-fn note_pressure(agent: &Agent, answer: &TargetResponse) {
+fn update_backoff(agent: &Agent, response: &TargetResponse) {
     let now_ms = agent.now_ms();
-    let retry_after = answer.headers.get("retry-after");
-    let asks_for_rest = retry_after.filter(|_| answer.status == REFUSED_STATUS);
-    let mut pressure = lock(&agent.pressure);
-    let Some(value) = asks_for_rest else {
-        pressure.on_accepted(now_ms);
+    let retry_after = response.headers.get("retry-after");
+    let backoff_header = retry_after.filter(|_| response.status == BACKOFF_STATUS);
+    let mut admission_gate = lock(&agent.admission_gate);
+    let Some(value) = backoff_header else {
+        admission_gate.on_accepted(now_ms);
         return;
     };
-    let rest_ms = backoff_ms(value.as_bytes());
-    // One agent speaks for the target, so its rest needs no spread.
-    if pressure.start_backoff(rest_ms, 0, now_ms) == 0 {
-        log::info!("the target asks for {rest_ms} ms of rest; orders are refused meanwhile");
+    let requested_ms = backoff_ms(value.as_bytes());
+    // This agent is the target's only client, so the backoff needs no jitter.
+    if admission_gate.start_backoff(requested_ms, 0, now_ms) == 0 {
+        log::info!(
+            "the target asks for {requested_ms} ms of backoff; requests are refused meanwhile"
+        );
     }
 }
 
-/// Numbers the frames of an answer and keeps them within the entry's credit.
-struct AnswerSender<'a> {
+/// Sends the numbered frames of a response, within the entry's flow-control credit.
+struct ResponseSender<'a> {
     agent: &'a Agent,
-    reply: &'a Reply,
-    running: &'a Running,
+    reply: &'a ReplySender,
+    running: &'a RunningRequest,
     next_seq: u64,
-    entry_gone: bool,
+    is_entry_disconnected: bool,
 }
 
-impl<'a> AnswerSender<'a> {
-    fn new(agent: &'a Agent, reply: &'a Reply, running: &'a Running) -> Self {
+impl<'a> ResponseSender<'a> {
+    fn new(agent: &'a Agent, reply: &'a ReplySender, running: &'a RunningRequest) -> Self {
         Self {
             agent,
             reply,
             running,
             next_seq: 0,
-            entry_gone: false,
+            is_entry_disconnected: false,
         }
     }
 
-    /// Passes the answer on; gives what to record of it if it was whole.
+    /// Forwards the response, and returns the record of it if it is complete.
     ///
-    /// With `keep_bytes` the answer is read to its end even when the entry
-    /// has gone; without, reading stops then.
-    async fn pass_on(
+    /// With `record_limit_bytes`, the response is read to its end even if the entry disconnects,
+    /// and a body up to that size is recorded. Otherwise reading stops when the entry disconnects.
+    async fn forward(
         &mut self,
-        mut answer: TargetResponse,
-        keep_bytes: Option<usize>,
-    ) -> Option<RecordedAnswer> {
-        self.agent.lives.on_answer(self.running.life);
-        note_pressure(self.agent, &answer);
-        let content_type = content_type(&answer);
+        mut response: TargetResponse,
+        record_limit_bytes: Option<usize>,
+    ) -> Option<RecordedResponse> {
+        self.agent
+            .target_incarnations
+            .on_response(self.running.target_incarnation);
+        update_backoff(self.agent, &response);
+        let content_type = content_type(&response);
         let mut splitter = content_type
             .starts_with("text/event-stream")
             .then(EventSplitter::default);
-        self.send(Kind::Head(head(&answer)));
-        let mut kept = Vec::new();
-        let mut is_kept = true;
+        self.send(Kind::Head(head(&response)));
+        let mut recorded_body = Vec::new();
+        let mut is_recordable = true;
         loop {
-            match answer.body.next_chunk().await {
+            match response.body.next_chunk().await {
                 Ok(Some(chunk)) => {
-                    is_kept &= keep_bytes.is_some_and(|most| kept.len() + chunk.len() <= most);
-                    if is_kept {
-                        kept.extend_from_slice(&chunk);
+                    is_recordable &= record_limit_bytes.is_some_and(|limit_bytes| {
+                        recorded_body.len() + chunk.len() <= limit_bytes
+                    });
+                    if is_recordable {
+                        recorded_body.extend_from_slice(&chunk);
                     }
                     self.send_chunk(&chunk, splitter.as_mut()).await;
-                    if self.entry_gone && keep_bytes.is_none() {
+                    if self.is_entry_disconnected && record_limit_bytes.is_none() {
                         return None;
                     }
                 }
                 Ok(None) => break,
                 Err(error) => {
                     log::warn!("request {}: {error}", self.reply.id);
-                    self.break_off().await;
+                    self.send_interrupted_end().await;
                     return None;
                 }
             }
         }
-        if let Some(rest) = splitter
+        if let Some(remaining) = splitter
             .map(EventSplitter::into_remainder)
-            .filter(|rest| !rest.is_empty())
+            .filter(|remaining| !remaining.is_empty())
         {
-            self.send_data(rest, 0).await;
+            self.send_data(remaining, 0).await;
         }
-        self.end();
-        Some(RecordedAnswer {
-            status: answer.status,
+        self.send_complete_end();
+        Some(RecordedResponse {
+            status: response.status,
             content_type,
-            body: is_kept.then_some(kept),
+            body: is_recordable.then_some(recorded_body),
         })
     }
 
@@ -418,15 +450,15 @@
     }
 
     async fn send_data(&mut self, bytes: Bytes, events: u32) {
-        if self.entry_gone || bytes.is_empty() {
+        if self.is_entry_disconnected || bytes.is_empty() {
             return;
         }
-        // A chunk larger than the window would wait for ever, so it is cut.
-        let mut rest = bytes;
-        while !rest.is_empty() {
-            let part = rest.split_to(rest.len().min(INITIAL_CREDIT_BYTES / 4));
-            let part_events = if rest.is_empty() { events } else { 0 };
-            if !self.take_credit(part.len()).await {
+        // A chunk larger than the window would wait for credit forever, so it is split.
+        let mut remaining = bytes;
+        while !remaining.is_empty() {
+            let part = remaining.split_to(remaining.len().min(INITIAL_CREDIT_BYTES / 4));
+            let part_events = if remaining.is_empty() { events } else { 0 };
+            if !self.acquire_credit(part.len()).await {
                 return;
             }
             let seq = self.next_seq;
@@ -439,8 +471,8 @@
         }
     }
 
-    /// Waits until the entry can take `bytes`; false once it has gone.
-    async fn take_credit(&mut self, bytes: usize) -> bool {
+    /// Waits for credit for `bytes`; returns false if the entry has disconnected.
+    async fn acquire_credit(&mut self, bytes: usize) -> bool {
         let bytes = u32::try_from(bytes).expect("parts are smaller than the window");
         tokio::select! {
             permit = self.running.credit.acquire_many(bytes) => match permit {
@@ -451,13 +483,13 @@
                 Err(_) => false,
             },
             () = self.reply.outgoing.closed() => {
-                self.entry_gone = true;
+                self.is_entry_disconnected = true;
                 false
             }
         }
     }
 
-    fn end(&mut self) {
+    fn send_complete_end(&mut self) {
         self.send(Kind::End(End {
             frames: self.next_seq,
             whole: true,
@@ -465,8 +497,11 @@
         }));
     }
 
-    async fn break_off(&mut self) {
-        let ended_target = self.agent.ended_target(self.running.life).await;
+    async fn send_interrupted_end(&mut self) {
+        let ended_target = self
+            .agent
+            .exited_target_name(self.running.target_incarnation)
+            .await;
         self.send(Kind::End(End {
             frames: self.next_seq,
             ended_target,
@@ -476,13 +511,13 @@
 
     fn send(&mut self, kind: Kind) {
         if self.reply.send(kind).is_err() {
-            self.entry_gone = true;
+            self.is_entry_disconnected = true;
         }
     }
 }
 
-fn content_type(answer: &TargetResponse) -> String {
-    answer
+fn content_type(response: &TargetResponse) -> String {
+    response
         .headers
         .get("content-type")
         .and_then(|value| value.to_str().ok())
@@ -490,7 +525,7 @@
         .to_owned()
 }
 
-/// Headers that belong to the connection to the target, not to the answer.
+/// Headers that describe the connection to the target, not the response.
 const CONNECTION_HEADERS: [&str; 5] = [
     "connection",
     "keep-alive",
@@ -499,8 +534,8 @@
     "upgrade",
 ];
 
-fn head(answer: &TargetResponse) -> Head {
-    let headers = answer
+fn head(response: &TargetResponse) -> Head {
+    let headers = response
         .headers
         .iter()
         .filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()))
@@ -510,7 +545,7 @@
         })
         .collect();
     Head {
-        status: u32::from(answer.status),
+        status: u32::from(response.status),
         headers,
         repeated_answer: false,
     }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -17,8 +17,8 @@
 use crate::agent::{Agent, lock};
 use crate::run;
 
-/// Frames taken into one record.
-const BATCH_FRAMES: usize = 256;
+/// Maximum number of frames that are written in one record.
+const MAX_BATCH_FRAMES: usize = 256;
 
 /// Accepts connections until the agent has drained.
 pub(crate) async fn serve(agent: Arc<Agent>) -> anyhow::Result<()> {
@@ -31,42 +31,42 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    tokio::spawn(connection(Arc::clone(&agent), stream));
+                    tokio::spawn(handle_connection(Arc::clone(&agent), stream));
                 }
                 Err(error) => log::warn!("a connection could not be accepted: {error}"),
             },
-            // Revokes and pings are still answered while draining, so the
-            // listener stays open until the control thread says all is done.
+            // Revokes and pings are still answered while the agent drains, so the listener stays
+            // open until the control thread signals that the drain is complete.
             _ = stopping.wait_for(|stopping| *stopping) => return Ok(()),
         }
     }
 }
 
-async fn connection(agent: Arc<Agent>, stream: TcpStream) {
+async fn handle_connection(agent: Arc<Agent>, stream: TcpStream) {
     let name = Arc::clone(&agent.settings.node.name);
     match berylhook_peer::accept(stream, &agent.keys, &name, agent.incarnation).await {
-        Ok(peer) => converse(agent, peer).await,
-        Err(error) => log::warn!("a connection was refused: {error}"),
+        Ok(peer) => serve_entry(agent, peer).await,
+        Err(error) => log::warn!("the handshake of a connection failed: {error}"),
     }
 }
 
-async fn converse(agent: Arc<Agent>, peer: PeerConnection) {
+async fn serve_entry(agent: Arc<Agent>, peer: PeerConnection) {
     let entry = Arc::clone(&peer.name);
     log::info!("entry {entry} has connected");
     let (mut reader, writer) = berylhook_peer::split(peer);
     let (outgoing, queue) = mpsc::unbounded_channel();
-    let writing = tokio::spawn(write_loop(writer, queue));
+    let write_task = tokio::spawn(write_loop(writer, queue));
     let error = read_loop(&agent, &mut reader, &outgoing).await;
-    // Orders of this connection notice on their next frame that it is gone.
-    writing.abort();
+    // Requests of this connection notice on their next frame that it has closed.
+    write_task.abort();
     log::info!("entry {entry} has disconnected: {error}");
 }
 
 async fn write_loop(mut writer: FrameWriter, mut queue: mpsc::UnboundedReceiver<Frame>) {
     let mut frames = Vec::new();
-    while queue.recv_many(&mut frames, BATCH_FRAMES).await > 0 {
+    while queue.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
         if let Err(error) = writer.send(&mut frames).await {
-            log::info!("a connection cannot be written to: {error}");
+            log::info!("writing to a connection failed: {error}");
             return;
         }
     }
@@ -81,7 +81,7 @@
         match reader.next().await {
             Ok(frames) => {
                 for received in frames {
-                    handle(agent, received, outgoing);
+                    handle_frame(agent, received, outgoing);
                 }
             }
             Err(error) => return error,
@@ -89,13 +89,13 @@
     }
 }
 
-fn handle(agent: &Arc<Agent>, received: Frame, outgoing: &mpsc::UnboundedSender<Frame>) {
+fn handle_frame(agent: &Arc<Agent>, received: Frame, outgoing: &mpsc::UnboundedSender<Frame>) {
     let id = request_id(&received);
     match received.kind {
         Some(Kind::Start(start)) => run::start(agent, id, start, outgoing),
         Some(Kind::Revoke(revoke)) => {
-            let answer = on_revoke(agent, id, &revoke);
-            let _ = outgoing.send(frame(id, Kind::Revoked(answer)));
+            let reply = on_revoke(agent, id, &revoke);
+            let _ = outgoing.send(frame(id, Kind::Revoked(reply)));
         }
         Some(Kind::Cancel(_)) => {
             if let Some(running) = lock(&agent.running).get(&id) {
@@ -111,8 +111,8 @@
             let _ = outgoing.send(frame(id, Kind::Pong(on_ping(agent, ping))));
         }
         Some(Kind::Digest(digest)) => {
-            let answer = on_digest(agent, &digest);
-            let _ = outgoing.send(frame(id, Kind::DigestAnswer(answer)));
+            let reply = on_digest(agent, &digest);
+            let _ = outgoing.send(frame(id, Kind::DigestAnswer(reply)));
         }
         Some(Kind::Catalogue(catalogue)) => on_catalogue(agent, &catalogue),
         Some(Kind::Want(want)) => {
@@ -124,14 +124,14 @@
 }
 
 fn on_revoke(agent: &Agent, id: RequestId, revoke: &Revoke) -> Revoked {
-    let order = RunCommand {
+    let command = RunCommand {
         id,
         for_incarnation: Incarnation(revoke.for_incarnation),
         start_by_ms: MonoMs(revoke.start_by_ms),
     };
-    let answer = lock(&agent.gate).revoke(order, agent.now_ms());
-    log::info!("request {id} revoked: {answer:?}");
-    answer.into()
+    let reply = lock(&agent.start_gate).revoke(command, agent.now_ms());
+    log::info!("request {id} revoked: {reply:?}");
+    reply.into()
 }
 
 fn on_ping(agent: &Agent, ping: Ping) -> Pong {
@@ -145,13 +145,13 @@
             running: sample.report.running,
             waiting: sample.report.waiting,
             slots: sample.report.slots,
-            age_ms: now_ms.since(sample.taken_ms),
+            age_ms: now_ms.since(sample.received_ms),
         }),
     }
 }
 
-/// The agent keeps the whole catalogue, so that entries that all restart
-/// during an outage of the key-value service get it back from the agents.
+/// Merges catalogue documents. The agent stores the whole catalogue, so that entries can recover
+/// it from the agents if all entries restart during an outage of the key-value service.
 fn on_catalogue(agent: &Agent, catalogue: &Catalogue) {
     let mut documents = lock(&agent.documents);
     for document in &catalogue.documents {
@@ -159,7 +159,7 @@
             Ok(id) => {
                 documents.offer(id, document.version, document.body.as_str().into());
             }
-            Err(error) => log::warn!("a catalogue document is left out: {error}"),
+            Err(error) => log::warn!("a catalogue document was ignored: {error}"),
         }
     }
 }
--- a/crates/agent/src/target_incarnation.rs
+++ b/crates/agent/src/target_incarnation.rs
@@ -1,12 +1,13 @@
-//! The lives of the target beside the agent.
+//! Incarnations of the target process beside the agent.
 //!
-//! A life ends when nobody listens at the target's address any more. All requests that run
-//! at that moment end with it, and one of them may be the reason. Entries merge what several
-//! of them lost by the name of the life, so each run is put down to the life in which it
-//! began, also where the next has begun by the time the loss is noticed.
+//! An incarnation ends when no process listens at the target's address any more. All requests that
+//! run at that moment fail with it, and one of them may be the cause. Several entries may lose
+//! requests by one exit and merge their reports by the incarnation's name. So each run belongs to
+//! the incarnation in which it started, even if the next incarnation has started by the time the
+//! loss is noticed.
 //!
-//! A target that starts again before anybody finds its address without one goes on with its
-//! former life; what ended with it is laid to nobody.
+//! If a target restarts before the agent finds that its address refuses connections, the
+//! incarnation continues, and the exit is attributed to no request.
 
 use std::time::Duration;
 
@@ -14,52 +15,54 @@
 use tokio::time::timeout;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct State {
+struct IncarnationState {
     number: u64,
-    has_ended: bool,
+    has_exited: bool,
 }
 
-/// The lives of one target, numbered from the start of the agent.
-pub(crate) struct Lives(watch::Sender<State>);
+/// The incarnations of one target, numbered from the start of the agent.
+pub(crate) struct TargetIncarnations(watch::Sender<IncarnationState>);
 
-impl Lives {
+impl TargetIncarnations {
     pub(crate) fn new() -> Self {
-        Self(watch::Sender::new(State::default()))
+        Self(watch::Sender::new(IncarnationState::default()))
     }
 
-    /// The life in which a call that begins now runs.
-    pub(crate) fn of_a_call(&self) -> u64 {
+    /// The incarnation in which a call that starts now runs.
+    pub(crate) fn current(&self) -> u64 {
         let state = *self.0.borrow();
-        state.number + u64::from(state.has_ended)
+        state.number + u64::from(state.has_exited)
     }
 
-    /// The target answered a call of that life.
-    pub(crate) fn on_answer(&self, life: u64) {
-        self.set(State {
-            number: life,
-            has_ended: false,
+    /// Records that the target responded to a call in this incarnation.
+    pub(crate) fn on_response(&self, incarnation: u64) {
+        self.set(IncarnationState {
+            number: incarnation,
+            has_exited: false,
         });
     }
 
-    /// Nobody listens any more after a call of that life.
-    pub(crate) fn on_end(&self, life: u64) {
-        self.set(State {
-            number: life,
-            has_ended: true,
+    /// Records that the target has exited after a call in this incarnation.
+    pub(crate) fn on_exit(&self, incarnation: u64) {
+        self.set(IncarnationState {
+            number: incarnation,
+            has_exited: true,
         });
     }
 
-    /// Nobody listens any more, noticed without a call.
-    pub(crate) fn on_nobody(&self) {
-        // The state must not be borrowed any more when it is set.
+    /// Records that the target's address refused a probe, so that the current incarnation has
+    /// exited.
+    pub(crate) fn on_connection_refused(&self) {
+        // The borrow has to end before `on_exit` modifies the channel, or it would deadlock.
         let number = self.0.borrow().number;
-        self.on_end(number);
+        self.on_exit(number);
     }
 
-    /// Lives and their ends come in order; what is older is known.
-    fn set(&self, next: State) {
+    /// Applies a state that is newer than the current one. Starts and exits of incarnations
+    /// alternate in ascending order, so an older state adds nothing.
+    fn set(&self, next: IncarnationState) {
         self.0.send_if_modified(|state| {
-            let is_newer = (next.number, next.has_ended) > (state.number, state.has_ended);
+            let is_newer = (next.number, next.has_exited) > (state.number, state.has_exited);
             if is_newer {
                 *state = next;
             }
@@ -67,21 +70,21 @@
         });
     }
 
-    pub(crate) fn has_ended(&self, life: u64) -> bool {
+    pub(crate) fn has_exited(&self, incarnation: u64) -> bool {
         let state = *self.0.borrow();
-        state.number > life || (state.number == life && state.has_ended)
+        state.number > incarnation || (state.number == incarnation && state.has_exited)
     }
 
-    /// Waits for the end of a life; returns whether it came in time.
-    pub(crate) async fn ends_within(&self, life: u64, bound: Duration) -> bool {
+    /// Waits for the incarnation to exit; returns whether it did so within `limit`.
+    pub(crate) async fn exits_within(&self, incarnation: u64, limit: Duration) -> bool {
         let mut states = self.0.subscribe();
-        let ended = async {
-            while !self.has_ended(life) {
+        let exited = async {
+            while !self.has_exited(incarnation) {
                 if states.changed().await.is_err() {
                     return;
                 }
             }
         };
-        timeout(bound, ended).await.is_ok()
+        timeout(limit, exited).await.is_ok()
     }
 }
--- a/crates/agent/tests/relay.rs
+++ b/crates/agent/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The agent beside a model engine, as a real process.
+//! The relay agent of a model engine, as a real process.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
     )
 }
 
-// Symptom: all agents end by themselves at one moment. Sequence: the platform
-// changes the settings and sends SIGHUP to every process. Cause: the signal was
-// left to its default, which ends a process.
+// Guards against all relay agents exiting at once: the platform sends SIGHUP to every process when
+// it changes the settings, and the default action of an unhandled SIGHUP ends the process.
 #[tokio::test]
-async fn a_reload_does_not_end_the_agent() {
-    let mut agent = Daemon::start("berylhook-agent", &["relay"], &settings()).expect("it starts");
+async fn sighup_does_not_end_the_agent() {
+    let mut agent =
+        Daemon::start("berylhook-agent", &["relay"], &settings()).expect("the agent starts");
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     agent.signal(Signal::Reload);
@@ -25,5 +25,5 @@
 
     assert!(!agent.has_exited());
     agent.signal(Signal::Terminate);
-    assert_eq!(agent.wait().expect("it ends by itself"), 0);
+    assert_eq!(agent.wait().expect("the agent exits after SIGTERM"), 0);
 }
