--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -1,57 +1,55 @@
-//! Counts as an agent sends them to a leader: what was added since the last
-//! snapshot, where both have it.
+//! Delta encoding of the expert counts that an agent sends to a leader.
 //!
-//! Counts only grow, and hardly any number of a group of many ranks changes by
-//! more than a few between two readings. Sent whole, they were most of what
-//! went between data centres.
+//! Counts only grow, and in a group of many ranks hardly any count changes by more than a few
+//! between two polls. Sent in full, counts made up most of the traffic between data centres.
 //!
-//! Each snapshot has a number. A leader says which one it has; the agent sends
-//! the difference if that is the last one it sent, and the whole otherwise: to
-//! another leader, after an answer that was lost, after either has started
-//! anew, and when the engine has, since its counts then begin at zero.
+//! Each snapshot has an ID. A leader requests the delta since the snapshot that it has. The
+//! agent sends a delta if that is the last snapshot it sent, and all counts otherwise: to
+//! another leader, after a lost reply, after a restart of the agent or the leader, and after a
+//! restart of the engine, whose counts then start at zero.
 
 use berylhook_experts::demand::RankCounts;
 use berylhook_experts::switching::{Epoch, Pass};
 use serde::{Deserialize, Serialize};
 
-/// The number of one snapshot.
+/// ID of a snapshot of the counts.
 ///
-/// An agent's first one is random: one that starts anew must not take another
-/// snapshot for one of its own.
+/// An agent's first ID is random, so that a restarted agent does not mistake a snapshot of its
+/// predecessor for one of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotId(pub u64);
 
-/// Which counts a leader wants.
+/// Which counts a leader requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CountsRequest {
-    /// None.
+    /// No counts.
     #[default]
     Nothing,
-    /// The whole.
+    /// All counts.
     #[serde(rename = "Whole")]
     Full,
-    /// What was added since this snapshot, or else the whole.
+    /// The delta since this snapshot, or all counts if the agent cannot compute the delta.
     Since(SnapshotId),
 }
 
-/// Counts as they are sent.
+/// Counts as sent to a leader: all counts, or a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountsUpdate {
-    /// This snapshot.
+    /// Snapshot that the leader has after it has applied this update.
     pub snapshot: SnapshotId,
-    /// The snapshot to which `counts` have to be added; `None` if they are whole.
+    /// Snapshot to which `counts` is a delta; `None` if `counts` has all counts.
     pub base: Option<SnapshotId>,
-    /// Unix time of the engine's start in milliseconds, if it tells it.
+    /// Unix time of the engine's start in milliseconds, if the engine reports it.
     pub started_unix_ms: Option<u64>,
-    /// The last pass counted.
+    /// The last forward pass counted.
     pub pass: Pass,
-    /// The group's life.
+    /// Epoch of the engine's group.
     pub epoch: Epoch,
-    /// Choices by expert, set after set.
+    /// How often each expert was chosen, ordered by layer set.
     pub counts: Vec<u64>,
 }
 
-/// The agent's side: remembers what it sent last.
+/// Encoder of the agent; keeps the last snapshot sent.
 #[derive(Debug)]
 pub struct CountsEncoder {
     next: SnapshotId,
@@ -59,7 +57,7 @@
 }
 
 impl CountsEncoder {
-    /// Nothing sent yet; the first snapshot has the number `first`.
+    /// Creates an encoder whose first snapshot gets the ID `first`.
     #[must_use]
     pub fn new(first: u64) -> Self {
         Self {
@@ -68,75 +66,79 @@
         }
     }
 
-    /// Encodes `now` as it was asked for; `None` if no counts were.
-    pub fn encode(&mut self, now: RankCounts, request: CountsRequest) -> Option<CountsUpdate> {
+    /// Encodes the current counts as requested; `None` if no counts were requested.
+    pub fn encode(&mut self, current: RankCounts, request: CountsRequest) -> Option<CountsUpdate> {
         let snapshot = self.next;
-        let difference = match request {
+        let delta = match request {
             CountsRequest::Nothing => return None,
             CountsRequest::Full => None,
-            CountsRequest::Since(base) => self.difference(base, &now),
+            CountsRequest::Since(base) => self.delta(base, &current),
         };
         let update = CountsUpdate {
             snapshot,
-            base: difference.as_ref().map(|(base, _)| *base),
-            started_unix_ms: now.started_unix_ms,
-            pass: now.pass,
-            epoch: now.epoch,
-            counts: difference.map_or_else(|| now.counts.clone(), |(_, counts)| counts),
+            base: delta.as_ref().map(|(base, _)| *base),
+            started_unix_ms: current.started_unix_ms,
+            pass: current.pass,
+            epoch: current.epoch,
+            counts: delta.map_or_else(|| current.counts.clone(), |(_, counts)| counts),
         };
         self.next = SnapshotId(snapshot.0.wrapping_add(1));
-        self.last = Some((snapshot, now));
+        self.last = Some((snapshot, current));
         Some(update)
     }
 
-    fn difference(&self, base: SnapshotId, now: &RankCounts) -> Option<(SnapshotId, Vec<u64>)> {
+    fn delta(&self, base: SnapshotId, current: &RankCounts) -> Option<(SnapshotId, Vec<u64>)> {
         let (_, last) = self.last.as_ref().filter(|(sent, _)| *sent == base)?;
-        if !now.is_continuation_of(last) || last.counts.len() != now.counts.len() {
+        if !current.is_continuation_of(last) || last.counts.len() != current.counts.len() {
             return None;
         }
-        let pairs = now.counts.iter().zip(&last.counts);
-        let added: Option<Vec<u64>> = pairs.map(|(now, last)| now.checked_sub(*last)).collect();
-        Some((base, added?))
+        let pairs = current.counts.iter().zip(&last.counts);
+        let increments: Option<Vec<u64>> = pairs
+            .map(|(current, last)| current.checked_sub(*last))
+            .collect();
+        Some((base, increments?))
     }
 }
 
-/// The leader's side: what one agent sent last, as a whole.
+/// Decoder of the leader; keeps the last counts of one agent in full.
 #[derive(Debug, Default)]
 pub struct CountsDecoder {
     last: Option<(SnapshotId, RankCounts)>,
 }
 
 impl CountsDecoder {
-    /// What to ask for.
+    /// The request to send for the next update.
     #[must_use]
     pub fn request(&self) -> CountsRequest {
-        let known = self.last.as_ref();
-        known.map_or(CountsRequest::Full, |(snapshot, _)| {
+        let last = self.last.as_ref();
+        last.map_or(CountsRequest::Full, |(snapshot, _)| {
             CountsRequest::Since(*snapshot)
         })
     }
 
-    /// Takes in an update and gives the whole; `None` if it goes on from a
-    /// snapshot that is not known here, so that the whole is asked for next.
+    /// Applies an update and returns all counts. Returns `None` if the update is a delta to an
+    /// unknown snapshot; [`Self::request`] then requests all counts.
     pub fn decode(&mut self, update: CountsUpdate) -> Option<RankCounts> {
-        let before = self.last.take();
-        let counts = match (update.base, before) {
+        let previous = self.last.take();
+        let counts = match (update.base, previous) {
             (None, _) => update.counts,
-            (Some(base), Some((known, last))) if base == known => sum(&last.counts, &update.counts),
+            (Some(base), Some((last_id, last))) if base == last_id => {
+                sum(&last.counts, &update.counts)
+            }
             (Some(_), _) => return None,
         };
-        let whole = RankCounts {
+        let full = RankCounts {
             started_unix_ms: update.started_unix_ms,
             pass: update.pass,
             epoch: update.epoch,
             counts,
         };
-        self.last = Some((update.snapshot, whole.clone()));
-        Some(whole)
+        self.last = Some((update.snapshot, full.clone()));
+        Some(full)
     }
 }
 
-fn sum(last: &[u64], added: &[u64]) -> Vec<u64> {
-    let pairs = last.iter().zip(added);
-    pairs.map(|(last, added)| last + added).collect()
+fn sum(last: &[u64], increments: &[u64]) -> Vec<u64> {
+    let pairs = last.iter().zip(increments);
+    pairs.map(|(last, increments)| last + increments).collect()
 }
--- a/crates/relay/src/fencing.rs
+++ b/crates/relay/src/fencing.rs
@@ -1,4 +1,4 @@
-//! The highest fencing number that the agent knows.
+//! The highest fencing token that the agent knows, by which it refuses previous leaders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,31 +10,34 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-/// Wait before the store is asked again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Mean delay before the store is read again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Where an agent tells others what it knows.
-pub(crate) const FENCE_PATH: &str = "/fence";
+/// Path at which an agent reports its [`FencingTokenState`] to other agents.
+pub(crate) const FENCING_TOKEN_PATH: &str = "/fence";
 
-/// Time for another agent's answer, within the time that a leader gives this one.
+/// Timeout of a call to another agent. It has to fit into the timeout of the leader's call to
+/// this agent.
 const PEER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Digits of a fencing number within one era of the store: sixteen million elections with
-/// their transfers.
+/// Bits of a fencing token within one era of the store: sixteen million elections with their
+/// transfers of leadership.
 const ERA_SHIFT: u32 = 30;
 
-/// Below every fencing number of leaders elected in that era, above all of former ones.
+/// Lower bound of the fencing tokens of an era: below every token of the leaders elected in that
+/// era, above all tokens of previous eras.
 #[must_use]
 pub fn era_base_token(era: u64) -> u64 {
     era << ERA_SHIFT
 }
 
-/// The key under which a service's leaders of an era leave their fencing number. It has
-/// no lease: it has to outlast its leader.
+/// Key under which the leaders of a service store their fencing token in an era. The key is
+/// bound to no lease, because it has to outlive the leader.
 ///
-/// Each era has its own. A restored store gives revisions out again, so a write that was
-/// sent before may find its condition to hold by chance; under one key for all eras it would
-/// put a former number in place of a newer one, which would then be taken twice.
+/// Each era has its own key. A restored store assigns the same revisions again, so the condition
+/// of a write that was sent before the restore may hold by chance. With one key for all eras,
+/// that write would replace a newer token by an older one, and the newer token would then be
+/// assigned twice.
 #[must_use]
 pub fn fencing_token_key(service: &str, era: u64) -> Arc<str> {
     match era {
@@ -43,136 +46,144 @@
     }
 }
 
-/// What an agent knows, told to another that starts while the store is away.
+/// What an agent knows of the fencing token, as reported to an agent that starts while the store
+/// is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct FenceState {
-    /// The highest fencing number that it knows.
-    pub(crate) number: u64,
-    /// Whether it has read the store's number itself.
-    pub(crate) is_first_hand: bool,
+pub(crate) struct FencingTokenState {
+    /// The highest fencing token that the agent knows.
+    #[serde(rename = "number")]
+    pub(crate) token: u64,
+    /// Whether the agent has read the token from the store itself.
+    #[serde(rename = "is_first_hand")]
+    pub(crate) is_read_from_store: bool,
 }
 
-/// The highest fencing number known, and where from.
+/// Refuses leaders whose fencing token is lower than the highest one known.
 #[derive(Debug, Default)]
 pub struct FencingGuard {
-    highest: AtomicU64,
-    /// Whether the store's number was read.
-    is_learnt: AtomicBool,
-    /// Whether an agent that has read it has told its own.
-    is_learnt_from_peer: AtomicBool,
+    highest_token: AtomicU64,
+    /// Whether this agent has read the token from the store.
+    is_read_from_store: AtomicBool,
+    /// Whether another agent that has read the token from the store has reported it.
+    is_received_from_peer: AtomicBool,
 }
 
 impl FencingGuard {
-    /// Lets a leader with that number through and remembers it.
+    /// Accepts a leader with this token, and remembers the token, unless a higher one is known.
     ///
     /// # Errors
     ///
-    /// The higher number known, if there is one.
-    pub fn check(&self, number: u64) -> Result<(), u64> {
-        let highest = self.highest.fetch_max(number, Ordering::SeqCst);
-        if highest > number {
-            return Err(highest);
+    /// The higher token, if one is known.
+    pub fn check(&self, token: u64) -> Result<(), u64> {
+        let previous = self.highest_token.fetch_max(token, Ordering::SeqCst);
+        if previous > token {
+            return Err(previous);
         }
         Ok(())
     }
 
-    /// Takes up what the store keeps in that era; gives the number that leaders need at
-    /// least.
+    /// Applies the token that the store has in an era. Returns the lowest token that a leader
+    /// needs from now on.
     ///
-    /// After a restore the store may keep the number of a leader that was succeeded since
-    /// the copy. So the leaders of former eras are all refused, and the one that still acts
-    /// is elected anew.
-    pub fn on_stored_token(&self, kept: u64, era: u64) -> u64 {
-        let number = kept.max(era_base_token(era));
-        self.highest.fetch_max(number, Ordering::SeqCst);
-        self.is_learnt.store(true, Ordering::SeqCst);
-        number
+    /// After a restore, the store may have the token of a leader that was succeeded after the copy
+    /// was made. So all leaders of previous eras are refused, and the one that is still active has
+    /// to be elected again.
+    pub fn on_stored_token(&self, stored: u64, era: u64) -> u64 {
+        let token = stored.max(era_base_token(era));
+        self.highest_token.fetch_max(token, Ordering::SeqCst);
+        self.is_read_from_store.store(true, Ordering::SeqCst);
+        token
     }
 
-    /// Whether orders may be relayed: enough is known to refuse a former leader's.
+    /// Whether commands may be relayed: the token known is high enough to refuse previous leaders.
     pub fn may_relay_commands(&self) -> bool {
-        self.is_learnt.load(Ordering::SeqCst) || self.is_learnt_from_peer.load(Ordering::SeqCst)
+        self.is_read_from_store.load(Ordering::SeqCst)
+            || self.is_received_from_peer.load(Ordering::SeqCst)
     }
 
-    /// What this agent knows, for another.
-    pub(crate) fn state(&self) -> FenceState {
-        FenceState {
-            number: self.highest.load(Ordering::SeqCst),
-            is_first_hand: self.is_learnt.load(Ordering::SeqCst),
+    /// The state to report to another agent.
+    pub(crate) fn state(&self) -> FencingTokenState {
+        FencingTokenState {
+            token: self.highest_token.load(Ordering::SeqCst),
+            is_read_from_store: self.is_read_from_store.load(Ordering::SeqCst),
         }
     }
 
-    /// Asks agents beside other ranks of the group until one has read the store's
-    /// number itself.
+    /// Queries the agents of other ranks of the group until one reports a token that it has read
+    /// from the store itself.
     ///
-    /// An agent that started while the store was away relayed nothing until it
-    /// was back, and with it no rank of its group could change its map: six
-    /// seconds of passes twice as long were seen. A leader decides nothing before
-    /// every agent has answered it, so whoever has run since knows the number of
-    /// every leader that acts. Second-hand knowledge does not count: two agents
-    /// that start in turn would tell each other what neither has seen.
+    /// Without this, an agent that starts while the store is unavailable relays no commands until
+    /// the store is back, and no rank of the agent's group can switch its expert map: six seconds
+    /// of passes that took twice as long were observed. A leader makes no decision before every
+    /// agent has replied to it, so an agent that has been running since then knows the token of
+    /// every active leader. A token that an agent has received from a peer does not count: two
+    /// agents that start one after the other would report to each other a token that neither has
+    /// read.
     pub(crate) async fn learn_from_peers(&self, peer_agents: &[SocketAddr]) {
         for peer in peer_agents {
-            let call = Call::get(FENCE_PATH.to_owned(), PEER_TIMEOUT);
-            match Connection::new(*peer).call_json::<FenceState>(call).await {
-                Ok(state) if state.is_first_hand => {
-                    let number = state.number;
-                    self.highest.fetch_max(number, Ordering::SeqCst);
-                    self.is_learnt_from_peer.store(true, Ordering::SeqCst);
-                    log::info!(number, peer:% = peer; "fencing number learnt from another agent");
+            let call = Call::get(FENCING_TOKEN_PATH.to_owned(), PEER_TIMEOUT);
+            match Connection::new(*peer)
+                .call_json::<FencingTokenState>(call)
+                .await
+            {
+                Ok(state) if state.is_read_from_store => {
+                    let token = state.token;
+                    self.highest_token.fetch_max(token, Ordering::SeqCst);
+                    self.is_received_from_peer.store(true, Ordering::SeqCst);
+                    log::info!(number = token, peer:% = peer; "fencing token received from a peer");
                     return;
                 }
-                Ok(_) => log::debug!(peer:% = peer; "another agent does not know it either"),
-                Err(error) => log::debug!(reason:% = error; "another agent does not answer"),
+                Ok(_) => log::debug!(peer:% = peer; "another agent has not read the token either"),
+                Err(error) => log::debug!(reason:% = error; "another agent did not reply"),
             }
         }
     }
 
-    /// Reads the store's number, as often as it takes.
+    /// Reads the token from the store, and retries until it succeeds.
     ///
-    /// An agent that starts without it would relay the orders of a leader that
-    /// all other agents refuse already.
-    pub(crate) async fn learn(self: Arc<Self>, address: SocketAddr, service: Arc<str>) {
+    /// An agent without the token would relay the commands of a leader that all other agents
+    /// already refuse.
+    pub(crate) async fn read_from_store(self: Arc<Self>, address: SocketAddr, service: Arc<str>) {
         let mut store = StoreClient::new(address);
         loop {
-            match kept_fence(&mut store, &service).await {
-                Ok((kept, era)) => {
-                    let number = self.on_stored_token(kept, era);
-                    log::info!(number, era; "fencing number read from the store");
+            match stored_token(&mut store, &service).await {
+                Ok((stored, era)) => {
+                    let token = self.on_stored_token(stored, era);
+                    log::info!(number = token, era; "fencing token read from the store");
                     return;
                 }
                 Err(error) => {
-                    log::warn!(reason:% = error; "the fencing number is not known yet");
-                    sleep(RETRY.mul_f64(0.5 + rand::random::<f64>())).await;
+                    log::warn!(reason:% = error; "fencing token not known yet; retrying");
+                    sleep(RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
                 }
             }
         }
     }
 }
 
-/// The fencing number that the store keeps, and its era.
-async fn kept_fence(store: &mut StoreClient, service: &str) -> Result<(u64, u64), StoreError> {
+/// Reads the fencing token of a service, and the store's era.
+async fn stored_token(store: &mut StoreClient, service: &str) -> Result<(u64, u64), StoreError> {
     let mut era = store.era().unwrap_or_default();
     loop {
         let item = store.item(&fencing_token_key(service, era)).await?;
-        // The era is known from the first answer on; a restore may fall between two.
-        let told = store.era().unwrap_or_default();
-        if told == era {
+        // The era is known from the first response on, and changes if the store is restored
+        // between two reads. The key of the new era is read then.
+        let current_era = store.era().unwrap_or_default();
+        if current_era == era {
             return Ok((item.map_or(0, |item| parse_fencing_token(&item.value)), era));
         }
-        era = told;
+        era = current_era;
     }
 }
 
-/// The fencing number that stands in the store; 0 where the value is none.
+/// Parses the stored value of a fencing token; 0 if the value is not a number.
 ///
-/// A value that is no number was not written by a leader; the next one that is
-/// elected replaces it.
+/// Such a value was not written by a leader; the next leader elected replaces it.
 #[must_use]
 pub fn parse_fencing_token(value: &[u8]) -> u64 {
     let text = std::str::from_utf8(value).unwrap_or_default();
     text.trim().parse().unwrap_or_else(|_| {
-        log::error!(value = text; "the fencing number in the store cannot be read");
+        log::error!(value = text; "fencing token in the store is not a number");
         0
     })
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,15 +1,14 @@
-//! The agent beside a model engine of an expert-parallel group.
+//! The relay agent, which runs on the VM of a model engine of an expert-parallel group.
 //!
-//! It relays a leader's questions and orders to the engine. Reading the
-//! engine's counts from another VM pauses the whole group; from beside the
-//! engine it does not.
+//! The agent relays a leader's requests and commands to the engine. Reading the engine's counts
+//! from another VM pauses the whole group; reading them from the same VM does not.
 //!
-//! Engines keep no fencing numbers, so the agent does: it relays nothing of a
-//! leader whose number is lower than the highest it knows. It reads that number
-//! from the store when it starts, or is told by an agent beside another rank while
-//! the store is away, and relays no order before it has, so it may
-//! be killed, frozen or replaced at any moment. An order it was relaying then
-//! has no answer, which is what a leader has to expect of any order.
+//! Engines keep no fencing tokens, so the agent does: it relays nothing from a leader whose
+//! token is lower than the highest one known. When the agent starts, it reads the token from the
+//! store, or from the agent of another rank if the store is unavailable, and it relays no command
+//! before it has the token. The agent may therefore be killed, frozen or replaced at any moment.
+//! A command that it was relaying at that moment gets no reply, which a leader has to expect of
+//! any command.
 
 pub mod counts;
 mod fencing;
@@ -29,98 +28,97 @@
 use tokio::sync::Mutex;
 
 use crate::counts::{CountsEncoder, CountsRequest, CountsUpdate};
-use crate::fencing::FENCE_PATH;
+use crate::fencing::FENCING_TOKEN_PATH;
 pub use crate::fencing::{FencingGuard, era_base_token, fencing_token_key, parse_fencing_token};
 use crate::settings::RelaySettings;
 
-/// What a leader asks.
+/// A leader's request to the agent of one rank.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The leader's fencing number.
+    /// The leader's fencing token.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// Orders to give first, one after the other.
+    /// Commands to send to the engine first, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<RankCommand>,
     /// Which counts to read.
     pub counts: CountsRequest,
     /// Whether to read which experts the rank holds.
     pub wants_experts: bool,
-    /// Agents beside other ranks, for an agent that has no fencing number from
-    /// the store.
+    /// Agents of other ranks, which an agent without a fencing token queries for it.
     #[serde(rename = "fence_peers")]
     pub peer_agents: Vec<SocketAddr>,
 }
 
-/// What the engine said; what it did not answer is missing.
+/// Reply to a [`RelayRequest`]; results that the engine did not return are missing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RelayReply {
-    /// The higher fencing number of another leader, if the agent knows one;
-    /// nothing was relayed then.
+    /// The higher fencing token of another leader, if the agent knows one; nothing was relayed
+    /// in this case.
     pub fenced_by: Option<u64>,
-    /// What became of the orders.
+    /// Outcomes of the commands, in the order of the request.
     #[serde(rename = "orders")]
     pub outcomes: Vec<CommandOutcome>,
-    /// The engine's report, read after the orders.
+    /// The engine's report, read after the commands.
     pub report: Option<RankReport>,
-    /// Its counts.
+    /// The engine's counts, if requested.
     pub counts: Option<CountsUpdate>,
-    /// The rank's experts of each set.
+    /// The rank's experts in each layer set, if requested.
     pub experts: Option<Vec<Vec<u16>>>,
-    /// Whether the agent relays no orders for want of a fencing number; a
-    /// question that names some of these agents helps.
+    /// Whether the agent relays no commands because it has no fencing token. The next request
+    /// should name agents of other ranks in `peer_agents`.
     #[serde(rename = "lacks_fence")]
     pub lacks_fencing_token: bool,
 }
 
-/// The engine beside the agent, and what was told of it.
-struct Beside {
+/// Client of the engine on the agent's VM, and the encoder of the engine's counts.
+struct LocalEngine {
     engine: EngineClient,
     encoder: CountsEncoder,
 }
 
-/// Relays a question to the engine.
-async fn ask_engine(
-    beside: &mut Beside,
-    question: &RelayRequest,
+/// Relays a request to the engine.
+async fn relay_to_engine(
+    local_engine: &mut LocalEngine,
+    relay_request: &RelayRequest,
     may_relay_commands: bool,
 ) -> RelayReply {
-    let Beside { engine, encoder } = beside;
-    let mut answer = RelayReply {
+    let LocalEngine { engine, encoder } = local_engine;
+    let mut reply = RelayReply {
         lacks_fencing_token: !may_relay_commands,
         ..RelayReply::default()
     };
-    for order in &question.commands {
-        let given = if may_relay_commands {
-            engine.send_command(order).await
+    for command in &relay_request.commands {
+        let outcome = if may_relay_commands {
+            engine.send_command(command).await
         } else {
             CommandOutcome::Refused
         };
-        answer.outcomes.push(given);
+        reply.outcomes.push(outcome);
     }
-    answer.report = told("report", engine.report().await).flatten();
-    if question.counts != CountsRequest::Nothing {
-        let counts = told("counts", engine.expert_counts().await);
-        answer.counts = counts.and_then(|counts| encoder.encode(counts, question.counts));
+    reply.report = ok_or_log("report", engine.report().await).flatten();
+    if relay_request.counts != CountsRequest::Nothing {
+        let counts = ok_or_log("counts", engine.expert_counts().await);
+        reply.counts = counts.and_then(|counts| encoder.encode(counts, relay_request.counts));
     }
-    if question.wants_experts {
-        let experts = told("experts", engine.experts().await);
-        answer.experts = experts.map(|held| held.experts);
+    if relay_request.wants_experts {
+        let experts = ok_or_log("experts", engine.experts().await);
+        reply.experts = experts.map(|rank_experts| rank_experts.experts);
     }
-    answer
+    reply
 }
 
-fn told<T, E: std::fmt::Display>(what: &'static str, result: Result<T, E>) -> Option<T> {
+fn ok_or_log<T, E: std::fmt::Display>(reading: &'static str, result: Result<T, E>) -> Option<T> {
     match result {
         Ok(value) => Some(value),
         Err(error) => {
-            log::warn!(what, reason:% = error; "the engine did not answer");
+            log::warn!(what = reading, reason:% = error; "the engine did not respond");
             None
         }
     }
 }
 
-/// Relays until told to stop.
+/// Runs the relay agent until it receives a signal to stop.
 ///
 /// # Errors
 ///
@@ -138,55 +136,57 @@
     let listener = serve::listen(address)
         .with_context(|| format!("cannot listen on {address}; check [listen] in the settings"))?;
     log::info!(listen:% = address, engine:% = settings.engine_address; "relaying");
-    let beside = Arc::new(Mutex::new(Beside {
+    let local_engine = Arc::new(Mutex::new(LocalEngine {
         engine: EngineClient::new(settings.engine_address),
         encoder: CountsEncoder::new(rand::random()),
     }));
-    let fence = Arc::new(FencingGuard::default());
+    let fencing = Arc::new(FencingGuard::default());
     let service = Arc::clone(&settings.service);
-    tokio::spawn(Arc::clone(&fence).learn(settings.store_address, service));
+    tokio::spawn(Arc::clone(&fencing).read_from_store(settings.store_address, service));
     tokio::spawn(serve::serve(listener, move |request| {
-        let beside = Arc::clone(&beside);
-        let fence = Arc::clone(&fence);
+        let local_engine = Arc::clone(&local_engine);
+        let fencing = Arc::clone(&fencing);
         async move {
-            if request.uri().path() == FENCE_PATH {
-                return serve::json_response(&fence.state());
+            if request.uri().path() == FENCING_TOKEN_PATH {
+                return serve::json_response(&fencing.state());
             }
-            let Some(question) = serve::read_postcard::<RelayRequest>(request).await else {
+            let Some(relay_request) = serve::read_postcard::<RelayRequest>(request).await else {
                 let text = "send a question as a leader of this version does";
                 return serve::response(berylhook_calls::StatusCode::BAD_REQUEST, text);
             };
-            // Held from the check to the engine's answer: a question of a newer
-            // leader waits until what was let through has reached the engine.
-            let mut beside = beside.lock().await;
-            if !fence.may_relay_commands() {
-                fence.learn_from_peers(&question.peer_agents).await;
+            // Locked from the check of the token to the engine's response, so that a request of a
+            // newer leader waits until all commands accepted before have reached the engine.
+            let mut local_engine = local_engine.lock().await;
+            if !fencing.may_relay_commands() {
+                fencing.learn_from_peers(&relay_request.peer_agents).await;
             }
-            if let Err(higher) = fence.check(question.fencing_token) {
+            if let Err(higher) = fencing.check(relay_request.fencing_token) {
                 return serve::postcard_response(&RelayReply {
                     fenced_by: Some(higher),
                     ..RelayReply::default()
                 });
             }
-            let may_relay_commands = fence.may_relay_commands();
-            serve::postcard_response(&ask_engine(&mut beside, &question, may_relay_commands).await)
+            let may_relay_commands = fencing.may_relay_commands();
+            serve::postcard_response(
+                &relay_to_engine(&mut local_engine, &relay_request, may_relay_commands).await,
+            )
         }
     }));
-    stopped().await
+    wait_for_stop_signal().await
 }
 
-/// Waits for the signal to stop.
+/// Waits for SIGTERM.
 ///
-/// The signal to reload ends a process that does not handle it. The agent's
-/// addresses are those of its VM and of the engine beside it, which last as
-/// long as the process, so there is nothing to reload.
-async fn stopped() -> anyhow::Result<()> {
-    let mut term = signal(SignalKind::terminate()).context("signals cannot be handled")?;
+/// SIGHUP asks for a reload, and would end the process if it were not handled. There is nothing
+/// to reload: the settings hold the addresses of the agent's VM and of its engine, which do not
+/// change while the process runs.
+async fn wait_for_stop_signal() -> anyhow::Result<()> {
+    let mut terminate = signal(SignalKind::terminate()).context("signals cannot be handled")?;
     let mut hangup = signal(SignalKind::hangup()).context("signals cannot be handled")?;
     loop {
         tokio::select! {
-            _ = term.recv() => break,
-            _ = hangup.recv() => log::info!("reload: the settings of an agent last as long as it runs"),
+            _ = terminate.recv() => break,
+            _ = hangup.recv() => log::info!("SIGHUP ignored: the settings of a running agent cannot change"),
         }
     }
     log::info!("stopped");
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,33 +1,33 @@
-//! The settings of the agent beside a model engine in their checked form.
+//! Validated settings of the relay agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use berylhook_operator::{IniError, IniFile, Section};
 
-const ADDRESS_REMEDY: &str = "write an IP number and port, such as 10.0.0.1:8080";
+const ADDRESS_REMEDY: &str = "write an IP address and port, such as 10.0.0.1:8080";
 
-/// Settings of one agent.
+/// Settings of one relay agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
-    /// Where controllers ask.
+    /// Address at which the agent listens for leaders' requests.
     pub listen_address: SocketAddr,
-    /// The engine beside the agent.
+    /// Address of the engine on the agent's VM.
     pub engine_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// The service that the engine belongs to.
+    /// Name of the service that the engine belongs to.
     pub service: Arc<str>,
-    /// Level of the logs, such as `info`.
+    /// Log level, such as `info`.
     pub log_level: Arc<str>,
 }
 
 impl RelaySettings {
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Names the line, the setting and the remedy.
+    /// If a setting is missing or invalid. The error names the line, the setting and the remedy.
     pub fn parse(text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(text)?;
         file.reject_unknown_sections(&["listen", "engine", "store", "logs"])?;
