--- a/crates/keyvalue/src/claim_guard.rs
+++ b/crates/keyvalue/src/claim_guard.rs
@@ -1,4 +1,4 @@
-//! Waiting out the leases of a former era before something is claimed.
+//! Delays claims after a restore of the store until the leases of previous eras have expired.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,74 +8,74 @@
 
 use crate::kv::{KeyValue, KvError, Put, Txn};
 
-/// The era that a revision belongs to.
+/// The era of the store that a revision belongs to.
 #[must_use]
 pub fn era_of(revision: i64) -> u64 {
     Position::unpacked(u64::try_from(revision).unwrap_or(0)).era
 }
 
-/// Asked before each claim of something that a lease protects; see [`EraGuard`].
+/// Allows or delays the claims of keys that are bound to a lease; see [`EraGuard`].
 pub struct ClaimGuard {
-    /// Where the mark stands that an era is settled.
-    mark_key: Arc<str>,
-    guard: Mutex<EraGuard>,
+    /// Key of the marker, whose value is the last era in which claims were found to be safe.
+    marker_key: Arc<str>,
+    era_guard: Mutex<EraGuard>,
 }
 
 impl ClaimGuard {
-    /// A gate for leases of that length, whose mark stands under that key.
+    /// Creates a guard for leases of `lease_ms`, whose marker is stored under `marker_key`.
     #[must_use]
-    pub fn new(mark_key: Arc<str>, lease_ms: u64) -> Self {
+    pub fn new(marker_key: Arc<str>, lease_ms: u64) -> Self {
         Self {
-            mark_key,
-            guard: Mutex::new(EraGuard::new(lease_ms)),
+            marker_key,
+            era_guard: Mutex::new(EraGuard::new(lease_ms)),
         }
     }
 
-    /// Whether no holder of an era before this one, in which the service answered, can act
-    /// on its lease any more.
+    /// Whether claims are safe in `era`, the era in which the service responded: no lease holder
+    /// of a previous era can still act on its lease.
     ///
     /// # Errors
     ///
-    /// If the mark could not be read or written.
+    /// If the marker could not be read or written.
     ///
     /// # Panics
     ///
-    /// Never: nothing that holds the lock panics.
+    /// Never: no holder of the lock panics.
     pub async fn may_claim(
         &self,
         key_value: &dyn KeyValue,
         era: u64,
         now_ms: MonoMs,
     ) -> Result<bool, KvError> {
-        let mark = match era {
+        let marker = match era {
             0 => None,
-            _ => self.mark(key_value).await?,
+            _ => self.read_marker(key_value).await?,
         };
-        let verdict = {
-            let mut guard = self.guard.lock().expect("no holder panics");
-            guard.decide(era, mark, now_ms)
+        let decision = {
+            let mut era_guard = self.era_guard.lock().expect("no holder panics");
+            era_guard.decide(era, marker, now_ms)
         };
-        match verdict {
+        match decision {
             ClaimDecision::Allow => Ok(true),
             ClaimDecision::Wait => Ok(false),
             ClaimDecision::AllowAndMark => {
-                self.leave_mark(key_value, era).await?;
+                self.write_marker(key_value, era).await?;
                 Ok(true)
             }
         }
     }
 
-    async fn mark(&self, key_value: &dyn KeyValue) -> Result<Option<u64>, KvError> {
-        let range = key_value.range(&self.mark_key).await?;
-        let kv = range.kvs.iter().find(|kv| kv.key == self.mark_key);
+    async fn read_marker(&self, key_value: &dyn KeyValue) -> Result<Option<u64>, KvError> {
+        let range = key_value.range(&self.marker_key).await?;
+        let kv = range.kvs.iter().find(|kv| kv.key == self.marker_key);
         let text = kv.and_then(|kv| std::str::from_utf8(&kv.value).ok());
-        // A mark that cannot be read settles nothing, and is written anew.
+        // A marker that cannot be parsed proves nothing, and is overwritten later.
         Ok(text.and_then(|text| text.parse().ok()))
     }
 
-    async fn leave_mark(&self, key_value: &dyn KeyValue, era: u64) -> Result<(), KvError> {
+    async fn write_marker(&self, key_value: &dyn KeyValue, era: u64) -> Result<(), KvError> {
         let put = Put {
-            key: Arc::clone(&self.mark_key),
+            key: Arc::clone(&self.marker_key),
             value: era.to_string().into_bytes(),
             lease_id: 0,
         };
--- a/crates/keyvalue/src/kv.rs
+++ b/crates/keyvalue/src/kv.rs
@@ -25,23 +25,23 @@
     Rejected {
         /// HTTP status.
         status: u16,
-        /// The service's own words.
+        /// Error message of the service.
         message: String,
     },
-    /// The lease is gone.
-    #[error("the lease has expired; ask for a new one")]
+    /// The lease has expired or was revoked.
+    #[error("the lease has expired; request a new one")]
     LeaseGone,
 }
 
 impl KvError {
-    /// Whether a write that failed so may have taken effect all the same.
+    /// Whether a write that failed with this error may have taken effect.
     #[must_use]
     pub fn may_have_applied(&self) -> bool {
         matches!(self, Self::Unknown(_))
     }
 }
 
-/// A stored key.
+/// A stored key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Kv {
     /// The key.
@@ -54,10 +54,10 @@
     pub mod_revision: i64,
 }
 
-/// A read of a key range at one revision.
+/// Result of a read of all keys with a prefix, at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct RangeResponse {
-    /// The service's revision.
+    /// Revision of the service at the time of the call.
     pub revision: i64,
     /// The keys, in order.
     pub kvs: Vec<Kv>,
@@ -83,7 +83,7 @@
     pub lease_id: i64,
 }
 
-/// Writes that happen together if all conditions hold.
+/// A transaction: its writes are applied together if all conditions hold.
 #[derive(Clone, Debug, Default)]
 pub struct Txn {
     /// The conditions.
@@ -94,25 +94,25 @@
     pub deletes: Vec<Arc<str>>,
 }
 
-/// How a transaction ended.
+/// Result of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TxnResponse {
-    /// Whether the conditions held and the writes happened.
+    /// Whether the conditions held and the writes were applied.
     pub succeeded: bool,
-    /// The service's revision.
+    /// Revision of the service at the time of the call.
     pub revision: i64,
 }
 
 /// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The lease.
+    /// ID of the lease.
     pub id: i64,
     /// Its time to live in seconds, as granted.
     pub ttl_s: i64,
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Clone, Debug)]
 pub enum WatchEvent {
     /// The key was written.
@@ -126,10 +126,10 @@
     },
 }
 
-/// A boxed future, so that the service can be swapped behind a trait object.
+/// A boxed future, so that [`KeyValue`] can be used as a trait object.
 pub type KvFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, KvError>> + Send + 'a>>;
 
-/// The service as the rest of the system sees it.
+/// Client interface of the key-value service.
 pub trait KeyValue: Send + Sync {
     /// Reads all keys that start with `prefix`.
     fn range<'a>(&'a self, prefix: &'a str) -> KvFuture<'a, RangeResponse>;
@@ -140,10 +140,10 @@
     /// Grants a lease of `ttl_s` seconds.
     fn grant(&self, ttl_s: i64) -> KvFuture<'_, LeaseGrant>;
 
-    /// Renews a lease; answers its time to live in seconds.
+    /// Renews a lease; returns its time to live in seconds.
     fn renew(&self, lease_id: i64) -> KvFuture<'_, i64>;
 
-    /// Ends a lease and deletes its keys.
+    /// Revokes a lease and deletes its keys.
     fn revoke(&self, lease_id: i64) -> KvFuture<'_, ()>;
 
     /// Watches all keys that start with `prefix` from `start_revision` on.
@@ -154,28 +154,28 @@
 pub type WatchFuture<'a> =
     Pin<Box<dyn Future<Output = Result<Vec<WatchEvent>, KvError>> + Send + 'a>>;
 
-/// Where a watch gets its events from.
+/// Source of the events of a [`Watch`].
 pub trait WatchSource: Send {
-    /// The next changes; empty where there were none for a while.
+    /// Waits for the next changes; empty if there were none for a while.
     fn next(&mut self) -> WatchFuture<'_>;
 }
 
 /// A running watch; dropping it ends it.
 ///
-/// A watch can go silent without an error. Its owner reconciles by reading
-/// the range from time to time.
+/// A watch can stop delivering events without an error, so its owner has to read the range
+/// from time to time and reconcile.
 pub struct Watch {
     source: Box<dyn WatchSource>,
 }
 
 impl Watch {
-    /// A watch of that source.
+    /// Creates a watch that returns the events of `source`.
     #[must_use]
     pub fn new(source: Box<dyn WatchSource>) -> Self {
         Self { source }
     }
 
-    /// The next changes; empty where there were none for a while.
+    /// Waits for the next changes; empty if there were none for a while.
     ///
     /// # Errors
     ///
@@ -185,16 +185,18 @@
     }
 }
 
-/// The base URL of the service names no address.
+/// The base URL of the service contains no valid address.
 #[derive(Debug, Error)]
-#[error("`{0}` is no address of the key-value service; write `http://`, an IP number and a port")]
+#[error(
+    "`{0}` is not an address of the key-value service; write `http://`, an IP address and a port"
+)]
 pub struct AddressError(String);
 
-/// The address in a base URL, such as `http://10.0.0.1:2379`.
+/// Parses the address in a base URL, such as `http://10.0.0.1:2379`.
 ///
 /// # Errors
 ///
-/// If there is none.
+/// If the URL contains no valid address.
 pub fn parse_base_url(base: &str) -> Result<SocketAddr, AddressError> {
     let trimmed = base.trim_end_matches('/');
     let address = trimmed.strip_prefix("http://").unwrap_or(trimmed);
--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -1,11 +1,10 @@
-//! What the platform gives, as the rest of the product sees it: a key-value
-//! service and a list of VMs.
+//! Interfaces to two services of the platform: a key-value service and a list of VMs.
 //!
-//! The service stands behind the trait [`KeyValue`]; the package
-//! `berylhook-platform` speaks its protocol.
+//! The key-value service is accessed through the trait [`KeyValue`]; the package
+//! `berylhook-platform` implements the protocol.
 //!
-//! A write whose answer is lost may have taken effect. [`KvError::Unknown`]
-//! says so, and its writer must read back before it says anything: see
+//! A write whose response is lost may have taken effect. It fails with [`KvError::Unknown`], and
+//! the writer must read the keys back before it relies on either outcome: see
 //! [`KvError::may_have_applied`].
 
 mod claim_guard;
--- a/crates/keyvalue/src/vms.rs
+++ b/crates/keyvalue/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs. It lags.
+//! The platform's list of live and leaving VMs. The list lags behind the state of the VMs.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 #[error("the list of VMs cannot be read ({0}); check `vm_list` under [platform]")]
 pub struct VmListError(String);
 
-/// What the platform says of a VM.
+/// State of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
     /// In use.
     Live,
-    /// About to go; gets no new work.
+    /// About to be removed; gets no new requests.
     Leaving,
 }
 
@@ -32,34 +32,34 @@
 pub struct Vm {
     /// The VM's name.
     pub name: Arc<str>,
-    /// Where berylhook's process on the VM listens for its peers.
+    /// Address at which berylhook's process on the VM listens for its peers.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The VM's data centre.
     pub data_centre: Arc<str>,
-    /// The catalogue entry whose target runs there; empty on an entry VM.
+    /// The catalogue entry whose target runs on the VM; empty for a VM of an entry process.
     #[serde(default)]
     pub service: Arc<str>,
-    /// What the platform says of it.
+    /// The VM's state.
     pub state: VmState,
 }
 
-/// A boxed future, so that the list can be swapped behind a trait object.
+/// A boxed future, so that [`VmList`] can be used as a trait object.
 pub type VmListFuture<'a> = Pin<Box<dyn Future<Output = Result<Vec<Vm>, VmListError>> + Send + 'a>>;
 
-/// The list as the rest of the system sees it.
+/// Client interface of the VM list.
 pub trait VmList: Send + Sync {
     /// Reads the whole list.
     fn read(&self) -> VmListFuture<'_>;
 }
 
-/// The list as a JSON document over HTTP.
+/// Client of a VM list that is served as a JSON document over HTTP.
 pub struct HttpVmList {
     address: Result<SocketAddr, VmListError>,
     path: String,
 }
 
 impl HttpVmList {
-    /// A client to the list at `url`, such as `http://10.0.0.1:2380/vms`.
+    /// Creates a client of the list at `url`, such as `http://10.0.0.1:2380/vms`.
     #[must_use]
     pub fn new(url: &str) -> Self {
         let rest = url.strip_prefix("http://").unwrap_or(url);
@@ -67,7 +67,7 @@
         Self {
             address: host
                 .parse()
-                .map_err(|_| VmListError(format!("`{host}` is no IP number and port"))),
+                .map_err(|_| VmListError(format!("`{host}` is not an IP address and port"))),
             path: format!("/{path}"),
         }
     }
@@ -78,8 +78,8 @@
         Box::pin(async move {
             let address = self.address.clone()?;
             let call = Call::get(self.path.clone(), CALL_TIMEOUT);
-            let answer = Connection::new(address).call_json(call).await;
-            answer.map_err(|error| VmListError(error.to_string()))
+            let response = Connection::new(address).call_json(call).await;
+            response.map_err(|error| VmListError(error.to_string()))
         })
     }
 }
