--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,11 +1,10 @@
-//! Calls over one kept connection, one call at a time.
+//! HTTP calls over one persistent connection, one call at a time.
 //!
-//! Bodies are JSON, or a compact binary form where two processes of one version
-//! exchange much: lists of small numbers take a quarter of the bytes.
+//! Bodies are JSON, or postcard where two processes of the same version exchange large messages:
+//! lists of small numbers take a quarter of the bytes.
 //!
-//! An error says what it proves: whether the call cannot have had an effect,
-//! or may have had one. A connection is kept only if the last answer was read
-//! to its end, and nothing is ever sent twice.
+//! An error tells whether the call cannot have had an effect, or may have had one. A connection is
+//! reused only if the last response was read to its end, and no call is ever sent twice.
 
 pub mod serve;
 
@@ -27,54 +26,56 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A connection within a region is open in a few milliseconds. A lost first
-/// packet is sent again after a second, which is too long to wait for.
+/// Connections within a region open in a few milliseconds. A lost SYN packet is sent again after
+/// one second, which is too long to wait for.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection on which an answer is waited for is probed after this long. A
-/// connection can go silent for good without being closed; only probes tell it
-/// from one that has nothing to say, since a watch may wait for half a minute.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// Idle time after which TCP keepalive probes a connection, and the interval of the probes. A peer
+/// can become unreachable without closing the connection. Only probes distinguish that from a slow
+/// response, since a watch may wait for half a minute.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time without any sign from the other side after which it counts as gone.
-const SILENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time without any acknowledgement by the peer after which the connection fails.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Largest answer read: a page of the store is about 1 MB.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Largest response body read; a page of the store is about 1 MB.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Why a call brought no result, by what that proves.
+/// Why a call failed, and whether it may have had an effect.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The call cannot have had an effect.
-    #[error("{address} cannot be reached ({reason}); check that it runs and is not cut off")]
+    #[error(
+        "{address} cannot be reached ({reason}); check that the process runs and the network is up"
+    )]
     NotSent {
-        /// Who was called.
+        /// Address that was called.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The call may have had its effect, now or some time later.
+    /// The call may have had an effect, or may still have one later.
     #[error("{address} did not answer ({reason}); read back before trying again")]
     Unknown {
-        /// Who was called.
+        /// Address that was called.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The answer has a status that says why not.
+    /// The response has an error status.
     #[error("{address} answered with status {status}: {body}")]
     Status {
-        /// Who was called.
+        /// Address that was called.
         address: SocketAddr,
         /// HTTP status.
         status: u16,
-        /// The answer's body.
+        /// Body of the response.
         body: String,
     },
 }
 
 impl CallError {
-    /// The status of the answer, if there was one.
+    /// HTTP status of the response, if there was one.
     #[must_use]
     pub fn status(&self) -> Option<u16> {
         match self {
@@ -84,40 +85,40 @@
     }
 }
 
-struct Open {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        // A future that is dropped in mid-call must not leave its connection
-        // behind: the answer to that call would be taken for the next one's.
+        // If a call's future is dropped before the response, the connection is closed: the
+        // response would otherwise be taken for that of the next call.
         self.driver.abort();
     }
 }
 
-/// A connection to one address, opened when it is needed.
-/// Its owner makes one call at a time.
+/// A connection to one address, opened on demand. It carries one call at a time.
 pub struct Connection {
     address: SocketAddr,
-    open: Option<Open>,
+    open: Option<OpenConnection>,
 }
 
-/// A call before it is sent.
+/// An HTTP call to make.
 pub struct Call {
     /// HTTP method.
     pub method: Method,
     /// Path with query.
     pub path: String,
-    /// The body, or nothing.
+    /// Request body; empty for none.
     pub body: Bytes,
-    /// Time for the whole call.
+    /// Time from the open connection to the end of the response. Opening a connection has a
+    /// timeout of its own.
     pub timeout: Duration,
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a GET call without a body.
     #[must_use]
     pub fn get(path: String, timeout: Duration) -> Self {
         Self {
@@ -128,22 +129,22 @@
         }
     }
 
-    /// A call with a JSON body.
+    /// Creates a POST call with a JSON body.
     ///
     /// # Panics
     ///
-    /// If the body is a map whose keys are no text.
+    /// If the body is a map whose keys are not strings.
     #[must_use]
     pub fn post_json<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
         let body = serde_json::to_vec(body).expect("plain structures serialize");
         Self::post_bytes(path, body, timeout)
     }
 
-    /// A call with a body in the compact form.
+    /// Creates a POST call with a postcard body.
     ///
     /// # Panics
     ///
-    /// If the body has a part of unknown length.
+    /// If the body has a sequence or map of unknown length.
     #[must_use]
     pub fn post_postcard<B: serde::Serialize>(path: String, body: &B, timeout: Duration) -> Self {
         let body = postcard::to_stdvec(body).expect("plain structures serialize");
@@ -160,18 +161,18 @@
     }
 }
 
-/// An answer, whatever its status.
+/// A response, whatever its status.
 pub struct CallResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
 impl Connection {
-    /// A connection to that address, not opened yet.
+    /// Creates a connection to `address`, which the first call opens.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -180,45 +181,45 @@
         }
     }
 
-    /// Makes a call and decodes its JSON answer.
+    /// Makes a call and decodes its JSON response.
     ///
     /// # Errors
     ///
-    /// If it was not answered with success, or the answer cannot be decoded.
+    /// If there is no response, its status is not a success, or it cannot be decoded.
     pub async fn call_json<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
-        let answer = self.call_any_status(call).await?;
-        self.decode_json(answer)
+        let response = self.call_any_status(call).await?;
+        self.decode_json(response)
     }
 
-    /// Makes a call and decodes its answer in the compact form.
+    /// Makes a call and decodes its postcard response.
     ///
     /// # Errors
     ///
-    /// If it was not answered with success, or the answer cannot be decoded.
+    /// If there is no response, its status is not a success, or it cannot be decoded.
     pub async fn call_postcard<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
         let body = self.call(call).await?;
         postcard::from_bytes(&body).map_err(|error| self.unknown(&error))
     }
 
-    /// Makes a call and gives the body of its answer.
+    /// Makes a call and returns the body of its response.
     ///
     /// # Errors
     ///
-    /// If it was not answered with success.
+    /// If there is no response, or its status is not a success.
     pub async fn call(&mut self, call: Call) -> Result<Bytes, CallError> {
-        let answer = self.call_any_status(call).await?;
-        self.success_body(answer)
+        let response = self.call_any_status(call).await?;
+        self.success_body(response)
     }
 
-    /// Makes a call and gives its answer, also one of failure.
+    /// Makes a call and returns its response, also one with an error status.
     ///
-    /// The connection is kept only if the answer was read to its end.
+    /// The connection is reused only if the response was read to its end.
     ///
     /// # Errors
     ///
-    /// If it was not answered.
+    /// If there is no complete response.
     pub async fn call_any_status(&mut self, call: Call) -> Result<CallResponse, CallError> {
-        let bound = call.timeout;
+        let call_timeout = call.timeout;
         let mut open = match self.open.take().filter(|open| !open.sender.is_closed()) {
             Some(open) => open,
             None => self.connect().await?,
@@ -226,7 +227,7 @@
         let exchange = async {
             let response = self.send(&mut open, call).await?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES)
+            let body = Limited::new(body, MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|error| self.unknown(&error))?;
@@ -236,40 +237,44 @@
                 body: body.to_bytes(),
             })
         };
-        let answered = timeout(bound, exchange).await;
-        let answer = answered.map_err(|elapsed| self.unknown(&elapsed))??;
+        let result = timeout(call_timeout, exchange).await;
+        let response = result.map_err(|elapsed| self.unknown(&elapsed))??;
         self.open = Some(open);
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Takes an answer's body if the answer is one of success.
+    /// Returns the body of a response with a success status.
     ///
     /// # Errors
     ///
-    /// If it is one of failure.
-    pub fn success_body(&self, answer: CallResponse) -> Result<Bytes, CallError> {
-        if answer.status.is_success() {
-            Ok(answer.body)
+    /// If the status is not a success.
+    pub fn success_body(&self, response: CallResponse) -> Result<Bytes, CallError> {
+        if response.status.is_success() {
+            Ok(response.body)
         } else {
             Err(CallError::Status {
                 address: self.address,
-                status: answer.status.as_u16(),
-                body: String::from_utf8_lossy(&answer.body).into_owned(),
+                status: response.status.as_u16(),
+                body: String::from_utf8_lossy(&response.body).into_owned(),
             })
         }
     }
 
-    /// Decodes the JSON body of an answer of success.
+    /// Decodes the JSON body of a response with a success status.
     ///
     /// # Errors
     ///
-    /// If the answer is one of failure, or cannot be decoded.
-    pub fn decode_json<A: DeserializeOwned>(&self, answer: CallResponse) -> Result<A, CallError> {
-        let body = self.success_body(answer)?;
+    /// If the status is not a success, or the body cannot be decoded.
+    pub fn decode_json<A: DeserializeOwned>(&self, response: CallResponse) -> Result<A, CallError> {
+        let body = self.success_body(response)?;
         serde_json::from_slice(&body).map_err(|error| self.unknown(&error))
     }
 
-    async fn send(&self, open: &mut Open, call: Call) -> Result<Response<Incoming>, CallError> {
+    async fn send(
+        &self,
+        open: &mut OpenConnection,
+        call: Call,
+    ) -> Result<Response<Incoming>, CallError> {
         let uri: Uri = call.path.parse().map_err(|error| self.not_sent(&error))?;
         let mut request = Request::new(Full::new(call.body));
         *request.method_mut() = call.method;
@@ -285,20 +290,20 @@
         }
     }
 
-    async fn connect(&self) -> Result<Open, CallError> {
+    async fn connect(&self) -> Result<OpenConnection, CallError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address))
             .await
             .map_err(|elapsed| self.not_sent(&elapsed))?
             .map_err(|error| self.not_sent(&error))?;
-        set_options(&stream).map_err(|error| self.not_sent(&error))?;
+        set_socket_options(&stream).map_err(|error| self.not_sent(&error))?;
         let (sender, driver) = handshake(TokioIo::new(stream))
             .await
             .map_err(|error| self.not_sent(&error))?;
         let driver = tokio::spawn(async move {
-            // Its error also reaches the call that it concerns.
+            // The call in progress fails with the same error.
             let _ = driver.await;
         });
-        Ok(Open { sender, driver })
+        Ok(OpenConnection { sender, driver })
     }
 
     fn not_sent(&self, reason: &dyn std::fmt::Display) -> CallError {
@@ -316,13 +321,13 @@
     }
 }
 
-fn set_options(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(1);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(SILENT_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/calls/src/serve.rs
+++ b/crates/calls/src/serve.rs
@@ -1,5 +1,4 @@
-//! A small HTTP server for what is not callers' traffic: questions of other
-//! processes, readiness, metrics.
+//! A small HTTP server for internal endpoints: requests of other processes, readiness and metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +14,23 @@
 use serde::de::DeserializeOwned;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Wait after a failed accept, such as for want of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which may be due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Time until a connection without requests is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// Time without requests after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest question read.
-const MAX_QUESTION_BYTES: usize = 1 << 20;
+/// Largest request body read.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
 /// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// If the address cannot be used.
+/// If the socket cannot be created or bound to the address.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -39,8 +38,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Answers each request with what `answer` makes of it, for ever.
-pub async fn serve<F, A>(listener: TcpListener, answer: F)
+/// Accepts and serves connections forever; `handler` returns the response to each request.
+pub async fn serve<F, A>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
     A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
@@ -48,72 +47,72 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(connection(stream, answer.clone()));
+                tokio::spawn(serve_connection(stream, handler.clone()));
             }
             Err(error) => {
-                log::warn!(reason:% = error; "a connection was not accepted");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                log::warn!(reason:% = error; "a connection could not be accepted");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection<F, A>(stream: TcpStream, answer: F)
+async fn serve_connection<F, A>(stream: TcpStream, handler: F)
 where
     F: Fn(Request<Incoming>) -> A + Send + 'static,
     A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
-    if let Err(error) = crate::set_options(&stream) {
-        log::warn!(reason:% = error; "a connection's options cannot be set");
+    if let Err(error) = crate::set_socket_options(&stream) {
+        log::warn!(reason:% = error; "the socket options of a connection could not be set");
     }
     let service = service_fn(move |request| {
-        let answered = answer(request);
-        async move { Ok::<_, std::convert::Infallible>(answered.await) }
+        let response = handler(request);
+        async move { Ok::<_, std::convert::Infallible>(response.await) }
     });
-    let served = http1::Builder::new()
+    let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // Its error is the other side's going away.
-    let _ = served.await;
+    // An error means that the client has disconnected, which needs no handling.
+    let _ = connection.await;
 }
 
-/// Reads a JSON question; `None` if it is none.
+/// Reads a JSON request body; `None` if it cannot be read or decoded.
 pub async fn read_json<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
-    serde_json::from_slice(&read(request).await?).ok()
+    serde_json::from_slice(&read_body(request).await?).ok()
 }
 
-/// Reads a question in the compact form; `None` if it is none.
+/// Reads a postcard request body; `None` if it cannot be read or decoded.
 pub async fn read_postcard<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
-    postcard::from_bytes(&read(request).await?).ok()
+    postcard::from_bytes(&read_body(request).await?).ok()
 }
 
-async fn read(request: Request<Incoming>) -> Option<Bytes> {
-    let body = Limited::new(request.into_body(), MAX_QUESTION_BYTES);
+async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
+    let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES);
     Some(body.collect().await.ok()?.to_bytes())
 }
 
-/// A JSON answer.
-pub fn json_response<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
-    written(serde_json::to_vec(answer))
+/// Creates a response with a JSON body.
+pub fn json_response<A: Serialize>(value: &A) -> Response<Full<Bytes>> {
+    encoded_response(serde_json::to_vec(value))
 }
 
-/// An answer in the compact form.
-pub fn postcard_response<A: Serialize>(answer: &A) -> Response<Full<Bytes>> {
-    written(postcard::to_stdvec(answer))
+/// Creates a response with a postcard body.
+pub fn postcard_response<A: Serialize>(value: &A) -> Response<Full<Bytes>> {
+    encoded_response(postcard::to_stdvec(value))
 }
 
-fn written<E: std::fmt::Display>(body: Result<Vec<u8>, E>) -> Response<Full<Bytes>> {
+fn encoded_response<E: std::fmt::Display>(body: Result<Vec<u8>, E>) -> Response<Full<Bytes>> {
     match body {
         Ok(body) => response(StatusCode::OK, body),
         Err(error) => {
-            log::error!(reason:% = error; "an answer cannot be written");
+            log::error!(reason:% = error; "a response could not be encoded");
             response(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
         }
     }
 }
 
-/// An answer with that body.
+/// Creates a response with the given status and body.
 pub fn response(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
