--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Time on this process's monotonic clock.
+    /// Time on the monotonic clock of this process, which starts at 0.
     pub(crate) fn now_ms(&self) -> MonoMs {
         let elapsed = self.started_at.elapsed().as_millis();
         MonoMs(u64::try_from(elapsed).unwrap_or(u64::MAX))
@@ -178,9 +178,9 @@
     /// Waits until no request is in flight, or until the configured drain bound has passed.
     pub(crate) async fn wait_until_drained(&self) {
         let drain_bound_ms = self.settings.drain_bound_ms;
-        let began = Instant::now();
+        let drain_started_at = Instant::now();
         while self.in_flight() > 0 {
-            let waited_ms = began.elapsed().as_millis();
+            let waited_ms = drain_started_at.elapsed().as_millis();
             if drain_bound_ms > 0 && waited_ms >= u128::from(drain_bound_ms) {
                 log::warn!(
                     "drain bound of {drain_bound_ms} ms reached with {} in flight",
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: leases, shard claims, load reports, signals.
+//! The control thread: renews the lease, claims key shards, polls the target's load and handles
+//! signals.
 
 mod claims;
 
--- a/crates/agent/src/control/claims.rs
+++ b/crates/agent/src/control/claims.rs
@@ -121,11 +121,11 @@
     /// Claims one shard for a request that waits for it.
     pub(crate) async fn claim(&self, shard: u32) {
         let _guard = self.claim_lock.lock().await;
-        let claimed = async {
+        let claim_attempt = async {
             self.ensure_lease().await?;
             self.claim_shard(shard).await
         };
-        if let Err(error) = claimed.await {
+        if let Err(error) = claim_attempt.await {
             log::warn!("shard {shard} could not be claimed: {error}");
         }
     }
--- a/crates/agent/src/handover.rs
+++ b/crates/agent/src/handover.rs
@@ -56,6 +56,7 @@
     pub(crate) claim: u64,
 }
 
+/// Stored form of a handover.
 #[derive(Serialize, Deserialize)]
 struct HandoverDocument {
     /// Era of the store in which the records were exported.
@@ -93,9 +94,9 @@
     serde_json::to_vec(&value).expect("handover values serialize")
 }
 
-/// Decodes a handover; `None` if it is malformed or of a previous era, and must be ignored. A
-/// handover that reappears with a restored copy of the store lacks the runs of the agents that
-/// have imported it since.
+/// Decodes a handover. Returns `None` if it is malformed or of a previous era: a handover that
+/// reappears with a restored copy of the store lacks the runs of the agents that have imported it
+/// since.
 pub(crate) fn decode(bytes: &[u8], era: u64) -> Option<LedgerExport> {
     let value: HandoverDocument = serde_json::from_slice(bytes).ok()?;
     if value.era != era {
--- a/crates/agent/src/home_shards.rs
+++ b/crates/agent/src/home_shards.rs
@@ -1,10 +1,11 @@
 //! The key shards that this agent is home to: it alone may run their keyed requests.
 //!
-//! No key may run twice when this agent freezes, its lease expires, another agent takes a shard
-//! over, and this agent resumes. Three rules ensure that together: the right to start a run
-//! expires on this agent's own monotonic clock ([`HeldLease`]); a key is accepted only up to the
-//! wall-clock time read *before* that check; and the successor's low-water mark lies above the
-//! issue time of every key that could have been accepted that way.
+//! No keyed request may run twice when this agent freezes, its lease expires, another agent takes
+//! a shard over, and this agent resumes. Three rules ensure that together: the right to start a
+//! run expires on this agent's own monotonic clock ([`HeldLease`]); a key is accepted only if it
+//! was issued up to the wall-clock time read *before* that check, plus the allowed clock skew; and
+//! the successor's low-water mark lies above the issue time of every key that could have been
+//! accepted that way.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! The target receives requests from its agent only. The agent decides whether a request may still
 //! start ([`berylhook_core::start_gate`]) and, for requests that must not be retried, whether this
-//! agent may run them ([`berylhook_core::ledger`]). The crate connects these decisions, which do
-//! no I/O, to sockets.
+//! agent may run them ([`berylhook_core::ledger`]). These decisions do no I/O; the agent connects
+//! them to sockets.
 //!
-//! Two threads: one for control state (leases, load reports, signals), one
-//! for traffic.
+//! The agent has two threads: one for control state (leases, load reports, signals), one for
+//! traffic.
 
 mod agent;
 mod args;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -153,8 +153,8 @@
         }
     };
     tokio::select! {
-        finished = timeout(deadline, work) => {
-            if finished.is_err() {
+        result = timeout(deadline, work) => {
+            if result.is_err() {
                 log::info!("request {} passed its deadline", reply.id);
                 let _ = reply.send(Kind::End(End {
                     unsettled: can_be_abandoned,
--- a/crates/agent/src/target_incarnation.rs
+++ b/crates/agent/src/target_incarnation.rs
@@ -1,10 +1,10 @@
 //! Incarnations of the target process beside the agent.
 //!
 //! An incarnation ends when no process listens at the target's address any more. All requests that
-//! run at that moment fail with it, and one of them may be the cause. Several entries may lose
-//! requests by one exit and merge their reports by the incarnation's name. So each run belongs to
-//! the incarnation in which it started, even if the next incarnation has started by the time the
-//! loss is noticed.
+//! run at that moment fail with it, and one of them may be the cause. Several entries can lose
+//! requests in one exit, and they merge their reports by the incarnation's name. So each run is
+//! attributed to the incarnation in which it started, even if the next one has started by the time
+//! the loss is noticed.
 //!
 //! If a target restarts before the agent finds that its address refuses connections, the
 //! incarnation continues, and the exit is attributed to no request.
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -55,7 +55,9 @@
         reason: String,
     },
     /// The call may have had an effect, or may still have one later.
-    #[error("{address} did not answer ({reason}); read back before trying again")]
+    #[error(
+        "{address} did not respond ({reason}); the call may have taken effect, read back before trying again"
+    )]
     Unknown {
         /// Address that was called.
         address: SocketAddr,
@@ -63,7 +65,7 @@
         reason: String,
     },
     /// The response has an error status.
-    #[error("{address} answered with status {status}: {body}")]
+    #[error("{address} responded with status {status}: {body}")]
     Status {
         /// Address that was called.
         address: SocketAddr,
@@ -186,7 +188,7 @@
     /// # Errors
     ///
     /// If there is no response, its status is not a success, or it cannot be decoded.
-    pub async fn call_json<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
+    pub async fn call_json<T: DeserializeOwned>(&mut self, call: Call) -> Result<T, CallError> {
         let response = self.call_any_status(call).await?;
         self.decode_json(response)
     }
@@ -196,7 +198,7 @@
     /// # Errors
     ///
     /// If there is no response, its status is not a success, or it cannot be decoded.
-    pub async fn call_postcard<A: DeserializeOwned>(&mut self, call: Call) -> Result<A, CallError> {
+    pub async fn call_postcard<T: DeserializeOwned>(&mut self, call: Call) -> Result<T, CallError> {
         let body = self.call(call).await?;
         postcard::from_bytes(&body).map_err(|error| self.unknown(&error))
     }
@@ -265,7 +267,7 @@
     /// # Errors
     ///
     /// If the status is not a success, or the body cannot be decoded.
-    pub fn decode_json<A: DeserializeOwned>(&self, response: CallResponse) -> Result<A, CallError> {
+    pub fn decode_json<T: DeserializeOwned>(&self, response: CallResponse) -> Result<T, CallError> {
         let body = self.success_body(response)?;
         serde_json::from_slice(&body).map_err(|error| self.unknown(&error))
     }
--- a/crates/calls/src/serve.rs
+++ b/crates/calls/src/serve.rs
@@ -39,10 +39,10 @@
 }
 
 /// Accepts and serves connections forever; `handler` returns the response to each request.
-pub async fn serve<F, A>(listener: TcpListener, handler: F)
+pub async fn serve<F, Fut>(listener: TcpListener, handler: F)
 where
-    F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
-    A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
+    Fut: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     loop {
         match listener.accept().await {
@@ -57,10 +57,10 @@
     }
 }
 
-async fn serve_connection<F, A>(stream: TcpStream, handler: F)
+async fn serve_connection<F, Fut>(stream: TcpStream, handler: F)
 where
-    F: Fn(Request<Incoming>) -> A + Send + 'static,
-    A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Send + 'static,
+    Fut: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     if let Err(error) = crate::set_socket_options(&stream) {
         log::warn!(reason:% = error; "the socket options of a connection could not be set");
@@ -78,12 +78,12 @@
 }
 
 /// Reads a JSON request body; `None` if it cannot be read or decoded.
-pub async fn read_json<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
+pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     serde_json::from_slice(&read_body(request).await?).ok()
 }
 
 /// Reads a postcard request body; `None` if it cannot be read or decoded.
-pub async fn read_postcard<Q: DeserializeOwned>(request: Request<Incoming>) -> Option<Q> {
+pub async fn read_postcard<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     postcard::from_bytes(&read_body(request).await?).ok()
 }
 
@@ -93,12 +93,12 @@
 }
 
 /// Creates a response with a JSON body.
-pub fn json_response<A: Serialize>(value: &A) -> Response<Full<Bytes>> {
+pub fn json_response<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     encoded_response(serde_json::to_vec(value))
 }
 
 /// Creates a response with a postcard body.
-pub fn postcard_response<A: Serialize>(value: &A) -> Response<Full<Bytes>> {
+pub fn postcard_response<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
     encoded_response(postcard::to_stdvec(value))
 }
 
--- a/crates/keyvalue/src/kv.rs
+++ b/crates/keyvalue/src/kv.rs
@@ -16,7 +16,9 @@
     )]
     Unreachable(String),
     /// The call may have taken effect.
-    #[error("the key-value service did not answer ({0}); read back before trying again")]
+    #[error(
+        "the key-value service did not respond ({0}); the call may have taken effect, read back before trying again"
+    )]
     Unknown(String),
     /// The service refused the call.
     #[error(
@@ -59,7 +61,7 @@
 pub struct RangeResponse {
     /// Revision of the service at the time of the call.
     pub revision: i64,
-    /// The keys, in order.
+    /// The keys with their values, in the order of the keys.
     pub kvs: Vec<Kv>,
 }
 
@@ -79,7 +81,7 @@
     pub key: Arc<str>,
     /// The value; at most 1 MB.
     pub value: Vec<u8>,
-    /// The lease that deletes the key when it expires; 0 for none.
+    /// ID of the lease that deletes the key when it expires; 0 for none.
     pub lease_id: i64,
 }
 
@@ -108,7 +110,7 @@
 pub struct LeaseGrant {
     /// ID of the lease.
     pub id: i64,
-    /// Its time to live in seconds, as granted.
+    /// The granted time to live of the lease in seconds.
     pub ttl_s: i64,
 }
 
--- a/crates/keyvalue/src/vms.rs
+++ b/crates/keyvalue/src/vms.rs
@@ -62,12 +62,14 @@
     /// Creates a client of the list at `url`, such as `http://10.0.0.1:2380/vms`.
     #[must_use]
     pub fn new(url: &str) -> Self {
-        let rest = url.strip_prefix("http://").unwrap_or(url);
-        let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
+        let without_scheme = url.strip_prefix("http://").unwrap_or(url);
+        let (address, path) = without_scheme
+            .split_once('/')
+            .unwrap_or((without_scheme, ""));
         Self {
-            address: host
+            address: address
                 .parse()
-                .map_err(|_| VmListError(format!("`{host}` is not an IP address and port"))),
+                .map_err(|_| VmListError(format!("`{address}` is not an IP address and port"))),
             path: format!("/{path}"),
         }
     }
--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -140,5 +140,5 @@
 
 fn sum(last: &[u64], increments: &[u64]) -> Vec<u64> {
     let pairs = last.iter().zip(increments);
-    pairs.map(|(last, increments)| last + increments).collect()
+    pairs.map(|(last, increment)| last + increment).collect()
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -160,9 +160,9 @@
             if !fencing.may_relay_commands() {
                 fencing.learn_from_peers(&relay_request.peer_agents).await;
             }
-            if let Err(higher) = fencing.check(relay_request.fencing_token) {
+            if let Err(higher_token) = fencing.check(relay_request.fencing_token) {
                 return serve::postcard_response(&RelayReply {
-                    fenced_by: Some(higher),
+                    fenced_by: Some(higher_token),
                     ..RelayReply::default()
                 });
             }
