--- a/crates/berylhook/src/args.rs
+++ b/crates/berylhook/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line, as it is written; what it means is checked elsewhere.
+//! Command-line arguments. The commands that use them validate their values.
 
 use std::path::PathBuf;
 
@@ -8,65 +8,65 @@
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Args {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The subcommands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Take callers' requests until told to stop.
+    /// Serve callers' requests until told to stop.
     Serve {
         /// The settings file of this entry.
         settings: PathBuf,
     },
-    /// Take callers' requests on the users' platform, and speak to targets
-    /// without an agent in between.
+    /// Serve callers' requests on the users' platform, connecting to targets directly instead of
+    /// through agents.
     Entry {
         /// The settings file of this entry.
         settings: PathBuf,
     },
-    /// Check a settings or catalogue file and name what is wrong with it.
+    /// Check a settings or catalogue file and report its errors.
     Check {
-        /// The file.
+        /// The settings or catalogue file.
         file: PathBuf,
     },
     /// Read or change the catalogue.
     #[command(subcommand)]
     Catalogue(CatalogueCommand),
-    /// Show what each entry says of itself and its targets.
+    /// Show the status of each entry and its targets.
     Status {
-        /// Whom to ask.
+        /// How to reach the entries.
         #[command(flatten)]
         fleet: FleetArgs,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
-    /// Count why requests were late or not answered, from the logs of entries on
-    /// the users' platform.
+    /// Count why requests were late or not answered, from the logs of entries on the users'
+    /// platform.
     Causes {
-        /// The logs, one JSON object a line.
+        /// The log files, with one JSON object per line.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// What to count by.
+        /// What to group the counts by.
         #[arg(long, value_enum, default_value_t)]
         by: CauseGroup,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
-    /// Show or change which requests are held back because targets end under them, on
-    /// the users' platform.
+    /// Show or change which requests are rejected because targets exited while running them, on the
+    /// users' platform.
     #[command(subcommand)]
     Quarantine(QuarantineCommand),
     /// Report how fast each catalogue entry uses up its error budget.
     Burn {
-        /// Whom to ask.
+        /// How to reach the entries.
         #[command(flatten)]
         fleet: FleetArgs,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: ReportFormat,
     },
@@ -75,84 +75,85 @@
 /// The catalogue commands.
 #[derive(Debug, Subcommand)]
 pub enum CatalogueCommand {
-    /// Print what is in force, as a file that `apply` takes.
+    /// Print the catalogue in force, as a file that `apply` accepts.
     Get {
-        /// Where it is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
-    /// Show how a file differs from what is in force.
+    /// Show how a file differs from the catalogue in force.
     Diff {
-        /// Where the catalogue is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// The file.
+        /// The catalogue file.
         file: PathBuf,
     },
-    /// Put a file in force, unless another change came first.
+    /// Apply a file to the catalogue, unless the catalogue has changed since the revision that the
+    /// file is based on.
     Apply {
-        /// Where the catalogue is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// The file.
+        /// The catalogue file.
         file: PathBuf,
-        /// The revision it is based on, in place of its `# revision` line.
+        /// The revision that the file is based on, instead of the one in its `# revision` line.
         #[arg(long)]
         based_on: Option<i64>,
         /// Remove items that the file lacks.
         #[arg(long)]
         remove: bool,
-        /// Who makes the change.
+        /// The author of the change.
         #[arg(long, env = "USER", default_value = "unknown")]
         author: String,
     },
     /// List the versions of an item.
     History {
-        /// Where the catalogue is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
         /// The item, such as `entry briefing-llm`.
         item: String,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
 }
 
-/// The commands on requests that are held back.
+/// The quarantine commands.
 #[derive(Debug, Subcommand)]
 pub enum QuarantineCommand {
-    /// List the requests that are suspected or held, with the targets that ended.
+    /// List the requests that are suspected or held, with the targets that exited.
     List {
-        /// Where it is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
-    /// Hold a request back until it is lifted.
+    /// Reject a request until the hold is lifted.
     Pin {
-        /// Where it is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// The request's digest, as the logs have it.
+        /// The digest of the request, as shown in the logs.
         digest: String,
     },
-    /// Let a request through again; targets that ended so far do not count any more.
+    /// Accept a request again; targets that exited before no longer count against it.
     Lift {
-        /// Where it is kept.
+        /// The key-value service to use.
         #[command(flatten)]
         service: ServiceArgs,
-        /// The request's digest, as the logs have it.
+        /// The digest of the request, as shown in the logs.
         digest: String,
     },
 }
 
-/// Where the key-value service is.
+/// How to reach the key-value service.
 #[derive(Debug, ClapArgs)]
 pub struct ServiceArgs {
     /// Base URL of the platform's key-value service.
@@ -168,35 +169,35 @@
     pub settings: PathBuf,
 }
 
-/// How to print a result.
+/// Output format of a result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// For scripts.
+    /// JSON, for scripts.
     Json,
 }
 
-/// What causes are counted by.
+/// What the counts of causes are grouped by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum CauseGroup {
     /// The second in which requests ended.
     #[default]
     Second,
-    /// The VM that the collector names before each line.
+    /// The VM that the log collector names before each line.
     Vm,
-    /// The route.
+    /// The route of the request.
     Route,
     /// The target to which a request was sent last.
     Target,
-    /// The digest of requests that were at a target when it ended, or were held back for
-    /// it; other requests are not counted.
+    /// The digest of requests that were running on a target when it exited, or that the quarantine
+    /// rejected; other requests are not counted.
     Digest,
 }
 
 impl CauseGroup {
-    /// Its name in flags and output.
+    /// The name in flags and output.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -209,14 +210,14 @@
     }
 }
 
-/// How to print a report.
+/// Output format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum ReportFormat {
     /// A table.
     #[default]
     Text,
-    /// For scripts.
+    /// JSON, for scripts.
     Json,
-    /// One page with plots.
+    /// An HTML page with plots.
     Html,
 }
--- a/crates/berylhook/src/commands/burn.rs
+++ b/crates/berylhook/src/commands/burn.rs
@@ -1,4 +1,4 @@
-//! `berylhook burn`: the report on service-level burn.
+//! `berylhook burn`: reports how fast catalogue entries use up their error budgets.
 
 mod html;
 
@@ -18,27 +18,27 @@
 use serde::Serialize;
 
 use crate::args::{FleetArgs, ReportFormat};
-use crate::commands::fleet::{Answers, ask_all, block_on};
+use crate::commands::fleet::{FleetReplies, block_on, request_all};
 
-/// The whole report.
+/// The report on all catalogue entries.
 #[derive(Serialize)]
 pub(crate) struct Report {
-    /// Catalogue entries.
+    /// Reports by catalogue entry.
     pub(crate) entries: Vec<EntryReport>,
-    /// Processes that did not answer; their traffic is missing here.
+    /// Processes that did not reply; their traffic is not counted in the report.
     pub(crate) silent: Vec<Arc<str>>,
-    /// Processes that answered.
+    /// Number of processes that replied.
     pub(crate) answered: usize,
 }
 
-/// One catalogue entry's part.
+/// The report on one catalogue entry.
 #[derive(Serialize)]
 pub(crate) struct EntryReport {
-    /// Its name.
+    /// Name of the catalogue entry.
     pub(crate) name: String,
-    /// What its owner promises, where the catalogue could be read.
+    /// The service-level objectives; `None` if the catalogue could not be read.
     pub(crate) objectives: Option<Objectives>,
-    /// Burn by window.
+    /// Burn rates by window.
     pub(crate) windows: Vec<WindowReport>,
     /// Percentiles of the last minutes.
     pub(crate) first_token_ms: Percentiles,
@@ -49,13 +49,13 @@
 /// One window of one entry.
 #[derive(Serialize)]
 pub(crate) struct WindowReport {
-    /// Its length.
+    /// Length of the window.
     pub(crate) length_s: u64,
-    /// Requests in it.
+    /// Requests in the window.
     pub(crate) requests: u64,
-    /// Requests not answered whole.
+    /// Requests without a complete response.
     pub(crate) failed: u64,
-    /// Burn rates; nothing where there was no event.
+    /// Burn rate; `None` if there were no events or the objective is not known.
     pub(crate) availability: Option<f64>,
     /// See `availability`.
     pub(crate) first_token: Option<f64>,
@@ -68,16 +68,16 @@
 pub(crate) struct Percentiles {
     /// Events counted.
     pub(crate) count: u64,
-    /// Half are at most this.
+    /// Median.
     pub(crate) p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub(crate) p95: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub(crate) p99: f64,
 }
 
 #[derive(Default)]
-struct Merged {
+struct MergedCounts {
     windows: IndexMap<u64, SloCounts>,
     first_token: Option<Histogram<u64>>,
     token_gap: Option<Histogram<u64>>,
@@ -87,19 +87,20 @@
 pub(crate) fn run(fleet: &FleetArgs, format: ReportFormat) -> anyhow::Result<ExitCode> {
     let report = block_on(async {
         let kind = question::Kind::Burn(BurnQuestion {});
-        let answers = ask_all(fleet, kind).await?;
-        let catalogue = read_catalogue(&answers.settings.platform.key_value).await?;
-        anyhow::Ok(report_of(&answers, &catalogue))
+        let replies = request_all(fleet, kind).await?;
+        let catalogue = read_catalogue(&replies.settings.platform.key_value).await?;
+        anyhow::Ok(build_report(&replies, &catalogue))
     })??;
     match format {
-        ReportFormat::Text => print!("{}", text_of(&report)),
+        ReportFormat::Text => print!("{}", format_text(&report)),
         ReportFormat::Json => println!("{:#}", serde_json::to_value(&report)?),
-        ReportFormat::Html => print!("{}", html::page(&report)),
+        ReportFormat::Html => print!("{}", html::render_page(&report)),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// The objectives in force; empty in an outage, which leaves the counts.
+/// Reads the catalogue in force for its objectives. It is empty if the key-value service cannot be
+/// reached; the report then has counts but no burn rates.
 async fn read_catalogue(key_value: &str) -> anyhow::Result<Catalogue> {
     let mut stored = StoredCatalogue::default();
     let service = PlatformKeyValue::new(key_value)?;
@@ -111,15 +112,15 @@
                 }
             }
         }
-        Err(error) => eprintln!("burn rates are left out: {error}"),
+        Err(error) => eprintln!("burn rates are not shown: {error}"),
     }
     Ok(Catalogue::parse(&stored.to_ini(0)).unwrap_or_default())
 }
 
-fn report_of(answers: &Answers, catalogue: &Catalogue) -> Report {
-    let mut merged: IndexMap<String, Merged> = IndexMap::new();
-    for (_, answer) in &answers.answered {
-        if let Some(answer::Kind::Burn(burn)) = &answer.kind {
+fn build_report(replies: &FleetReplies, catalogue: &Catalogue) -> Report {
+    let mut merged: IndexMap<String, MergedCounts> = IndexMap::new();
+    for (_, reply) in &replies.by_entry {
+        if let Some(answer::Kind::Burn(burn)) = &reply.kind {
             for entry in &burn.entries {
                 merged.entry(entry.entry.clone()).or_default().add(entry);
             }
@@ -134,15 +135,15 @@
         .collect();
     Report {
         entries,
-        silent: answers.silent.clone(),
-        answered: answers.answered.len(),
+        silent: replies.silent.clone(),
+        answered: replies.by_entry.len(),
     }
 }
 
-impl Merged {
+impl MergedCounts {
     fn add(&mut self, burn: &EntryBurn) {
         for window in &burn.windows {
-            let counts = counts_of(window);
+            let counts = slo_counts(window);
             self.windows
                 .entry(window.length_s)
                 .or_default()
@@ -168,7 +169,7 @@
     }
 }
 
-fn counts_of(window: &BurnWindow) -> SloCounts {
+fn slo_counts(window: &BurnWindow) -> SloCounts {
     SloCounts {
         requests: window.requests,
         failed: window.failed,
@@ -207,7 +208,7 @@
     match sum {
         None => *sum = Some(histogram),
         Some(sum) => {
-            // Both were made with the same bounds.
+            // Both histograms have the same bounds, so adding cannot fail.
             let _ = sum.add(&histogram);
         }
     }
@@ -227,8 +228,8 @@
     }
 }
 
-/// A length such as `5m` or `3d`.
-pub(crate) fn length_of(length_s: u64) -> String {
+/// Formats a window length, such as `5m` or `3d`.
+pub(crate) fn format_length(length_s: u64) -> String {
     match length_s {
         0..3_600 => format!("{}m", length_s / 60),
         3_600..86_400 => format!("{}h", length_s / 3_600),
@@ -236,14 +237,15 @@
     }
 }
 
-fn text_of(report: &Report) -> String {
+fn format_text(report: &Report) -> String {
     use std::fmt::Write;
     let mut text = String::new();
-    let mut line = |words: std::fmt::Arguments<'_>| {
-        text.write_fmt(words).expect("strings can be written to");
+    let mut line = |arguments: std::fmt::Arguments<'_>| {
+        text.write_fmt(arguments)
+            .expect("strings can be written to");
         text.push('\n');
     };
-    let shown = |rate: Option<f64>| rate.map_or("-".to_owned(), |rate| format!("{rate:.2}"));
+    let format_rate = |rate: Option<f64>| rate.map_or("-".to_owned(), |rate| format!("{rate:.2}"));
     for entry in &report.entries {
         line(format_args!("{}", entry.name));
         line(format_args!(
@@ -252,20 +254,20 @@
         for window in &entry.windows {
             line(format_args!(
                 "  {:>6}  {:>8}  {:>7}  {:>12}  {:>11}  {:>9}",
-                length_of(window.length_s),
+                format_length(window.length_s),
                 window.requests,
                 window.failed,
-                shown(window.availability),
-                shown(window.first_token),
-                shown(window.token_gap),
+                format_rate(window.availability),
+                format_rate(window.first_token),
+                format_rate(window.token_gap),
             ));
         }
-        for (what, times) in [
+        for (label, times) in [
             ("first token", &entry.first_token_ms),
             ("token gap", &entry.token_gap_ms),
         ] {
             line(format_args!(
-                "  {what}: p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms of {}",
+                "  {label}: p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms of {}",
                 times.p50, times.p95, times.p99, times.count
             ));
         }
--- a/crates/berylhook/src/commands/burn/html.rs
+++ b/crates/berylhook/src/commands/burn/html.rs
@@ -1,8 +1,8 @@
-//! The report as one page that needs nothing else.
+//! The report as a self-contained HTML page.
 
 use std::fmt::Write;
 
-use super::{EntryReport, Percentiles, Report, WindowReport, length_of};
+use super::{EntryReport, Percentiles, Report, WindowReport, format_length};
 
 const STYLE: &str = "body{font:15px/1.5 system-ui,sans-serif;margin:2rem auto;max-width:54rem;\
 color:#1c2733}h1{font-size:1.4rem}h2{font-size:1.1rem;margin-top:2rem}\
@@ -16,23 +16,23 @@
 /// Height of a bar with its gap.
 const BAR_HEIGHT: f64 = 22.0;
 
-/// Room for the labels left of the bars.
+/// Width of the labels to the left of the bars.
 const LABEL_WIDTH: f64 = 130.0;
 
-/// Burn rates above this use the budget up too fast.
-const TOO_FAST: f64 = 1.0;
+/// Burn rates above this use up the error budget before its period ends.
+const SUSTAINABLE_BURN_RATE: f64 = 1.0;
 
-/// The page.
-pub(super) fn page(report: &Report) -> String {
+/// Renders the page.
+pub(super) fn render_page(report: &Report) -> String {
     let mut page = format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Service-level burn</title>\
          <style>{STYLE}</style><h1>Service-level burn</h1>\
-         <p class=note>{} processes answered. A rate of 1 uses the error budget up exactly; \
-         above 1 it will not last.</p>",
+         <p class=note>{} processes answered. A rate of 1 uses up the error budget exactly; \
+         above 1 it runs out early.</p>",
         report.answered
     );
     for name in &report.silent {
-        push(
+        append(
             &mut page,
             format_args!(
                 "<p class=bad>{} did not answer; its traffic is missing here.</p>",
@@ -41,16 +41,16 @@
         );
     }
     for entry in &report.entries {
-        section(&mut page, entry);
+        write_section(&mut page, entry);
     }
     page.push_str("</html>\n");
     page
 }
 
-fn section(page: &mut String, entry: &EntryReport) {
-    push(page, format_args!("<h2>{}</h2>", escape(&entry.name)));
+fn write_section(page: &mut String, entry: &EntryReport) {
+    append(page, format_args!("<h2>{}</h2>", escape(&entry.name)));
     if let Some(objectives) = &entry.objectives {
-        push(
+        append(
             page,
             format_args!(
                 "<p class=note>Objectives: {}% answered whole; first token within {} ms and tokens \
@@ -67,43 +67,43 @@
          <th>Token gap</tr>",
     );
     for window in &entry.windows {
-        row(page, window);
+        write_row(page, window);
     }
     page.push_str("</table>");
-    plot(page, entry);
+    write_plot(page, entry);
 }
 
-fn row(page: &mut String, window: &WindowReport) {
-    push(
+fn write_row(page: &mut String, window: &WindowReport) {
+    append(
         page,
         format_args!(
             "<tr><td>{}<td>{}<td>{}{}{}{}</tr>",
-            length_of(window.length_s),
+            format_length(window.length_s),
             window.requests,
             window.failed,
-            cell(window.availability),
-            cell(window.first_token),
-            cell(window.token_gap),
+            format_cell(window.availability),
+            format_cell(window.first_token),
+            format_cell(window.token_gap),
         ),
     );
 }
 
-fn cell(rate: Option<f64>) -> String {
+fn format_cell(rate: Option<f64>) -> String {
     match rate {
         None => "<td>&ndash;".to_owned(),
-        Some(rate) if rate > TOO_FAST => format!("<td class=bad>{rate:.2}"),
+        Some(rate) if rate > SUSTAINABLE_BURN_RATE => format!("<td class=bad>{rate:.2}"),
         Some(rate) => format!("<td>{rate:.2}"),
     }
 }
 
-/// Bars of the percentiles, one scale for each of the two latencies.
-fn plot(page: &mut String, entry: &EntryReport) {
+/// Draws the percentiles as bars, with a separate scale for each of the two latencies.
+fn write_plot(page: &mut String, entry: &EntryReport) {
     let rows = [
         ("first token", &entry.first_token_ms),
         ("token gap", &entry.token_gap_ms),
     ];
     let height = BAR_HEIGHT * 6.0;
-    push(
+    append(
         page,
         format_args!(
             "<svg width={PLOT_WIDTH} height={height} role=img aria-label=\"latency percentiles\" \
@@ -111,21 +111,21 @@
         ),
     );
     let mut top = 0.0;
-    for (what, times) in rows {
-        top = bars(page, what, times, top);
+    for (label, times) in rows {
+        top = draw_bars(page, label, times, top);
     }
     page.push_str("</svg>");
 }
 
-fn bars(page: &mut String, what: &str, times: &Percentiles, mut top: f64) -> f64 {
-    let longest = times.p99.max(f64::MIN_POSITIVE);
-    let room = PLOT_WIDTH - LABEL_WIDTH - 90.0;
+fn draw_bars(page: &mut String, label: &str, times: &Percentiles, mut top: f64) -> f64 {
+    let max_value = times.p99.max(f64::MIN_POSITIVE);
+    let max_bar_width = PLOT_WIDTH - LABEL_WIDTH - 90.0;
     for (name, value) in [("p50", times.p50), ("p95", times.p95), ("p99", times.p99)] {
-        let width = (value / longest * room).max(1.0);
-        push(
+        let width = (value / max_value * max_bar_width).max(1.0);
+        append(
             page,
             format_args!(
-                "<text x=0 y={}>{what} {name}</text>\
+                "<text x=0 y={}>{label} {name}</text>\
              <rect x={LABEL_WIDTH} y={} width={width:.1} height=14 fill=\"#2a6f97\"/>\
              <text x={:.1} y={}>{value:.1} ms</text>",
                 top + 13.0,
@@ -139,8 +139,9 @@
     top
 }
 
-fn push(page: &mut String, words: std::fmt::Arguments<'_>) {
-    page.write_fmt(words).expect("strings can be written to");
+fn append(page: &mut String, arguments: std::fmt::Arguments<'_>) {
+    page.write_fmt(arguments)
+        .expect("strings can be written to");
 }
 
 fn escape(text: &str) -> String {
--- a/crates/berylhook/src/commands/catalogue.rs
+++ b/crates/berylhook/src/commands/catalogue.rs
@@ -1,9 +1,8 @@
-//! `berylhook catalogue`: reading and changing what is in force.
+//! `berylhook catalogue`: reads and changes the catalogue in force.
 //!
-//! A change names the revision it was based on. If another operator's change
-//! came in between, nothing is written and the difference is shown. If the
-//! answer to the write is lost, the change's id is read back before anything
-//! is said.
+//! A change names the revision it is based on. If another operator's change was accepted in
+//! between, nothing is written and the difference is shown. If the response to the write is lost,
+//! the change's id is read back before a result is reported.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -26,14 +25,14 @@
 
 use crate::args::{CatalogueCommand, Format};
 
-/// Exit code where another change came first.
-const CONFLICT: u8 = 2;
+/// Exit code if another change was accepted first.
+const EXIT_CONFLICT: u8 = 2;
 
-/// Tries to write a change, or to find out what became of it.
-const COMMIT_TRIES: u32 = 20;
+/// Attempts to write a change, or to find out whether it was written.
+const MAX_COMMIT_ATTEMPTS: u32 = 20;
 
-/// Wait between two of them.
-const COMMIT_WAIT: Duration = Duration::from_millis(250);
+/// Delay between two attempts.
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Runs one of the catalogue commands.
 pub(crate) fn run(command: &CatalogueCommand) -> anyhow::Result<ExitCode> {
@@ -72,16 +71,16 @@
     })
 }
 
-/// What the service holds.
-struct Read {
+/// The catalogue as stored in the key-value service, with its revision.
+struct CatalogueSnapshot {
     stored: StoredCatalogue,
     /// Revision of the last accepted change; 0 before the first.
     revision: i64,
 }
 
-async fn read(key_value: &dyn KeyValue) -> Result<Read, KvError> {
-    // The head first: if a change comes in between, it is in the range but
-    // not in the revision, and `apply` then finds that it was overtaken.
+async fn read(key_value: &dyn KeyValue) -> Result<CatalogueSnapshot, KvError> {
+    // The head is read first: a change made between the two reads is then in the range but not in
+    // the revision, and `apply` detects that its revision is out of date.
     let head = key_value.range(CATALOGUE_HEAD_KEY).await?;
     let range = key_value.range(CATALOGUE_PREFIX).await?;
     let mut stored = StoredCatalogue::default();
@@ -90,31 +89,31 @@
             stored.add(key, &kv.value);
         }
     }
-    Ok(Read {
+    Ok(CatalogueSnapshot {
         stored,
         revision: head.kvs.first().map_or(0, |kv| kv.mod_revision),
     })
 }
 
 async fn get(key_value: &dyn KeyValue, format: Format) -> anyhow::Result<ExitCode> {
-    let read = read(key_value).await?;
+    let current = read(key_value).await?;
     match format {
-        Format::Text => print!("{}", read.stored.to_ini(read.revision)),
+        Format::Text => print!("{}", current.stored.to_ini(current.revision)),
         Format::Json => {
-            let items: serde_json::Map<_, _> = read
+            let items: serde_json::Map<_, _> = current
                 .stored
                 .items
                 .iter()
-                .filter_map(|(id, known)| {
-                    let settings = known.settings.as_ref()?;
+                .filter_map(|(id, item)| {
+                    let settings = item.settings.as_ref()?;
                     let value = serde_json::json!({
-                        "version": known.version,
+                        "version": item.version,
                         "settings": settings,
                     });
                     Some((id.to_string(), value))
                 })
                 .collect();
-            let value = serde_json::json!({"revision": read.revision, "items": items});
+            let value = serde_json::json!({"revision": current.revision, "items": items});
             println!("{value:#}");
         }
     }
@@ -123,14 +122,14 @@
 
 async fn diff(key_value: &dyn KeyValue, file: &Path) -> anyhow::Result<ExitCode> {
     let text = read_file(file)?;
-    let read = read(key_value).await?;
-    print!("{}", diff_of(&read, &text));
+    let current = read(key_value).await?;
+    print!("{}", unified_diff(&current, &text));
     Ok(ExitCode::SUCCESS)
 }
 
-fn diff_of(read: &Read, wanted: &str) -> String {
-    let in_force = read.stored.to_ini(read.revision);
-    TextDiff::from_lines(&in_force, wanted)
+fn unified_diff(current: &CatalogueSnapshot, desired: &str) -> String {
+    let in_force = current.stored.to_ini(current.revision);
+    TextDiff::from_lines(&in_force, desired)
         .unified_diff()
         .header("in force", "the file")
         .to_string()
@@ -141,7 +140,7 @@
         .with_context(|| format!("{} cannot be read; check the path", path.display()))
 }
 
-/// One `catalogue apply`.
+/// The arguments of `catalogue apply`.
 struct Apply<'a> {
     file: &'a Path,
     based_on: Option<i64>,
@@ -152,18 +151,18 @@
 impl Apply<'_> {
     async fn run(&self, key_value: &dyn KeyValue) -> anyhow::Result<ExitCode> {
         let text = read_file(self.file)?;
-        let wanted = parse_desired(&text).with_context(|| self.file.display().to_string())?;
+        let desired = parse_desired(&text).with_context(|| self.file.display().to_string())?;
         let Some(based_on) = self.based_on.or_else(|| base_revision(&text)) else {
             bail!(
                 "the file does not say which revision it is based on; start from `berylhook \
                  catalogue get`, or give --based-on (0 for the very first)"
             );
         };
-        let read = read(key_value).await?;
-        if read.revision != based_on {
-            return Ok(conflict(&read, based_on, &text));
+        let current = read(key_value).await?;
+        if current.revision != based_on {
+            return Ok(report_conflict(&current, based_on, &text));
         }
-        let changes = read.stored.changes_to(&wanted, self.remove)?;
+        let changes = current.stored.changes_to(&desired, self.remove)?;
         if changes.is_empty() {
             println!("nothing to change; revision {based_on} stays in force");
             return Ok(ExitCode::SUCCESS);
@@ -182,8 +181,8 @@
         let txn = self.txn(based_on, changes, &change_id);
         let accepted = commit(key_value, txn, &changes[0], &change_id).await?;
         if !accepted {
-            let read = read(key_value).await?;
-            return Ok(conflict(&read, based_on, text));
+            let current = read(key_value).await?;
+            return Ok(report_conflict(&current, based_on, text));
         }
         for change in changes {
             let verb = if change.settings.is_some() {
@@ -242,21 +241,21 @@
     }
 }
 
-fn conflict(read: &Read, based_on: i64, text: &str) -> ExitCode {
+fn report_conflict(current: &CatalogueSnapshot, based_on: i64, text: &str) -> ExitCode {
     eprintln!(
         "not applied: the file is based on revision {based_on}, but {} is in force. Take the \
          difference below into a fresh `berylhook catalogue get` and apply that:",
-        read.revision
+        current.revision
     );
-    print!("{}", diff_of(read, text));
-    ExitCode::from(CONFLICT)
+    print!("{}", unified_diff(current, text));
+    ExitCode::from(EXIT_CONFLICT)
 }
 
-/// Commits a change; if the answer is lost, finds out what became of it.
+/// Commits a change; if the response is lost, finds out whether the change was written.
 ///
-/// The same transaction may be sent again: it only takes effect where its
-/// keys are absent and the head is unchanged, so a copy of a write that took
-/// effect fails, and the change's id then tells whose write it was.
+/// The same transaction may be sent again: it only takes effect if its keys are absent and the head
+/// is unchanged. A repeat of a write that took effect therefore fails, and the stored change id
+/// then shows which write took effect.
 async fn commit(
     key_value: &dyn KeyValue,
     txn: Txn,
@@ -264,20 +263,20 @@
     change_id: &str,
 ) -> anyhow::Result<bool> {
     let key = version_key(&change.id, change.version);
-    let mut is_in_doubt = false;
-    for _ in 0..COMMIT_TRIES {
+    let mut may_be_written = false;
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
         match key_value.commit(txn.clone()).await {
-            Ok(answer) if answer.succeeded => return Ok(true),
-            Ok(_) if !is_in_doubt => return Ok(false),
+            Ok(outcome) if outcome.succeeded => return Ok(true),
+            Ok(_) if !may_be_written => return Ok(false),
             Ok(_) => return was_written(key_value, &key, change_id).await,
             Err(error) if error.may_have_applied() => {
-                eprintln!("the answer to the write was lost; finding out what became of it");
-                is_in_doubt = true;
+                eprintln!("the answer to the write was lost; checking whether it was written");
+                may_be_written = true;
             }
-            Err(error) if is_in_doubt => eprintln!("still in doubt: {error}"),
+            Err(error) if may_be_written => eprintln!("outcome still unknown: {error}"),
             Err(error) => return Err(error.into()),
         }
-        tokio::time::sleep(COMMIT_WAIT).await;
+        tokio::time::sleep(COMMIT_RETRY_DELAY).await;
     }
     bail!(
         "it is not known whether change {change_id} was written; look for it with `berylhook \
@@ -297,9 +296,9 @@
     Some(document.change_id.to_string())
 }
 
-/// A version of an item as `history` shows it.
+/// A version of an item, as shown by `history`.
 #[derive(Serialize)]
-struct Version {
+struct VersionRow {
     version: u64,
     is_valid: bool,
     author: String,
@@ -311,7 +310,7 @@
     let id: ItemId = item.parse()?;
     let prefix = format!("{CATALOGUE_PREFIX}{}/{}/", id.kind.as_str(), id.name);
     let range = key_value.range(&prefix).await?;
-    let versions: Vec<_> = range.kvs.iter().filter_map(version_of).collect();
+    let versions: Vec<_> = range.kvs.iter().filter_map(parse_version).collect();
     match format {
         Format::Json => println!("{:#}", serde_json::to_value(&versions)?),
         Format::Text => {
@@ -331,12 +330,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn version_of(kv: &Kv) -> Option<Version> {
+fn parse_version(kv: &Kv) -> Option<VersionRow> {
     let key = parse_version_key(&kv.key)?;
-    let mut check = StoredCatalogue::default();
+    let mut stored = StoredCatalogue::default();
     let version = key.version;
-    check.add(key, &kv.value);
-    let is_valid = check.items.values().any(|known| known.version == version);
+    stored.add(key, &kv.value);
+    let is_valid = stored.items.values().any(|item| item.version == version);
     let document: Option<Document> = serde_json::from_slice(&kv.value).ok();
     let document = document.unwrap_or(Document {
         change_id: "?".into(),
@@ -344,7 +343,7 @@
         applied_unix_ms: 0,
         settings: None,
     });
-    Some(Version {
+    Some(VersionRow {
         version,
         is_valid,
         author: document.author.to_string(),
--- a/crates/berylhook/src/commands/causes.rs
+++ b/crates/berylhook/src/commands/causes.rs
@@ -1,13 +1,12 @@
-//! `berylhook causes`: why requests were late or not answered, from the logs of
-//! entries.
+//! `berylhook causes`: counts why requests were late or not answered, from the logs of entries.
 //!
-//! Each request leaves one line at its end, which says how it ended and where its
-//! time went. This counts those lines by cause, and by the second of their end or by
-//! what else was asked for. Collectors write a time and the VM's name before each
-//! line, so a line is read from its first brace on. A line that is no record of a
-//! request's end is passed over; one that cannot be read is counted, since a cut line at
-//! the end of a log is common. Where many cannot be read the file is no such log, and
-//! an empty table would hide that.
+//! Each request logs one line when it ends, with its outcome and where its time was spent. Those
+//! lines are counted by cause, grouped by the second of their end or by another property. Log
+//! collectors write a time and the VM's name before each line, so a line is parsed from its first
+//! brace on. A line that does not record the end of a request is skipped. A line that cannot be
+//! parsed is counted, since a truncated line at the end of a log is common. If many lines cannot be
+//! parsed, the file is not the log of an entry, and the command fails, as an empty table would hide
+//! that.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -21,41 +20,43 @@
 
 use crate::args::{CauseGroup, Format};
 
-/// Length of a timestamp up to its second: `2026-01-01 00:00:00`.
-const SECOND_LENGTH: usize = 19;
+/// Length of a timestamp up to and including its second: `2026-01-01 00:00:00`.
+const TIMESTAMP_LEN: usize = 19;
 
-/// The text of the line that ends a request.
-const END_LINE: &str = "request ended";
+/// Text of the log line about the end of a request.
+const REQUEST_ENDED_TEXT: &str = "request ended";
 
-/// The text of the line that lays a target's end to a request that was there.
-const TARGET_ENDED_LINE: &str = "a target ended with a request";
+/// Text of the log line that attributes a target's exit to a request it was running.
+const TARGET_EXIT_TEXT: &str = "a target ended with a request";
 
-/// The text of the line that tells of a request that was not sent for it.
-const HELD_BACK_LINE: &str = "a request was held back";
+/// Text of the log line about a request that the quarantine rejected.
+const REJECTED_TEXT: &str = "a request was held back";
 
-/// Of so many lines, one that cannot be read may be a cut one.
-const MOST_UNREADABLE: u64 = 10;
+/// Up to this many lines that cannot be parsed are accepted in any log, since they may be
+/// truncated.
+const MAX_UNREADABLE_LINES: u64 = 10;
 
-/// A line of a log, as far as it matters here.
+/// The fields of a log line that are used here.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     timestamp: String,
     text: String,
     #[serde(default)]
     kv: serde_json::Value,
 }
 
-/// How a request ended and where its time went.
+/// The outcome of a request and where its time was spent.
 #[derive(Debug, Deserialize)]
-struct End {
+struct RequestEnd {
     outcome: String,
-    /// From its arrival to its first event or whole answer.
+    /// Time from the arrival of the request to its first event or complete response.
     first_ms: u64,
-    /// Spent waiting for places at the entry.
+    /// Time spent at the entry waiting for a slot at a target.
     waited_ms: u64,
     longest_pause_ms: u64,
+    /// Objective for the time to the first event or the complete response.
     goal_ms: u64,
-    /// 0 for answers that come all at once.
+    /// Objective for the longest pause between events; 0 for responses that arrive in one piece.
     pause_goal_ms: u64,
     #[serde(default)]
     route: String,
@@ -63,16 +64,16 @@
     last_target: String,
 }
 
-impl End {
-    /// The cause in a word or two.
+impl RequestEnd {
+    /// The name of the cause.
     fn cause(&self) -> &str {
-        let is_answered = matches!(self.outcome.as_str(), "streamed" | "answered");
+        let has_response = matches!(self.outcome.as_str(), "streamed" | "answered");
         let is_late = self.first_ms > self.goal_ms;
-        let has_paused = self.pause_goal_ms > 0 && self.longest_pause_ms > self.pause_goal_ms;
-        match is_answered {
+        let is_paused = self.pause_goal_ms > 0 && self.longest_pause_ms > self.pause_goal_ms;
+        match has_response {
             false => &self.outcome,
-            true if is_late && has_paused => "late, and paused",
-            true if has_paused => "paused",
+            true if is_late && is_paused => "late, and paused",
+            true if is_paused => "paused",
             true if is_late && self.waited_ms * 2 > self.first_ms => "late, waited here",
             true if is_late => "late at the target",
             true => "in goal",
@@ -80,18 +81,18 @@
     }
 }
 
-/// Counts by cause, for one second, VM or the like.
-type Causes = BTreeMap<String, u64>;
+/// Number of requests by cause, within one group.
+type CauseCounts = BTreeMap<String, u64>;
 
-/// The VM that a collector names before a line: the last word before the brace.
-fn vm_of(prefix: &str) -> &str {
+/// The VM that the log collector names before a line: the last word before the brace.
+fn vm_name(prefix: &str) -> &str {
     prefix.split_whitespace().last().unwrap_or("-")
 }
 
 #[derive(Debug)]
 struct Report {
     group: CauseGroup,
-    by_group: IndexMap<String, Causes>,
+    by_group: IndexMap<String, CauseCounts>,
     lines: u64,
     unreadable: u64,
 }
@@ -112,22 +113,22 @@
         }
         self.lines += 1;
         let (prefix, record) = text.split_at(text.find('{').unwrap_or(0));
-        let Ok(line) = serde_json::from_str::<Line>(record) else {
+        let Ok(line) = serde_json::from_str::<LogLine>(record) else {
             self.unreadable += 1;
             return;
         };
         match (self.group, line.text.as_str()) {
-            (CauseGroup::Digest, text) => return self.add_suspicion(text, &line.kv),
-            (_, END_LINE) => {}
+            (CauseGroup::Digest, text) => return self.add_quarantine_line(text, &line.kv),
+            (_, REQUEST_ENDED_TEXT) => {}
             _ => return,
         }
-        let Ok(end) = End::deserialize(&line.kv) else {
+        let Ok(end) = RequestEnd::deserialize(&line.kv) else {
             self.unreadable += 1;
             return;
         };
         let group = match self.group {
-            CauseGroup::Second => line.timestamp.chars().take(SECOND_LENGTH).collect(),
-            CauseGroup::Vm => vm_of(prefix).to_owned(),
+            CauseGroup::Second => line.timestamp.chars().take(TIMESTAMP_LEN).collect(),
+            CauseGroup::Vm => vm_name(prefix).to_owned(),
             CauseGroup::Route => end.route.clone(),
             CauseGroup::Target => end.last_target.clone(),
             CauseGroup::Digest => return,
@@ -136,33 +137,34 @@
         *causes.entry(end.cause().to_owned()).or_default() += 1;
     }
 
-    /// Counts a line that tells of a request under which targets end.
-    fn add_suspicion(&mut self, text: &str, kv: &serde_json::Value) {
-        let word = |name: &str| kv[name].as_str().unwrap_or("-").to_owned();
+    /// Counts a line about a request that was running on a target when it exited, or was rejected
+    /// for that.
+    fn add_quarantine_line(&mut self, text: &str, kv: &serde_json::Value) {
+        let text_field = |name: &str| kv[name].as_str().unwrap_or("-").to_owned();
         let cause = match text {
-            TARGET_ENDED_LINE => format!("ended {}", word("target")),
-            HELD_BACK_LINE => "held back".to_owned(),
+            TARGET_EXIT_TEXT => format!("ended {}", text_field("target")),
+            REJECTED_TEXT => "held back".to_owned(),
             _ => return,
         };
-        let group = format!("{} of {}", word("digest"), word("account"));
+        let group = format!("{} of {}", text_field("digest"), text_field("account"));
         let causes = self.by_group.entry(group).or_default();
         *causes.entry(cause).or_default() += 1;
     }
 
-    /// Whether what was read is a log of entries at all.
+    /// Returns an error if the lines read are not from the log of an entry.
     fn check(&self) -> anyhow::Result<()> {
         let (lines, unreadable) = (self.lines, self.unreadable);
-        if unreadable > MOST_UNREADABLE && unreadable * 10 > lines {
+        if unreadable > MAX_UNREADABLE_LINES && unreadable * 10 > lines {
             bail!(
                 "{unreadable} of {lines} lines could not be read; name logs of entries, \
-                 with one JSON object a line behind whatever the collector writes first"
+                 with one JSON object per line after the collector's prefix"
             );
         }
         Ok(())
     }
 
-    fn total(&self) -> Causes {
-        let mut total = Causes::new();
+    fn total(&self) -> CauseCounts {
+        let mut total = CauseCounts::new();
         for (cause, count) in self.by_group.values().flatten() {
             *total.entry(cause.clone()).or_default() += count;
         }
@@ -171,31 +173,31 @@
 
     fn print(&self) {
         for (group, causes) in &self.by_group {
-            println!("{group:SECOND_LENGTH$}  {}", line_of(causes));
+            println!("{group:TIMESTAMP_LEN$}  {}", format_counts(causes));
         }
-        println!("{:SECOND_LENGTH$}  {}", "all", line_of(&self.total()));
+        println!("{:TIMESTAMP_LEN$}  {}", "all", format_counts(&self.total()));
         if self.unreadable > 0 {
             println!("{} lines could not be read", self.unreadable);
         }
     }
 }
 
-fn line_of(causes: &Causes) -> String {
+fn format_counts(causes: &CauseCounts) -> String {
     let words = causes
         .iter()
         .map(|(cause, count)| format!("{cause} {count}"));
     words.collect::<Vec<_>>().join(";  ")
 }
 
-/// Prints the causes found in the logs.
+/// Prints the counts of the causes found in the logs.
 pub(crate) fn run(logs: &[PathBuf], group: CauseGroup, format: Format) -> anyhow::Result<ExitCode> {
     let mut report = Report::new(group);
     for path in logs {
-        let shown = path.display();
-        let remedy = || format!("{shown} cannot be read; name the log of an entry");
-        let file = std::fs::File::open(path).with_context(remedy)?;
+        let display = path.display();
+        let error_context = || format!("{display} cannot be read; name the log of an entry");
+        let file = std::fs::File::open(path).with_context(error_context)?;
         for line in BufReader::new(file).lines() {
-            report.add(&line.with_context(remedy)?);
+            report.add(&line.with_context(error_context)?);
         }
     }
     report.check()?;
--- a/crates/berylhook/src/commands/check.rs
+++ b/crates/berylhook/src/commands/check.rs
@@ -7,24 +7,25 @@
 use berylhook_operator::settings::{AgentSettings, EntrySettings};
 use berylhook_operator::{Catalogue, IniError, IniFile};
 
-/// Checks the file and says what it is.
+/// Checks the file, and prints a description of it or the first error.
 pub(crate) fn run(path: &Path) -> anyhow::Result<ExitCode> {
-    let shown = path.display();
+    let display = path.display();
     let text = std::fs::read_to_string(path)
-        .with_context(|| format!("{shown} cannot be read; check the path and its permissions"))?;
+        .with_context(|| format!("{display} cannot be read; check the path and its permissions"))?;
     match describe(&text) {
         Ok(description) => {
-            println!("{shown}: {description}");
+            println!("{display}: {description}");
             Ok(ExitCode::SUCCESS)
         }
         Err(error) => {
-            eprintln!("{shown}: {error}");
+            eprintln!("{display}: {error}");
             Ok(ExitCode::FAILURE)
         }
     }
 }
 
-/// What kind of file it is shows in its sections.
+/// Parses the file and describes it. Its sections show whether it is a settings file or a
+/// catalogue.
 fn describe(text: &str) -> Result<String, IniError> {
     let file = IniFile::parse(text)?;
     if file.section("entry").is_some() {
--- a/crates/berylhook/src/commands/fleet.rs
+++ b/crates/berylhook/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking all entries of the platform's list.
+//! Sends requests to all entries on the platform's list.
 
 use std::sync::Arc;
 
@@ -8,58 +8,61 @@
 use berylhook_peer::{Key, KeyRing};
 
 use crate::args::FleetArgs;
-use crate::serve::peers::ask_as;
+use crate::serve::peers::send_request_as;
 
-/// What the entries answered.
-pub(crate) struct Answers {
-    /// Answers by entry.
-    pub(crate) answered: Vec<(Arc<str>, Answer)>,
-    /// Entries that did not answer.
+/// The replies of the entries.
+pub(crate) struct FleetReplies {
+    /// Replies, with the name of the entry.
+    pub(crate) by_entry: Vec<(Arc<str>, Answer)>,
+    /// Entries that did not reply.
     pub(crate) silent: Vec<Arc<str>>,
-    /// The settings that were used to ask.
+    /// The settings that were used to reach the entries.
     pub(crate) settings: EntrySettings,
 }
 
-/// Asks every entry the same question.
-pub(crate) async fn ask_all(fleet: &FleetArgs, kind: question::Kind) -> anyhow::Result<Answers> {
+/// Sends the same request to every entry.
+pub(crate) async fn request_all(
+    fleet: &FleetArgs,
+    kind: question::Kind,
+) -> anyhow::Result<FleetReplies> {
     let settings = crate::read_settings(&fleet.settings)?;
     let keys = KeyRing::new(Key::parse(&settings.trust.key)?, None);
     let vms = HttpVmList::new(&settings.platform.vm_list).read().await?;
     let entries: Vec<Vm> = vms.into_iter().filter(|vm| vm.service.is_empty()).collect();
-    let asked: Vec<_> = entries
+    let requests: Vec<_> = entries
         .into_iter()
         .map(|vm| {
             let keys = keys.clone();
             let kind = kind.clone();
             tokio::task::spawn_local(async move {
-                let answer = ask_as(&keys, "operator", vm.address, kind).await;
-                (vm.name, answer)
+                let reply = send_request_as(&keys, "operator", vm.address, kind).await;
+                (vm.name, reply)
             })
         })
         .collect();
-    let mut answers = Answers {
-        answered: Vec::new(),
+    let mut fleet_replies = FleetReplies {
+        by_entry: Vec::new(),
         silent: Vec::new(),
         settings,
     };
-    for asked in asked {
-        let (name, answer) = asked.await?;
-        match answer {
-            Ok(answer) => answers.answered.push((name, answer)),
+    for request in requests {
+        let (name, reply) = request.await?;
+        match reply {
+            Ok(reply) => fleet_replies.by_entry.push((name, reply)),
             Err(error) => {
                 log::debug!("{name}: {error:#}");
-                answers.silent.push(name);
+                fleet_replies.silent.push(name);
             }
         }
     }
-    Ok(answers)
+    Ok(fleet_replies)
 }
 
-/// Runs `work` on a runtime of its own.
-pub(crate) fn block_on<T>(work: impl Future<Output = T>) -> anyhow::Result<T> {
+/// Runs `future` on a runtime of its own.
+pub(crate) fn block_on<T>(future: impl Future<Output = T>) -> anyhow::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let tasks = tokio::task::LocalSet::new();
-    Ok(tasks.block_on(&runtime, work))
+    Ok(tasks.block_on(&runtime, future))
 }
--- a/crates/berylhook/src/commands/quarantine.rs
+++ b/crates/berylhook/src/commands/quarantine.rs
@@ -1,8 +1,8 @@
-//! `berylhook quarantine`: which requests are held back because targets end under them.
+//! `berylhook quarantine`: lists and changes which requests are rejected because targets exited
+//! while running them.
 //!
-//! What is shown and changed stands in the platform's store, so it works while no entry
-//! runs, and all entries follow it. A change that another one overtook is made again on
-//! what that one left.
+//! The data is in the platform's store, so the commands work while no entry runs, and all entries
+//! follow its changes. A change that conflicts with a concurrent one is made again on top of it.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,26 +19,26 @@
 
 use crate::args::{Format, QuarantineCommand};
 
-/// Tries to write a change before others are blamed for overtaking each.
-const COMMIT_TRIES: u32 = 5;
+/// Attempts to write a change before the command fails because of concurrent changes.
+const MAX_COMMIT_ATTEMPTS: u32 = 5;
 
-/// What the store has of one request.
+/// The data in the store about one request.
 #[derive(Debug, Default)]
-struct Known {
-    ends: IndexSet<Arc<str>>,
+struct RequestRecord {
+    exited_targets: IndexSet<Arc<str>>,
     hold: Option<Hold>,
     /// Revision of the hold; `None` if there is none.
     revision: Option<i64>,
 }
 
-impl Known {
-    fn kind(&self) -> &'static str {
+impl RequestRecord {
+    fn status_name(&self) -> &'static str {
         let kind = self.hold.as_ref().map(|hold| hold.kind);
         kind.map_or("suspected", stored::kind_name)
     }
 }
 
-/// Runs one of the commands.
+/// Runs one of the quarantine commands.
 pub(crate) fn run(command: &QuarantineCommand) -> anyhow::Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -50,30 +50,30 @@
             }
             QuarantineCommand::Pin { service, digest } => {
                 let key_value = PlatformKeyValue::new(&service.key_value)?;
-                change(&key_value, digest.parse()?, HoldKind::Pinned).await
+                write_hold(&key_value, digest.parse()?, HoldKind::Pinned).await
             }
             QuarantineCommand::Lift { service, digest } => {
                 let key_value = PlatformKeyValue::new(&service.key_value)?;
-                change(&key_value, digest.parse()?, HoldKind::Lifted).await
+                write_hold(&key_value, digest.parse()?, HoldKind::Lifted).await
             }
         }
     })
 }
 
-async fn read(key_value: &dyn KeyValue) -> anyhow::Result<IndexMap<RequestDigest, Known>> {
-    let mut known: IndexMap<RequestDigest, Known> = IndexMap::new();
+async fn read(key_value: &dyn KeyValue) -> anyhow::Result<IndexMap<RequestDigest, RequestRecord>> {
+    let mut records: IndexMap<RequestDigest, RequestRecord> = IndexMap::new();
     for item in key_value.range(stored::PREFIX).await?.kvs {
         match stored::read(&item.key, Some(&item.value)) {
             Ok(StoredItem::Exit {
                 target, suspects, ..
             }) => {
                 for suspect in suspects {
-                    let request = known.entry(suspect.digest).or_default();
-                    request.ends.insert(Arc::clone(&target));
+                    let request = records.entry(suspect.digest).or_default();
+                    request.exited_targets.insert(Arc::clone(&target));
                 }
             }
             Ok(StoredItem::Hold { digest, hold }) => {
-                let request = known.entry(digest).or_default();
+                let request = records.entry(digest).or_default();
                 request.hold = hold;
                 request.revision = Some(item.mod_revision);
             }
@@ -81,28 +81,38 @@
             Err(error) => eprintln!("{}: {error}", item.key),
         }
     }
-    Ok(known)
+    Ok(records)
 }
 
 async fn list(key_value: &dyn KeyValue, format: Format) -> anyhow::Result<ExitCode> {
-    let mut known = read(key_value).await?;
-    // What is held first, then by the number of targets that ended.
-    known.sort_by_key(|_, it| std::cmp::Reverse((it.hold.is_some(), it.ends.len())));
+    let mut records = read(key_value).await?;
+    // Requests with a hold first, then by the number of targets that exited.
+    records.sort_by_key(|_, record| {
+        std::cmp::Reverse((record.hold.is_some(), record.exited_targets.len()))
+    });
     match format {
         Format::Text => {
-            for (digest, it) in &known {
-                let ends: Vec<&str> = it.ends.iter().map(|end| &**end).collect();
-                println!("{digest}  {:9}  ended: {}", it.kind(), ends.join(" "));
+            for (digest, record) in &records {
+                let exited_targets: Vec<&str> = record
+                    .exited_targets
+                    .iter()
+                    .map(|target| &**target)
+                    .collect();
+                println!(
+                    "{digest}  {:9}  ended: {}",
+                    record.status_name(),
+                    exited_targets.join(" ")
+                );
             }
         }
         Format::Json => {
-            let rows = known.iter().map(|(digest, it)| {
+            let rows = records.iter().map(|(digest, record)| {
                 json!({
                     "digest": digest.to_string(),
-                    "standing": it.kind(),
-                    "ended": it.ends,
-                    "since_unix_ms": it.hold.as_ref().map(|hold| hold.since.0),
-                    "failed_trials": it.hold.as_ref().map(|hold| hold.failed_trials),
+                    "standing": record.status_name(),
+                    "ended": record.exited_targets,
+                    "since_unix_ms": record.hold.as_ref().map(|hold| hold.since.0),
+                    "failed_trials": record.hold.as_ref().map(|hold| hold.failed_trials),
                 })
             });
             println!("{:#}", rows.collect::<serde_json::Value>());
@@ -111,26 +121,26 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn change(
+async fn write_hold(
     key_value: &dyn KeyValue,
     digest: RequestDigest,
     kind: HoldKind,
 ) -> anyhow::Result<ExitCode> {
-    for _ in 0..COMMIT_TRIES {
-        let known = read(key_value)
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
+        let record = read(key_value)
             .await?
             .swap_remove(&digest)
             .unwrap_or_default();
         let key = stored::hold_key(digest);
         let hold = Hold {
             lifted: match kind {
-                HoldKind::Lifted => known.ends.into_iter().collect(),
+                HoldKind::Lifted => record.exited_targets.into_iter().collect(),
                 HoldKind::Held | HoldKind::Pinned => Vec::new(),
             },
             ..Hold::new(kind, WallMs::now())
         };
         let txn = Txn {
-            compares: vec![match known.revision {
+            compares: vec![match record.revision {
                 Some(revision) => Compare::ModRevision(Arc::clone(&key), revision),
                 None => Compare::Absent(Arc::clone(&key)),
             }],
@@ -146,5 +156,5 @@
             return Ok(ExitCode::SUCCESS);
         }
     }
-    bail!("others changed {digest} each time; look at `berylhook quarantine list` and try again")
+    bail!("others changed {digest} each time; check `berylhook quarantine list` and try again")
 }
--- a/crates/berylhook/src/lib.rs
+++ b/crates/berylhook/src/lib.rs
@@ -1,9 +1,8 @@
 //! The entry daemon and the operators' commands.
 //!
-//! `berylhook serve` takes callers' requests, decides where each goes, and
-//! streams the answer back. The other commands are for operators. The
-//! decisions are those of `berylhook-core`; this package gives them sockets,
-//! threads and clocks.
+//! `berylhook serve` accepts callers' requests, chooses a target for each and streams the response
+//! back. The other commands are for operators. Routing decisions are made in `berylhook-core`; this
+//! package connects them to sockets, threads and clocks.
 
 mod args;
 mod commands;
@@ -17,7 +16,7 @@
 
 pub use args::{Args, Command};
 
-/// Runs the command that was asked for.
+/// Runs the command given on the command line.
 #[must_use]
 pub fn main(args: &Args) -> ExitCode {
     match run(args) {
@@ -57,8 +56,8 @@
 
 fn read(path: &Path) -> anyhow::Result<String> {
     std::fs::read_to_string(path).with_context(|| {
-        let shown = path.display();
-        format!("{shown} cannot be read; check the path and its permissions")
+        let display = path.display();
+        format!("{display} cannot be read; check the path and its permissions")
     })
 }
 
--- a/crates/berylhook/src/serve.rs
+++ b/crates/berylhook/src/serve.rs
@@ -1,8 +1,8 @@
 //! The entry daemon.
 //!
-//! One thread holds the control state: the catalogue, the list of VMs, the
-//! exchange with other entries. The others carry traffic. Control publishes
-//! immutable snapshots; traffic never waits for a lock that control holds.
+//! One thread, the control thread, owns the control state: the catalogue, the list of VMs and the
+//! gossip with other entries. The other threads carry traffic. The control thread publishes
+//! immutable snapshots, so traffic never waits for a lock that the control thread holds.
 
 mod attempt;
 mod burn;
@@ -37,7 +37,8 @@
 use fleet::Fleet;
 use node::Node;
 
-/// Runs until told to stop and everything in flight has ended.
+/// Runs the entry until it is told to stop and all requests in flight have finished or the drain
+/// bound is reached.
 pub(crate) fn run(settings: EntrySettings) -> anyhow::Result<()> {
     let node = Arc::new(Node::new(settings)?);
     log::info!(
@@ -60,13 +61,13 @@
         .thread_name("traffic")
         .enable_all()
         .build()?;
-    let served = traffic.block_on(serve(Arc::clone(&node), fleet));
+    let result = traffic.block_on(serve(Arc::clone(&node), fleet));
     node.stopped.send_replace(true);
     if control.join().is_err() {
         anyhow::bail!("the control thread panicked; see the log above");
     }
     log::info!("entry {} has stopped", node.settings.node.name);
-    served
+    result
 }
 
 async fn serve(node: Arc<Node>, fleet: Arc<Fleet>) -> anyhow::Result<()> {
@@ -78,22 +79,22 @@
         )
     })?;
     let dispatcher = Arc::new(Dispatcher::new(Arc::clone(&node), Arc::clone(&fleet)));
-    tokio::spawn(fleet::follow(Arc::clone(&node), fleet));
+    tokio::spawn(fleet::reconcile_loop(Arc::clone(&node), fleet));
     let app = berylhook_caller::app(dispatcher);
-    let bound = match node.settings.drain_bound_ms {
+    let drain_bound = match node.settings.drain_bound_ms {
         0 => None,
         bound_ms => Some(Duration::from_millis(bound_ms)),
     };
-    let left = berylhook_caller::serve(listener, app, may_close(&node), bound).await;
-    if left > 0 {
-        log::warn!("drain bound reached; {left} connections were cut");
+    let remaining = berylhook_caller::serve(listener, app, wait_to_close(&node), drain_bound).await;
+    if remaining > 0 {
+        log::warn!("drain bound reached; closed {remaining} connections that were still open");
     }
     Ok(())
 }
 
-/// Ends when the process may close its listener: it was told to stop, and the
-/// platform's balancer has had time to notice that it is no longer ready.
-async fn may_close(node: &Node) {
+/// Waits until the listener may be closed: the process was told to stop, and the drain delay has
+/// passed, in which the platform's balancer notices that the process is no longer ready.
+async fn wait_to_close(node: &Node) {
     let mut stopping = node.stopping.subscribe();
     let _ = stopping.wait_for(|stopping| *stopping).await;
     let delay = Duration::from_millis(node.settings.drain_delay_ms);
--- a/crates/berylhook/src/serve/attempt.rs
+++ b/crates/berylhook/src/serve/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: an order on one link, and the frames that answer it.
+//! One attempt to run a request: a run command sent over one link, and the frames sent in reply.
 //!
-//! What the frames mean is decided by [`AttemptState`]; here they are received,
-//! credit is given back, and a revoke is carried to its end.
+//! [`AttemptState`] decides what each frame means. This module receives the frames, returns
+//! flow-control credit and carries out revocations.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,71 +20,75 @@
 use super::fleet::Target;
 use super::link::{Connection, Registration};
 use super::node::Node;
-use super::quarantine::{Identity, LeftRun, on_run_end};
+use super::quarantine::{AbandonedRun, CallIdentity, on_run_end};
 
-/// Time to reconnect to an agent and settle a revoke.
-const REVOKE_BOUND: Duration = Duration::from_millis(1_500);
+/// Time allowed to reconnect to an agent and to receive its reply to a revoke.
+const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Part of the time in which a request has to start that it waits for its turn, if targets
-/// end under it. What is left lets its caller come back.
-const TURN_SHARE: f64 = 0.4;
+/// Fraction of the time allowed until the start of a run that a suspect request may wait for its
+/// run lock. The rest is left for the caller to retry.
+const LOCK_WAIT_FRACTION: f64 = 0.4;
 
-/// Credit is given back in pieces of this size.
+/// Flow-control credit is returned to the agent each time this many bytes have been received.
 const CREDIT_STEP_BYTES: u32 = 64 << 10;
 
-/// What an attempt gives its request.
-pub(crate) enum Step {
-    /// The answer's head.
+/// A result of [`Attempt::next`].
+pub(crate) enum AttemptOutput {
+    /// Status and headers of the response.
     Head(Head),
-    /// The next part of its body.
+    /// The next chunk of the response body.
     Data(Data),
-    /// The attempt is over.
-    Over(Verdict),
+    /// The attempt has finished with this verdict.
+    Finished(Verdict),
 }
 
-/// A running attempt. Dropping it tells the agent that nobody waits.
+/// A running attempt. Dropping it before it has finished sends a cancel to the agent.
 pub(crate) struct Attempt {
     node: Arc<Node>,
     id: RequestId,
     target: Arc<Target>,
     connection: Arc<Connection>,
-    /// Taken when the attempt is dropped.
+    /// `None` only while the attempt is being dropped.
     registration: Option<Registration>,
-    identity: Arc<Identity>,
-    /// What the request needed to be sent; given back with the attempt.
+    identity: Arc<CallIdentity>,
+    /// Quarantine clearance for the run; released after the run, or passed on to a run that resumes
+    /// it.
     clearance: RunClearance,
-    /// Until when the target may be at work on the run; `None` once the agent has told
-    /// what became of it, or cannot tell any more.
-    runs_until: Option<Instant>,
-    exchange: AttemptState,
+    /// Latest time at which the target may still be running the request; `None` once the agent has
+    /// reported the outcome or can no longer report it.
+    may_run_until: Option<Instant>,
+    state: AttemptState,
     start_by_ms: u64,
     sent_ms: MonoMs,
     deadline: Instant,
     unreturned_bytes: u32,
-    is_over: bool,
+    is_finished: bool,
     awaits_first_data: bool,
-    /// Where a refusing agent believes the key's home is.
+    /// The agent that a refusing agent believes to be the home (owner) of the idempotency key's
+    /// shard.
     pub(crate) home_hint: Option<Arc<str>>,
-    /// When a refusing agent says to come back.
+    /// Delay after which a refusing agent allows a retry.
     pub(crate) retry_after_ms: Option<u64>,
 }
 
-/// What to order.
-pub(crate) struct Order {
+/// What is sent to an agent to run a request.
+pub(crate) struct RunCommand {
     pub(crate) start: Start,
     pub(crate) start_within_ms: u64,
     pub(crate) deadline: Instant,
+    /// Hashes of the blocks of the body, by which routing finds targets with a cached prefix.
     pub(crate) blocks: Vec<u64>,
-    /// Whether the caller asked for the answer token by token.
+    /// Whether the caller requested a streamed response.
     pub(crate) is_stream: bool,
-    /// What makes the request the same when it comes again.
-    pub(crate) identity: Arc<Identity>,
+    /// Identifies repeats of the same request to the quarantine.
+    pub(crate) identity: Arc<CallIdentity>,
 }
 
-impl Order {
-    /// Until when a target may be at work on it though nobody waits: a keyed run goes on,
-    /// for its record.
-    fn runs_until(&self) -> Instant {
+impl RunCommand {
+    /// Latest time at which a target may still be running the request after its caller has
+    /// disconnected. A keyed run continues until its deadline, so that its response can be
+    /// recorded.
+    fn may_run_until(&self) -> Instant {
         if self.start.keyed.is_some() {
             self.deadline
         } else {
@@ -92,53 +96,54 @@
         }
     }
 
-    fn turn_patience(&self) -> WaitLimits {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+    fn wait_limits(&self) -> WaitLimits {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let start_within = Duration::from_millis(self.start_within_ms);
         WaitLimits {
-            lock_wait: start_within.min(left).mul_f64(TURN_SHARE),
-            response_wait: left,
+            lock_wait: start_within.min(remaining).mul_f64(LOCK_WAIT_FRACTION),
+            response_wait: remaining,
         }
     }
 }
 
 impl Attempt {
-    /// Sends the order, once it may go; `None` if the agent is not connected, in which
-    /// case nothing was sent.
+    /// Sends the run command once the quarantine allows it. Returns `None` if the agent is not
+    /// connected, in which case nothing was sent.
     ///
-    /// Each way to a target leads through here, also that of a stream that is resumed,
-    /// which brings the `clearance` of the run that it goes on with.
+    /// All runs start here, including those that resume a stream: a resumed stream passes the
+    /// `clearance` of the run that it continues.
     pub(crate) async fn begin(
         node: &Arc<Node>,
         target: Arc<Target>,
-        order: &Order,
+        command: &RunCommand,
         mut clearance: RunClearance,
     ) -> Result<Option<Self>, QuarantineRejection> {
-        let identity = &order.identity;
-        let patience = order.turn_patience();
+        let identity = &command.identity;
+        let wait_limits = command.wait_limits();
         let suspects = &node.suspects;
         suspects
-            .acquire_clearance(&**identity, &mut clearance, patience)
+            .acquire_clearance(&**identity, &mut clearance, wait_limits)
             .await?;
-        // Nothing may be awaited between leave to go and the order.
+        // There must be no await between the clearance and sending the command, since the clearance
+        // is valid only until then.
         let Some(connection) = target.link.connection() else {
             return Ok(None);
         };
         let id = node.issue_id();
         let registration = target.link.register(id);
         let sent_ms = node.now_ms();
-        let start_by_ms = connection.start_by_ms(sent_ms, order.start_within_ms);
-        let left = order.deadline.saturating_duration_since(Instant::now());
+        let start_by_ms = connection.start_by_ms(sent_ms, command.start_within_ms);
+        let remaining = command.deadline.saturating_duration_since(Instant::now());
         let start = Start {
             for_incarnation: connection.incarnation.0,
             start_by_ms,
-            deadline_after_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
-            ..order.start.clone()
+            deadline_after_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
+            ..command.start.clone()
         };
-        let mut exchange = AttemptState::new();
+        let mut state = AttemptState::new();
         let sent = SentRequest {
-            blocks: &order.blocks,
-            is_stream: order.is_stream,
+            blocks: &command.blocks,
+            is_stream: command.is_stream,
         };
         target.on_dispatch(&sent, sent_ms);
         let mut attempt = Self {
@@ -148,29 +153,29 @@
             registration: Some(registration),
             identity: Arc::clone(identity),
             clearance,
-            runs_until: Some(order.runs_until()),
+            may_run_until: Some(command.may_run_until()),
             start_by_ms,
             sent_ms,
-            deadline: order.deadline,
+            deadline: command.deadline,
             unreturned_bytes: 0,
-            is_over: false,
+            is_finished: false,
             awaits_first_data: true,
             home_hint: None,
             retry_after_ms: None,
-            exchange: AttemptState::new(),
+            state: AttemptState::new(),
             connection,
         };
         if !attempt.connection.send(id, Kind::Start(start)) {
-            attempt.is_over = true;
-            attempt.runs_until = None;
+            attempt.is_finished = true;
+            attempt.may_run_until = None;
             return Ok(None);
         }
-        exchange.on(Event::Sent);
-        attempt.exchange = exchange;
+        state.on(Event::Sent);
+        attempt.state = state;
         Ok(Some(attempt))
     }
 
-    /// Gives what a run that goes on with this one needs.
+    /// Takes the clearance for a run that resumes this one.
     pub(crate) fn take_clearance(&mut self) -> RunClearance {
         std::mem::take(&mut self.clearance)
     }
@@ -187,30 +192,30 @@
         &self.node
     }
 
-    /// Waits for the next thing the request needs to know.
-    pub(crate) async fn next(&mut self) -> Step {
+    /// Waits for the next part of the response, or for the verdict.
+    pub(crate) async fn next(&mut self) -> AttemptOutput {
         loop {
             let (event, kind) = self.receive().await;
             let Some(event) = event else {
                 self.count_dropped();
                 continue;
             };
-            match self.exchange.on(event) {
+            match self.state.on(event) {
                 Action::Wait => {}
                 Action::Drop => self.count_dropped(),
                 Action::Deliver => match kind {
-                    Some(Kind::Head(head)) => return Step::Head(head),
+                    Some(Kind::Head(head)) => return AttemptOutput::Head(head),
                     Some(Kind::Data(data)) => {
                         self.on_data(&data);
-                        return Step::Data(data);
+                        return AttemptOutput::Data(data);
                     }
                     _ => {}
                 },
                 Action::SendRevoke => {
                     let verdict = self.revoke().await;
-                    return self.over(verdict);
+                    return self.finish(verdict);
                 }
-                Action::Finish(verdict) => return self.over(verdict),
+                Action::Finish(verdict) => return self.finish(verdict),
             }
         }
     }
@@ -221,19 +226,22 @@
     }
 
     async fn receive(&mut self) -> (Option<Event>, Option<Kind>) {
-        let registration = self.registration.as_mut().expect("only a drop takes it");
+        let registration = self
+            .registration
+            .as_mut()
+            .expect("only `drop` takes the registration");
         let received = timeout_at(self.deadline, registration.frames.recv()).await;
         match received {
             Err(_elapsed) => (Some(Event::DeadlinePassed), None),
             Ok(None) => {
-                self.runs_until = None;
+                self.may_run_until = None;
                 (Some(Event::LinkLost), None)
             }
-            Ok(Some(kind)) => (self.event_of(&kind), Some(kind)),
+            Ok(Some(kind)) => (self.classify_frame(&kind), Some(kind)),
         }
     }
 
-    fn event_of(&mut self, kind: &Kind) -> Option<Event> {
+    fn classify_frame(&mut self, kind: &Kind) -> Option<Event> {
         let event = match kind {
             Kind::Head(_) => Event::Head,
             Kind::Data(data) => Event::Data { seq: data.seq },
@@ -247,9 +255,9 @@
     }
 
     fn on_end(&mut self, end: &End) -> Event {
-        // Where the deadline passes at the agent first, its target may end all the same, and
-        // the agent tells so later.
-        self.runs_until = self.runs_until.filter(|_| end.unsettled);
+        // If the agent's deadline passes first, the target may still exit because of this run, and
+        // the agent reports that later.
+        self.may_run_until = self.may_run_until.filter(|_| end.unsettled);
         on_run_end(&self.node, &self.identity, self.clearance.runs_alone(), end);
         Event::End {
             frames: end.frames,
@@ -258,14 +266,15 @@
     }
 
     fn on_refused(&mut self, refused: &Refused) -> Event {
-        self.runs_until = None;
+        self.may_run_until = None;
         self.retry_after_ms = Some(refused.retry_after_ms);
         if !refused.home.is_empty() {
             self.home_hint = Some(refused.home.as_str().into());
         }
         match Refusal::parse(&refused.reason) {
             Some(refusal) if !refused.unknown => Event::Refused(refusal),
-            // "Unknown", or a reason of a newer version: nothing is proved.
+            // An unknown outcome, or a reason from a newer version, does not prove that the request
+            // did not run.
             _ => Event::End {
                 frames: 0,
                 is_complete: false,
@@ -286,27 +295,27 @@
         }
     }
 
-    fn over(&mut self, verdict: Verdict) -> Step {
-        self.is_over = true;
-        Step::Over(verdict)
+    fn finish(&mut self, verdict: Verdict) -> AttemptOutput {
+        self.is_finished = true;
+        AttemptOutput::Finished(verdict)
     }
 
-    /// Asks the agent to promise that the order will not run.
+    /// Asks the agent to guarantee that the command will not run.
     ///
-    /// The agent may be reachable over a fresh connection while the old one
-    /// is dead. A new incarnation knows nothing of the order, so its answer
-    /// proves nothing and is not asked for.
+    /// The agent may be reachable over a new connection while the old one is dead. A new
+    /// incarnation of the agent knows nothing of the command: its reply would prove nothing, so no
+    /// revoke is sent to it.
     async fn revoke(&mut self) -> Verdict {
-        let bound = Instant::now() + REVOKE_BOUND;
+        let deadline = Instant::now() + REVOKE_TIMEOUT;
         let mut registration = self.target.link.register(self.id);
-        let sent_to = self.connection.incarnation;
-        if self.ask_revoke(sent_to).await {
-            let answer = timeout_at(bound, self.revoke_answer(&mut registration));
-            if let Ok(Some(verdict)) = answer.await {
+        let agent_incarnation = self.connection.incarnation;
+        if self.send_revoke(agent_incarnation).await {
+            let reply = timeout_at(deadline, self.receive_revoke_reply(&mut registration));
+            if let Ok(Some(verdict)) = reply.await {
                 return verdict;
             }
         }
-        match self.exchange.on(Event::RevokeTimedOut) {
+        match self.state.on(Event::RevokeTimedOut) {
             Action::Finish(verdict) => verdict,
             _ => Verdict {
                 outcome: Outcome::Unknown,
@@ -316,11 +325,11 @@
         }
     }
 
-    /// What the agent's answer means; `None` if the connection was lost again.
-    async fn revoke_answer(&mut self, registration: &mut Registration) -> Option<Verdict> {
+    /// Waits for the agent's reply to a revoke; `None` if the connection was lost again.
+    async fn receive_revoke_reply(&mut self, registration: &mut Registration) -> Option<Verdict> {
         while let Some(kind) = registration.frames.recv().await {
-            let event = self.event_of(&kind);
-            match event.map(|event| self.exchange.on(event)) {
+            let event = self.classify_frame(&kind);
+            match event.map(|event| self.state.on(event)) {
                 Some(Action::Finish(verdict)) => return Some(verdict),
                 _ => self.count_dropped(),
             }
@@ -328,21 +337,21 @@
         None
     }
 
-    async fn ask_revoke(&mut self, sent_to: Incarnation) -> bool {
-        let Some(connection) = self.target.link.connected(REVOKE_BOUND).await else {
+    async fn send_revoke(&mut self, agent_incarnation: Incarnation) -> bool {
+        let Some(connection) = self.target.link.wait_connected(REVOKE_TIMEOUT).await else {
             return false;
         };
         let revoke = Revoke {
-            for_incarnation: sent_to.0,
+            for_incarnation: agent_incarnation.0,
             start_by_ms: self.start_by_ms,
         };
-        connection.incarnation == sent_to && connection.send(self.id, Kind::Revoke(revoke))
+        connection.incarnation == agent_incarnation
+            && connection.send(self.id, Kind::Revoke(revoke))
     }
 
-    /// Waits for the target's agent, of whichever incarnation, to be
-    /// connected.
-    pub(crate) async fn reconnected(target: &Target, bound: Duration) -> bool {
-        timeout(bound, target.link.connected(bound))
+    /// Waits until the target's agent is connected, in any incarnation.
+    pub(crate) async fn wait_reconnected(target: &Target, max_wait: Duration) -> bool {
+        timeout(max_wait, target.link.wait_connected(max_wait))
             .await
             .is_ok_and(|connection| connection.is_some())
     }
@@ -350,23 +359,23 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.target.on_end(self.sent_ms);
-        if !self.is_over {
+        self.target.on_request_end(self.sent_ms);
+        if !self.is_finished {
             self.connection.send(self.id, Kind::Cancel(Cancel {}));
         }
         let runtime = tokio::runtime::Handle::try_current();
-        let (Some(registration), Some(runs_until), Ok(runtime)) =
-            (self.registration.take(), self.runs_until, runtime)
+        let (Some(registration), Some(may_run_until), Ok(runtime)) =
+            (self.registration.take(), self.may_run_until, runtime)
         else {
             return;
         };
-        let left = LeftRun {
+        let abandoned = AbandonedRun {
             node: Arc::clone(&self.node),
             registration,
             identity: Arc::clone(&self.identity),
             clearance: self.take_clearance(),
-            runs_until,
+            may_run_until,
         };
-        runtime.spawn(left.hear_out());
+        runtime.spawn(abandoned.await_outcome());
     }
 }
--- a/crates/berylhook/src/serve/burn.rs
+++ b/crates/berylhook/src/serve/burn.rs
@@ -1,4 +1,4 @@
-//! Records how each catalogue entry keeps its objectives.
+//! Records how well each catalogue entry meets its service-level objectives.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,25 +12,25 @@
 
 use super::node::lock;
 
-/// Latencies are kept to three digits.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the latencies in the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest latency told apart: ten minutes, in microseconds.
-const MAX_US: u64 = 600_000_000;
+/// Longest latency that the histograms resolve: ten minutes, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// The histograms cover between one and two of these.
-const HISTOGRAM_MS: u64 = 300_000;
+/// Rotation interval of the histograms; a report covers between one and two intervals.
+const HISTOGRAM_INTERVAL_MS: u64 = 300_000;
 
-/// What one request adds.
+/// The latencies of one request.
 #[derive(Debug, Default)]
-pub(crate) struct RequestTimes {
+pub(crate) struct RequestLatencies {
     first_token_us: Option<u64>,
     gaps_us: Vec<u32>,
     last_us: u64,
 }
 
-impl RequestTimes {
-    /// A part with tokens arrived, `elapsed_us` after the request.
+impl RequestLatencies {
+    /// Records a chunk with tokens that arrived `elapsed_us` after the request.
     pub(crate) fn on_tokens(&mut self, elapsed_us: u64) {
         if self.first_token_us.is_none() {
             self.first_token_us = Some(elapsed_us);
@@ -42,37 +42,37 @@
     }
 }
 
-/// All entries' records in this process.
+/// The records of all catalogue entries in this process.
 #[derive(Default)]
-pub(crate) struct Burn {
-    entries: Mutex<IndexMap<Arc<str>, Arc<Mutex<EntryLog>>>>,
+pub(crate) struct BurnRecorder {
+    entries: Mutex<IndexMap<Arc<str>, Arc<Mutex<EntryRecord>>>>,
 }
 
-struct EntryLog {
-    log: BurnLog,
-    first_token: Recent,
-    token_gap: Recent,
+struct EntryRecord {
+    counts: BurnLog,
+    first_token: RecentHistogram,
+    token_gap: RecentHistogram,
 }
 
-/// A histogram of the last minutes: a full one and one being filled.
-struct Recent {
+/// A histogram of the last minutes: that of the previous interval and the one being filled.
+struct RecentHistogram {
     previous: Histogram<u32>,
     current: Histogram<u32>,
-    began_ms: MonoMs,
+    started_ms: MonoMs,
 }
 
-impl Recent {
+impl RecentHistogram {
     fn new() -> Self {
         let empty = || {
-            let mut histogram = Histogram::new_with_bounds(1, MAX_US, DIGITS)
-                .expect("the bounds are constants that fit");
+            let mut histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("the histogram bounds are valid constants");
             histogram.auto(true);
             histogram
         };
         Self {
             previous: empty(),
             current: empty(),
-            began_ms: MonoMs(0),
+            started_ms: MonoMs(0),
         }
     }
 
@@ -80,11 +80,11 @@
         self.current.saturating_record(value_us);
     }
 
-    fn turn(&mut self, now_ms: MonoMs) {
-        if now_ms.since(self.began_ms) >= HISTOGRAM_MS {
+    fn rotate(&mut self, now_ms: MonoMs) {
+        if now_ms.since(self.started_ms) >= HISTOGRAM_INTERVAL_MS {
             std::mem::swap(&mut self.previous, &mut self.current);
             self.current.reset();
-            self.began_ms = now_ms;
+            self.started_ms = now_ms;
         }
     }
 
@@ -100,72 +100,77 @@
     }
 }
 
-impl Burn {
-    /// A request ended.
+impl BurnRecorder {
+    /// Records the end of a request.
     pub(crate) fn record(
         &self,
         entry: &Arc<str>,
         objectives: &Objectives,
         failed: bool,
-        times: &RequestTimes,
+        times: &RequestLatencies,
         now_ms: MonoMs,
     ) {
-        let counts = counts_of(objectives, failed, times);
-        let log = self.log(entry);
-        let mut log = lock(&log);
-        log.log.record(&counts, now_ms);
-        log.first_token.turn(now_ms);
-        log.token_gap.turn(now_ms);
+        let counts = request_counts(objectives, failed, times);
+        let record = self.entry_record(entry);
+        let mut record = lock(&record);
+        record.counts.record(&counts, now_ms);
+        record.first_token.rotate(now_ms);
+        record.token_gap.rotate(now_ms);
         if let Some(first_us) = times.first_token_us {
-            log.first_token.record(first_us);
+            record.first_token.record(first_us);
         }
         for gap_us in &times.gaps_us {
-            log.token_gap.record(u64::from(*gap_us));
+            record.token_gap.record(u64::from(*gap_us));
         }
     }
 
-    fn log(&self, entry: &Arc<str>) -> Arc<Mutex<EntryLog>> {
+    fn entry_record(&self, entry: &Arc<str>) -> Arc<Mutex<EntryRecord>> {
         let mut entries = lock(&self.entries);
-        let log = entries.entry(Arc::clone(entry)).or_insert_with(|| {
-            Arc::new(Mutex::new(EntryLog {
-                log: BurnLog::new(),
-                first_token: Recent::new(),
-                token_gap: Recent::new(),
+        let record = entries.entry(Arc::clone(entry)).or_insert_with(|| {
+            Arc::new(Mutex::new(EntryRecord {
+                counts: BurnLog::new(),
+                first_token: RecentHistogram::new(),
+                token_gap: RecentHistogram::new(),
             }))
         });
-        Arc::clone(log)
+        Arc::clone(record)
     }
 
-    /// The counts of an entry over the shortest window.
-    pub(crate) fn recent(&self, now_ms: MonoMs) -> Vec<(Arc<str>, SloCounts)> {
+    /// The counts of each catalogue entry over the shortest window.
+    pub(crate) fn recent_counts(&self, now_ms: MonoMs) -> Vec<(Arc<str>, SloCounts)> {
         let entries = lock(&self.entries);
         entries
             .iter()
-            .map(|(name, log)| (Arc::clone(name), lock(log).log.window(WINDOWS_S[0], now_ms)))
+            .map(|(name, record)| {
+                (
+                    Arc::clone(name),
+                    lock(record).counts.window(WINDOWS_S[0], now_ms),
+                )
+            })
             .collect()
     }
 
-    /// Everything, for the operators' report.
-    pub(crate) fn answer(&self, now_ms: MonoMs) -> BurnAnswer {
+    /// Counts and histograms of all catalogue entries, for the operators' report.
+    pub(crate) fn reply(&self, now_ms: MonoMs) -> BurnAnswer {
         let entries = lock(&self.entries);
         let entries = entries
             .iter()
-            .map(|(name, log)| entry_burn(name, &lock(log), now_ms))
+            .map(|(name, record)| entry_message(name, &lock(record), now_ms))
             .collect();
         BurnAnswer { entries }
     }
 }
 
-fn entry_burn(name: &str, log: &EntryLog, now_ms: MonoMs) -> EntryBurn {
+fn entry_message(name: &str, record: &EntryRecord, now_ms: MonoMs) -> EntryBurn {
     let windows = WINDOWS_S
         .iter()
-        .map(|length_s| window_message(*length_s, &log.log.window(*length_s, now_ms)))
+        .map(|length_s| window_message(*length_s, &record.counts.window(*length_s, now_ms)))
         .collect();
     EntryBurn {
         entry: name.to_owned(),
         windows,
-        first_token: log.first_token.to_bytes().into(),
-        token_gap: log.token_gap.to_bytes().into(),
+        first_token: record.first_token.to_bytes().into(),
+        token_gap: record.token_gap.to_bytes().into(),
     }
 }
 
@@ -181,17 +186,17 @@
     }
 }
 
-fn counts_of(objectives: &Objectives, failed: bool, times: &RequestTimes) -> SloCounts {
-    let first_bound_us = objectives.first_token_ms * 1_000;
-    let gap_bound_us = objectives.token_gap_ms * 1_000;
+fn request_counts(objectives: &Objectives, failed: bool, times: &RequestLatencies) -> SloCounts {
+    let first_token_objective_us = objectives.first_token_ms * 1_000;
+    let gap_objective_us = objectives.token_gap_ms * 1_000;
     let slow_gaps = times
         .gaps_us
         .iter()
-        .filter(|gap_us| u64::from(**gap_us) > gap_bound_us)
+        .filter(|gap_us| u64::from(**gap_us) > gap_objective_us)
         .count();
     let is_slow = times
         .first_token_us
-        .is_some_and(|first_us| first_us > first_bound_us);
+        .is_some_and(|first_us| first_us > first_token_objective_us);
     SloCounts {
         requests: 1,
         failed: u64::from(failed),
--- a/crates/berylhook/src/serve/catalogue.rs
+++ b/crates/berylhook/src/serve/catalogue.rs
@@ -1,5 +1,5 @@
-//! The catalogue in force: offered documents are checked, and only a valid
-//! one of a higher version replaces what is there.
+//! The catalogue in force. Offered documents are validated, and only a valid document of a higher
+//! version replaces the one in force.
 
 use std::sync::Arc;
 
@@ -9,23 +9,23 @@
 use berylhook_operator::{Catalogue, ItemId, ItemKind};
 use berylhook_peer::Documents;
 
-/// The control thread's catalogue.
+/// The catalogue as the control thread holds it.
 #[derive(Default)]
-pub(crate) struct Store {
+pub(crate) struct CatalogueStore {
     pub(crate) documents: Documents,
     pub(crate) catalogue: Catalogue,
 }
 
-impl Store {
-    /// Takes a version up if it is valid and higher than the one in force.
+impl CatalogueStore {
+    /// Puts a version in force if it is valid and higher than the one in force.
     ///
-    /// What goes wrong without the check: an operator's broken value with a
-    /// higher version would hide the last good one from every process.
+    /// Without the validation, an operator's invalid document with a higher version would hide the
+    /// last valid one from every process.
     pub(crate) fn offer(&mut self, id: &ItemId, version: u64, body: &str) -> bool {
         if version <= self.documents.version(id) {
             return false;
         }
-        let item = match check(id, body) {
+        let item = match parse_item(id, body) {
             Ok(item) => item,
             Err(error) => {
                 log::error!(
@@ -60,8 +60,8 @@
     }
 }
 
-/// The checked item of a stored document; nothing where it was removed.
-pub(crate) fn check(id: &ItemId, body: &str) -> anyhow::Result<Option<CatalogueItem>> {
+/// Parses and validates a stored document; `None` if the document removes its item.
+pub(crate) fn parse_item(id: &ItemId, body: &str) -> anyhow::Result<Option<CatalogueItem>> {
     let document: Document = serde_json::from_str(body)?;
     match document.settings {
         Some(settings) => Ok(Some(CatalogueItem::from_settings(id, &settings)?)),
--- a/crates/berylhook/src/serve/control.rs
+++ b/crates/berylhook/src/serve/control.rs
@@ -1,4 +1,5 @@
-//! The control thread.
+//! The control thread: follows the catalogue and the list of VMs, and publishes both to the traffic
+//! threads.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -13,39 +14,40 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-use super::catalogue::{OfferedDocument, Store};
+use super::catalogue::{CatalogueStore, OfferedDocument};
 use super::fleet::Fleet;
 use super::node::Node;
-use super::quarantine::ServeSurroundings;
+use super::quarantine::ServeClusterAccess;
 use super::shares::Shares;
 use super::{metrics, peers, reader, shares};
 
-/// Time between two reads of the platform's list.
-const VMS_EVERY: Duration = Duration::from_millis(500);
+/// Poll interval of the platform's list of VMs.
+const VM_LIST_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Entries in a data centre that read the key-value service. Fixed, so that
-/// its load does not grow with the fleet.
+/// Number of entries per data centre that read the catalogue from the key-value service. Fixed, so
+/// that the load on the service does not grow with the number of entries.
 const READERS_PER_DATA_CENTRE: usize = 2;
 
-/// Other processes that must have told their catalogue before a process that
-/// cannot reach the key-value service serves. One alone might be behind.
-const SOURCES_TO_START: usize = 3;
+/// Number of other processes whose catalogue a process must receive before it serves while the
+/// key-value service cannot be reached. The catalogue of a single process might be out of date.
+const MIN_CATALOGUE_SOURCES: usize = 3;
 
 /// The control thread's state, shared by its tasks.
 pub(crate) struct Control {
     pub(crate) node: Arc<Node>,
     pub(crate) key_value: Arc<dyn KeyValue>,
-    pub(crate) store: RefCell<Store>,
+    pub(crate) store: RefCell<CatalogueStore>,
     pub(crate) shares: Shares,
-    /// Only read, to answer operators.
+    /// Used only to answer operators' status requests.
     pub(crate) fleet: Arc<Fleet>,
-    /// Takes and tells news of requests under which targets end.
-    pub(crate) keeper: Arc<Replicator>,
+    /// Exchanges quarantine updates with the other entries and the store.
+    pub(crate) replicator: Arc<Replicator>,
     vm_list: Arc<dyn VmList>,
+    /// Processes whose complete catalogue was received.
     sources: RefCell<HashSet<Arc<str>>>,
 }
 
-/// Runs until the entry has stopped.
+/// Runs the control thread until the entry has stopped.
 pub(crate) fn run(
     node: Arc<Node>,
     fleet: Arc<Fleet>,
@@ -57,65 +59,68 @@
         .build()
         .expect("the control runtime starts");
     let platform = &node.settings.platform;
-    let surroundings: Arc<dyn ClusterAccess> = Arc::new(ServeSurroundings {
+    let cluster_access: Arc<dyn ClusterAccess> = Arc::new(ServeClusterAccess {
         node: Arc::clone(&node),
         store,
     });
     let suspects = &node.suspects;
-    let following = follow_store(Arc::clone(suspects), Arc::clone(&surroundings));
-    let keeper = Arc::new(Replicator::new(Arc::clone(suspects), surroundings));
+    let store_follower = follow_store(Arc::clone(suspects), Arc::clone(&cluster_access));
+    let replicator = Arc::new(Replicator::new(Arc::clone(suspects), cluster_access));
     let control = Rc::new(Control {
         key_value,
-        keeper,
+        replicator,
         vm_list: Arc::new(HttpVmList::new(&platform.vm_list)),
-        store: RefCell::new(Store::default()),
+        store: RefCell::new(CatalogueStore::default()),
         shares: Shares::default(),
         sources: RefCell::new(HashSet::new()),
         fleet,
         node,
     });
     let tasks = tokio::task::LocalSet::new();
-    runtime.spawn(following);
-    runtime.spawn(Arc::clone(&control.keeper).run());
+    runtime.spawn(store_follower);
+    runtime.spawn(Arc::clone(&control.replicator).run());
     tasks.block_on(&runtime, control.run());
 }
 
 impl Control {
     async fn run(self: Rc<Self>) {
-        let (offers, offered) = mpsc::unbounded_channel();
-        self.node.set_offers(offers);
-        self.read_vms().await;
-        tokio::task::spawn_local(Rc::clone(&self).follow_vms());
-        tokio::task::spawn_local(Rc::clone(&self).take_offers(offered));
+        let (update_sender, updates) = mpsc::unbounded_channel();
+        self.node.set_update_sender(update_sender);
+        self.read_vm_list().await;
+        tokio::task::spawn_local(Rc::clone(&self).poll_vm_list());
+        tokio::task::spawn_local(Rc::clone(&self).apply_agent_updates(updates));
         tokio::task::spawn_local(reader::follow(Rc::clone(&self)));
         tokio::task::spawn_local(peers::serve(Rc::clone(&self)));
         tokio::task::spawn_local(peers::gossip(Rc::clone(&self)));
-        tokio::task::spawn_local(shares::follow(Rc::clone(&self)));
-        let sending = metrics::send(Arc::clone(&self.node), Arc::clone(&self.fleet));
-        tokio::task::spawn_local(sending);
+        tokio::task::spawn_local(shares::request_loop(Rc::clone(&self)));
+        let metrics_task = metrics::send(Arc::clone(&self.node), Arc::clone(&self.fleet));
+        tokio::task::spawn_local(metrics_task);
         tokio::task::spawn_local(stop_on_signal(Arc::clone(&self.node)));
         let mut stopped = self.node.stopped.subscribe();
         let _ = stopped.wait_for(|stopped| *stopped).await;
     }
 
-    /// Documents that agents offered over their connections.
-    async fn take_offers(self: Rc<Self>, mut offered: mpsc::UnboundedReceiver<Told>) {
-        while let Some(told) = offered.recv().await {
-            self.take_up(&told.documents);
-            self.heard_from(&told.source);
+    /// Applies documents that agents sent over their connections.
+    async fn apply_agent_updates(
+        self: Rc<Self>,
+        mut updates: mpsc::UnboundedReceiver<CatalogueUpdate>,
+    ) {
+        while let Some(update) = updates.recv().await {
+            self.apply_documents(&update.documents);
+            self.on_complete_catalogue(&update.source);
         }
     }
 
-    /// Takes documents up and, if any was newer, publishes and passes it on.
-    pub(crate) fn take_up(&self, documents: &[OfferedDocument]) {
+    /// Applies documents. If any of them are newer, they are published and pushed to other entries.
+    pub(crate) fn apply_documents(&self, documents: &[OfferedDocument]) {
         let mut store = self.store.borrow_mut();
-        let mut fresh = Vec::new();
+        let mut newer = Vec::new();
         for document in documents {
             if store.offer(&document.id, document.version, &document.body) {
-                fresh.push(document.clone());
+                newer.push(document.clone());
             }
         }
-        if fresh.is_empty() {
+        if newer.is_empty() {
             return;
         }
         let catalogue = Arc::new(store.catalogue.clone());
@@ -125,35 +130,35 @@
             snapshot.catalogue = catalogue;
             snapshot.documents = documents;
         });
-        peers::push(&self.node, &fresh);
+        peers::push(&self.node, &newer);
     }
 
-    /// Another process has told all it knows.
-    pub(crate) fn heard_from(&self, source: &Arc<str>) {
+    /// Records that this entry has received the complete catalogue of another process.
+    pub(crate) fn on_complete_catalogue(&self, source: &Arc<str>) {
         let mut sources = self.sources.borrow_mut();
         sources.insert(Arc::clone(source));
         let others = self.node.snapshot.load().vms.len().saturating_sub(1);
-        let needed = SOURCES_TO_START.min(others).max(1);
-        let knows_something = !self.store.borrow().documents.is_empty();
-        if sources.len() >= needed && knows_something {
-            self.has_catalogue("other processes");
+        let needed = MIN_CATALOGUE_SOURCES.min(others).max(1);
+        let has_documents = !self.store.borrow().documents.is_empty();
+        if sources.len() >= needed && has_documents {
+            self.mark_catalogue_known("other processes");
         }
     }
 
-    pub(crate) fn has_catalogue(&self, from: &str) {
+    pub(crate) fn mark_catalogue_known(&self, from: &str) {
         if !self.node.has_catalogue.swap(true, Ordering::SeqCst) {
-            log::info!("the catalogue is known from {from}; ready");
+            log::info!("catalogue received from {from}; ready to serve");
         }
     }
 
-    async fn follow_vms(self: Rc<Self>) {
+    async fn poll_vm_list(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(VMS_EVERY).await;
-            self.read_vms().await;
+            tokio::time::sleep(VM_LIST_POLL_INTERVAL).await;
+            self.read_vm_list().await;
         }
     }
 
-    async fn read_vms(&self) {
+    async fn read_vm_list(&self) {
         match self.vm_list.read().await {
             Ok(vms) => {
                 if *self.node.snapshot.load().vms != vms {
@@ -161,31 +166,31 @@
                     self.node.publish(|snapshot| snapshot.vms = vms);
                 }
             }
-            // The last list stays in use: targets that have gone since show
-            // by their connections.
+            // The previous list stays in use: targets that have gone since are detected by their
+            // lost connections.
             Err(error) => log::warn!("{error}"),
         }
     }
 
-    /// Whether this entry is one of its data centre's readers.
+    /// Whether this entry is one of its data centre's catalogue readers.
     ///
-    /// Two entries with different lists may disagree for a while; one reader
-    /// more or less does no harm.
+    /// Entries with different lists may disagree for a while; one reader more or fewer does no
+    /// harm.
     pub(crate) fn is_reader(&self) -> bool {
-        let own = &self.node.settings.node;
+        let own_node = &self.node.settings.node;
         let snapshot = self.node.snapshot.load();
-        let before = snapshot
+        let entries_before = snapshot
             .vms
             .iter()
             .filter(|vm| vm.service.is_empty() && vm.state == VmState::Live)
-            .filter(|vm| vm.data_centre == own.data_centre && vm.name < own.name)
+            .filter(|vm| vm.data_centre == own_node.data_centre && vm.name < own_node.name)
             .count();
-        before < READERS_PER_DATA_CENTRE
+        entries_before < READERS_PER_DATA_CENTRE
     }
 }
 
-/// Documents told by another process.
-pub(crate) struct Told {
+/// Catalogue documents received from another process.
+pub(crate) struct CatalogueUpdate {
     pub(crate) source: Arc<str>,
     pub(crate) documents: Vec<OfferedDocument>,
 }
--- a/crates/berylhook/src/serve/dispatch.rs
+++ b/crates/berylhook/src/serve/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a checked call to its answer.
+//! Dispatches a validated call to targets and returns the response or an error response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,15 +13,15 @@
 use tokio::time::Instant;
 
 use super::attempt::Attempt;
-use super::collect::{Early, collect};
+use super::collect::{CollectOutcome, collect};
 use super::fleet::{Fleet, Target};
 use super::job::Job;
 use super::keyed;
 use super::node::{Node, lock};
-use super::refusals::{held_back, no_target, tell, too_late};
-use super::streaming::stream;
+use super::refusals::{no_target_error, quarantine_error, too_late_error, verdict_error};
+use super::streaming::spawn_stream;
 
-/// The entry's [`Gateway`].
+/// The [`Gateway`] of this entry.
 pub(crate) struct Dispatcher {
     pub(crate) node: Arc<Node>,
     pub(crate) fleet: Arc<Fleet>,
@@ -58,18 +58,18 @@
         let id = call.id;
         let account = Arc::clone(&call.account.name);
         let entry = Arc::clone(&call.entry.name);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let result = self.serve(call).await;
         let outcome = match &result {
-            Ok(reply) => match reply.body {
+            Ok(response) => match response.body {
                 ResponseBody::Full(_) => "done",
                 ResponseBody::Stream(_) => "begun",
             },
-            Err(refused) => refused.outcome.as_str(),
+            Err(error_response) => error_response.outcome.as_str(),
         };
         log::info!(
             "request {id} account {account} entry {entry}: {outcome} after {} ms",
-            began.elapsed().as_millis()
+            started_at.elapsed().as_millis()
         );
         result
     }
@@ -77,7 +77,7 @@
     async fn serve(&self, call: Call) -> Result<CallResponse, ErrorResponse> {
         let service = self.fleet.service(&call.entry.name);
         let permit = self.node.limiter.admit(&call, self.node.now_ms())?;
-        lock(&service.budget).on_attempt();
+        lock(&service.retry_budget).on_attempt();
         let job = Job::new(&self.node, call, service, permit);
         match job.call.entry.repeat {
             RetryPolicy::Safe => self.serve_repeatable(job).await,
@@ -88,38 +88,42 @@
     async fn serve_repeatable(&self, mut job: Job) -> Result<CallResponse, ErrorResponse> {
         loop {
             let now_ms = self.node.now_ms();
-            let picked = job.service.pick(&job.order.blocks, &job.failed, now_ms);
+            let picked = job
+                .service
+                .pick(&job.command.blocks, &job.failed_targets, now_ms);
             let Some(target) = picked else {
-                if job.may_try_all_again() {
+                if job.allow_second_round() {
                     continue;
                 }
-                let refused = no_target(&job);
-                return Err(job.refuse(refused));
+                let error_response = no_target_error(&job);
+                return Err(job.fail(error_response));
             };
-            if let Some(refused) = too_late(&job, &target, now_ms) {
-                return Err(job.refuse(refused));
+            if let Some(error_response) = too_late_error(&job, &target, now_ms) {
+                return Err(job.fail(error_response));
             }
             let mut attempt = match self.attempt(&mut job, &target).await {
                 Ok(Some(attempt)) => attempt,
                 Ok(None) => {
-                    job.failed.push(target.id);
+                    job.failed_targets.push(target.id);
                     continue;
                 }
-                Err(held) => {
-                    let refused = held_back(&job, held);
-                    return Err(job.refuse(refused));
+                Err(rejection) => {
+                    let error_response = quarantine_error(&job, rejection);
+                    return Err(job.fail(error_response));
                 }
             };
             let verdict = match collect(&mut attempt, &mut job.clock).await {
-                Early::Whole(reply) => return Ok(job.answer(reply)),
-                Early::Stream { head, first } => return Ok(stream(job, attempt, &head, first)),
-                Early::Over(verdict) => verdict,
+                CollectOutcome::Complete(response) => return Ok(job.complete(response)),
+                CollectOutcome::Stream { head, first_chunks } => {
+                    return Ok(spawn_stream(job, attempt, &head, first_chunks));
+                }
+                CollectOutcome::NoResponse(verdict) => verdict,
             };
-            job.failed.push(target.id);
+            job.failed_targets.push(target.id);
             job.may_have_run |= verdict.outcome == Outcome::Unknown;
-            if next_step(&job, verdict) == RetryDecision::ReportToCaller {
-                let refused = tell(&job, verdict, attempt.retry_after_ms);
-                return Err(job.refuse(refused));
+            if retry_decision(&job, verdict) == RetryDecision::ReportToCaller {
+                let error_response = verdict_error(&job, verdict, attempt.retry_after_ms);
+                return Err(job.fail(error_response));
             }
         }
     }
@@ -131,8 +135,9 @@
         target: &Arc<Target>,
     ) -> Result<Option<Attempt>, QuarantineRejection> {
         let clearance = RunClearance::default();
-        let begun = Attempt::begin(&self.node, Arc::clone(target), &job.order, clearance).await?;
-        let Some(attempt) = begun else {
+        let started =
+            Attempt::begin(&self.node, Arc::clone(target), &job.command, clearance).await?;
+        let Some(attempt) = started else {
             return Ok(None);
         };
         job.attempts += 1;
@@ -149,15 +154,15 @@
     }
 }
 
-fn next_step(job: &Job, verdict: Verdict) -> RetryDecision {
+fn retry_decision(job: &Job, verdict: Verdict) -> RetryDecision {
     let verdict = Verdict {
-        // Nothing of a collected answer has reached the caller.
+        // No part of a collected response has reached the caller.
         begun: false,
         ..verdict
     };
-    if Instant::now() >= job.order.deadline {
+    if Instant::now() >= job.command.deadline {
         return RetryDecision::ReportToCaller;
     }
-    let mut budget = lock(&job.service.budget);
-    retry::decide(verdict, true, job.attempts, &mut budget)
+    let mut retry_budget = lock(&job.service.retry_budget);
+    retry::decide(verdict, true, job.attempts, &mut retry_budget)
 }
--- a/crates/berylhook/src/serve/fleet.rs
+++ b/crates/berylhook/src/serve/fleet.rs
@@ -18,25 +18,25 @@
 use super::link::{Link, LinkEvents};
 use super::node::{Node, lock};
 
-/// Targets of one catalogue entry that this process connects to at most. An
-/// idle link costs 0.012% of a core; ten models of this many stay within what
-/// a node may spend on control. Entries whose requests must not be repeated
-/// are not bounded: any of their agents may be home to a key.
+/// Maximum number of targets of one catalogue entry that this process connects to. An idle link
+/// costs 0.012% of a core; ten models with this many links each stay within the share of a node's
+/// CPU that control may use. Entries whose requests must not be repeated have no maximum, since any
+/// of their agents may be the home (owner) of a key.
 const MAX_LINKS_PER_SERVICE: usize = 16;
 
-/// How often links of VMs that are off the list are looked at.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// Interval of removing idle links to VMs that are no longer listed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 const DEFAULT_RETRY_PERCENT: u32 = 10;
 
-/// One catalogue entry's targets.
+/// The targets of one catalogue entry.
 pub(crate) struct Service {
     pub(crate) name: Arc<str>,
     pub(crate) router: Mutex<Router>,
-    pub(crate) budget: Mutex<RetryBudget>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
     targets: Mutex<IndexMap<TargetId, Arc<Target>>>,
-    /// Believed home of each key shard.
-    pub(crate) homes: Mutex<IndexMap<u32, Arc<str>>>,
+    /// The agent believed to be the home (owner) of each key shard.
+    pub(crate) shard_homes: Mutex<IndexMap<u32, Arc<str>>>,
 }
 
 /// One target and the link to its agent.
@@ -46,13 +46,13 @@
     service: Arc<Service>,
     node: Arc<Node>,
     connected: AtomicBool,
-    /// The agent's own word.
+    /// Whether the agent reports that it is draining.
     draining: AtomicBool,
-    /// The platform's word.
+    /// Whether the VM is leaving by the platform's list, or is no longer listed.
     leaving: AtomicBool,
 }
 
-/// All services.
+/// The services of all catalogue entries.
 #[derive(Default)]
 pub(crate) struct Fleet {
     services: Mutex<IndexMap<Arc<str>, Arc<Service>>>,
@@ -64,9 +64,9 @@
         Arc::new(Self {
             name,
             router: Mutex::new(Router::new(RouteConfig::default())),
-            budget: Mutex::new(RetryBudget::new(DEFAULT_RETRY_PERCENT)),
+            retry_budget: Mutex::new(RetryBudget::new(DEFAULT_RETRY_PERCENT)),
             targets: Mutex::new(IndexMap::new()),
-            homes: Mutex::new(IndexMap::new()),
+            shard_homes: Mutex::new(IndexMap::new()),
         })
     }
 
@@ -88,8 +88,8 @@
         router.estimate_ms(id, blocks, now_ms).unwrap_or(0.0)
     }
 
-    /// The target whose agent has that name, if it may get work.
-    pub(crate) fn by_agent(&self, agent: &str) -> Option<Arc<Target>> {
+    /// The target whose agent has this name, if it accepts new requests.
+    pub(crate) fn target_of_agent(&self, agent: &str) -> Option<Arc<Target>> {
         let target = lock(&self.targets)
             .values()
             .find(|target| &*target.link.agent == agent)
@@ -97,15 +97,15 @@
         (target.availability() == Availability::Up).then_some(target)
     }
 
-    /// All targets known.
+    /// All known targets.
     pub(crate) fn targets(&self) -> Vec<Arc<Target>> {
         lock(&self.targets).values().cloned().collect()
     }
 }
 
 impl Target {
-    /// The agent's own word goes before the platform's list, which lags; and
-    /// either of the two is enough to keep new work away.
+    /// The availability by the agent's own report and the platform's list. The list lags behind the
+    /// report; either of the two is enough to keep new requests away.
     pub(crate) fn availability(&self) -> Availability {
         let connected = self.connected.load(Ordering::SeqCst);
         let leaving = self.draining.load(Ordering::SeqCst) || self.leaving.load(Ordering::SeqCst);
@@ -116,12 +116,12 @@
         }
     }
 
-    /// An order was sent.
+    /// A run command was sent.
     pub(crate) fn on_dispatch(&self, sent: &SentRequest<'_>, now_ms: MonoMs) {
         lock(&self.service.router).on_dispatch(self.id, sent, now_ms);
     }
 
-    /// The first part of the answer to the order sent at `sent_ms` arrived.
+    /// The first chunk of the response to the run command sent at `sent_ms` arrived.
     pub(crate) fn on_first_token(&self, sent_ms: MonoMs) {
         let now_ms = self.node.now_ms();
         if let Some(load) = lock(&self.service.router).load_mut(self.id) {
@@ -129,14 +129,14 @@
         }
     }
 
-    /// The order sent at `sent_ms` ended.
-    pub(crate) fn on_end(&self, sent_ms: MonoMs) {
+    /// The run started by the command sent at `sent_ms` ended.
+    pub(crate) fn on_request_end(&self, sent_ms: MonoMs) {
         if let Some(load) = lock(&self.service.router).load_mut(self.id) {
             load.on_request_end(sent_ms, self.node.now_ms());
         }
     }
 
-    fn publish(&self) {
+    fn publish_availability(&self) {
         lock(&self.service.router).set_availability(self.id, self.availability());
     }
 
@@ -146,7 +146,7 @@
                 "agent {}: leaving = {leaving} by the platform's list",
                 self.link.agent
             );
-            self.publish();
+            self.publish_availability();
         }
     }
 }
@@ -157,20 +157,20 @@
             self.draining.store(false, Ordering::SeqCst);
         }
         self.connected.store(connected, Ordering::SeqCst);
-        self.publish();
+        self.publish_availability();
     }
 
     fn on_pong(&self, pong: &Pong) {
         if self.draining.swap(pong.draining, Ordering::SeqCst) != pong.draining {
             log::info!("agent {}: draining = {}", self.link.agent, pong.draining);
-            self.publish();
+            self.publish_availability();
         }
         let now_ms = self.node.now_ms();
         if let Some(load) = &pong.load {
             let as_of_ms = MonoMs(now_ms.0.saturating_sub(load.age_ms));
             let mut router = lock(&self.service.router);
-            if let Some(known) = router.load_mut(self.id) {
-                known.on_load_report(load.running, load.waiting, load.slots, as_of_ms);
+            if let Some(target_load) = router.load_mut(self.id) {
+                target_load.on_load_report(load.running, load.waiting, load.slots, as_of_ms);
             }
         }
     }
@@ -186,7 +186,7 @@
         Arc::clone(service)
     }
 
-    /// All services known.
+    /// All known services.
     pub(crate) fn services(&self) -> Vec<Arc<Service>> {
         lock(&self.services).values().cloned().collect()
     }
@@ -195,27 +195,27 @@
         let snapshot = node.snapshot.load();
         for entry in snapshot.catalogue.entries.values() {
             let service = self.service(&entry.name);
-            lock(&service.budget).set_percent(entry.retry_percent);
+            lock(&service.retry_budget).set_percent(entry.retry_percent);
         }
-        let mut wanted: IndexMap<Arc<str>, Vec<&Vm>> = IndexMap::new();
+        let mut listed: IndexMap<Arc<str>, Vec<&Vm>> = IndexMap::new();
         for vm in snapshot.vms.iter().filter(|vm| !vm.service.is_empty()) {
-            wanted.entry(Arc::clone(&vm.service)).or_default().push(vm);
+            listed.entry(Arc::clone(&vm.service)).or_default().push(vm);
         }
-        for (name, vms) in &wanted {
-            let any_may_be_home = snapshot
+        for (name, vms) in &listed {
+            let is_keyed = snapshot
                 .catalogue
                 .entries
                 .get(name)
                 .is_none_or(|entry| entry.repeat == RetryPolicy::Never);
-            let vms = if any_may_be_home {
+            let vms = if is_keyed {
                 vms.clone()
             } else {
-                bounded(&node.settings.node.name, vms)
+                link_subset(&node.settings.node.name, vms)
             };
             self.reconcile_service(node, &self.service(name), &vms);
         }
         for service in self.services() {
-            if !wanted.contains_key(&service.name) {
+            if !listed.contains_key(&service.name) {
                 self.reconcile_service(node, &service, &[]);
             }
         }
@@ -228,10 +228,10 @@
                 .find(|vm| vm.name == target.link.agent && vm.address == target.link.address);
             match listed {
                 Some(vm) => target.set_leaving(vm.state == VmState::Leaving),
-                // Off the list, but what it has in flight may still end.
+                // No longer listed, but its requests in flight may still finish.
                 None => {
                     target.set_leaving(true);
-                    drop_if_idle(service, &target);
+                    remove_if_idle(service, &target);
                 }
             }
         }
@@ -264,7 +264,7 @@
     }
 }
 
-fn drop_if_idle(service: &Service, target: &Target) {
+fn remove_if_idle(service: &Service, target: &Target) {
     if !target.link.is_idle() {
         return;
     }
@@ -273,25 +273,25 @@
     lock(&service.router).remove(target.id);
 }
 
-/// At most the bounded number of links, chosen so that entries differ.
-fn bounded<'a>(own: &str, vms: &[&'a Vm]) -> Vec<&'a Vm> {
+/// At most [`MAX_LINKS_PER_SERVICE`] of the VMs, chosen so that entries differ in their choice.
+fn link_subset<'a>(own_name: &str, vms: &[&'a Vm]) -> Vec<&'a Vm> {
     if vms.len() <= MAX_LINKS_PER_SERVICE {
         return vms.to_vec();
     }
     let names: Vec<&str> = vms.iter().map(|vm| &*vm.name).collect();
-    let chosen: HashSet<&str> = subset(own, &names, MAX_LINKS_PER_SERVICE)
+    let chosen: HashSet<&str> = subset(own_name, &names, MAX_LINKS_PER_SERVICE)
         .into_iter()
         .collect();
     let chosen = vms.iter().filter(|vm| chosen.contains(&*vm.name));
     chosen.copied().collect()
 }
 
-/// Follows the list of VMs and the catalogue.
-pub(crate) async fn follow(node: Arc<Node>, fleet: Arc<Fleet>) {
+/// Updates the targets when the list of VMs or the catalogue changes, and once per sweep interval.
+pub(crate) async fn reconcile_loop(node: Arc<Node>, fleet: Arc<Fleet>) {
     let mut published = node.published.subscribe();
     loop {
         published.mark_unchanged();
         fleet.reconcile(&node);
-        let _ = tokio::time::timeout(SWEEP_EVERY, published.changed()).await;
+        let _ = tokio::time::timeout(SWEEP_INTERVAL, published.changed()).await;
     }
 }
--- a/crates/berylhook/src/serve/job.rs
+++ b/crates/berylhook/src/serve/job.rs
@@ -1,5 +1,5 @@
-//! One request from its admission to its end, and what it adds to the entry's
-//! objectives.
+//! One request from its admission to its end, and its contribution to the objectives of its
+//! catalogue entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::attempt::Order;
-use super::burn::RequestTimes;
+use super::attempt::RunCommand;
+use super::burn::RequestLatencies;
 use super::fleet::Service;
 use super::limits::Permit;
-use super::node::{InFlight, Node};
-use super::quarantine::Identity;
+use super::node::{InFlightGuard, Node};
+use super::quarantine::CallIdentity;
 
-/// Statuses from here on are the target's failures.
+/// HTTP status codes from here on count as failures of the target.
 const SERVER_ERROR: u16 = 500;
 
-/// The header that tells a target how urgent a request is.
+/// Request header that carries the priority class to the target.
 const PRIORITY_HEADER: &str = "x-priority";
 
 /// A request being served.
 pub(super) struct Job {
     pub(super) call: Call,
     pub(super) service: Arc<Service>,
-    pub(super) order: Order,
+    pub(super) command: RunCommand,
     pub(super) attempts: u32,
-    pub(super) failed: Vec<TargetId>,
-    tried_all: bool,
-    /// An attempt was lost, so "not run" can no longer be told.
+    pub(super) failed_targets: Vec<TargetId>,
+    has_retried_all: bool,
+    /// An attempt was lost, so the request can no longer be reported as not run.
     pub(super) may_have_run: bool,
     pub(super) clock: RequestClock,
     node: Arc<Node>,
     _permit: Permit,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
-/// When the parts of an answer came.
+/// Arrival times of the chunks of a response.
 pub(super) struct RequestClock {
-    began: Instant,
-    times: RequestTimes,
-    /// Events of a stream, or tokens that a whole answer says it used.
+    arrived_at: Instant,
+    times: RequestLatencies,
+    /// Events of a stream, or the tokens used that a complete response reports.
     tokens: u64,
 }
 
 impl RequestClock {
     pub(super) fn on_data(&mut self, data: &Data) {
         self.tokens += u64::from(data.events);
-        let elapsed_us = self.began.elapsed().as_micros();
+        let elapsed_us = self.arrived_at.elapsed().as_micros();
         self.times
             .on_tokens(u64::try_from(elapsed_us).unwrap_or(u64::MAX));
     }
@@ -88,70 +88,70 @@
             resume,
             ..Start::default()
         };
-        let order = Order {
+        let command = RunCommand {
             start,
             start_within_ms: call.entry.start_within_ms.min(call.deadline_ms),
             deadline: Instant::now() + Duration::from_millis(call.deadline_ms),
             is_stream: call.is_stream,
             blocks,
-            identity: Arc::new(Identity::of(&call)),
+            identity: Arc::new(CallIdentity::of(&call)),
         };
         Self {
             call,
             service,
-            order,
+            command,
             attempts: 0,
-            failed: Vec::new(),
-            tried_all: false,
+            failed_targets: Vec::new(),
+            has_retried_all: false,
             may_have_run: false,
             clock: RequestClock {
-                began: Instant::now(),
-                times: RequestTimes::default(),
+                arrived_at: Instant::now(),
+                times: RequestLatencies::default(),
                 tokens: 0,
             },
             node: Arc::clone(node),
             _permit: permit,
-            _in_flight: node.begin(),
+            _in_flight: node.track_request(),
         }
     }
 
-    /// Gives targets that failed this request a second chance, once: with one
-    /// target, a lost connection must not be the end of a request that may be
-    /// repeated.
-    pub(super) fn may_try_all_again(&mut self) -> bool {
-        let is_first_time = !self.tried_all;
-        let has_failed = !self.failed.is_empty();
-        self.tried_all = true;
-        self.failed.clear();
+    /// Makes the targets that failed this request eligible once more. With a single target, one
+    /// lost connection must not fail a request that may be repeated.
+    pub(super) fn allow_second_round(&mut self) -> bool {
+        let is_first_time = !self.has_retried_all;
+        let has_failed = !self.failed_targets.is_empty();
+        self.has_retried_all = true;
+        self.failed_targets.clear();
         is_first_time && has_failed
     }
 
-    /// Ends the job with a whole answer.
-    pub(super) fn answer(mut self, reply: CallResponse) -> CallResponse {
-        // An answer that comes all at once has no first token of its own.
-        self.clock.times = RequestTimes::default();
-        if let (EntryKind::Model, ResponseBody::Full(body)) = (self.call.entry.kind, &reply.body) {
+    /// Ends the job with a complete response.
+    pub(super) fn complete(mut self, response: CallResponse) -> CallResponse {
+        // A response that arrives in one piece has no separate first token.
+        self.clock.times = RequestLatencies::default();
+        if let (EntryKind::Model, ResponseBody::Full(body)) = (self.call.entry.kind, &response.body)
+        {
             self.clock.tokens += completion_tokens(body);
         }
-        let failed = reply.head.status >= SERVER_ERROR;
-        self.close(failed);
-        reply
+        let failed = response.head.status >= SERVER_ERROR;
+        self.finish(failed);
+        response
     }
 
-    /// Ends the job with a refusal.
-    pub(super) fn refuse(self, refused: ErrorResponse) -> ErrorResponse {
-        let callers_fault = matches!(
-            refused.reason,
+    /// Ends the job with an error response.
+    pub(super) fn fail(self, error_response: ErrorResponse) -> ErrorResponse {
+        let is_caller_error = matches!(
+            error_response.reason,
             ErrorReason::IdempotencyKeyReused | ErrorReason::BadHeader | ErrorReason::OverLimit
         );
-        if !callers_fault {
-            self.close(true);
+        if !is_caller_error {
+            self.finish(true);
         }
-        refused
+        error_response
     }
 
-    /// Ends the job and counts it towards the entry's objectives.
-    pub(super) fn close(self, failed: bool) {
+    /// Ends the job and counts it towards the objectives of its catalogue entry.
+    pub(super) fn finish(self, failed: bool) {
         let entry = &self.call.entry;
         let now_ms = self.node.now_ms();
         self.node
@@ -167,7 +167,7 @@
     }
 }
 
-/// Tells the target how urgent a request is; engines honour priorities.
+/// The value of the priority header, by which engines prioritise requests.
 fn priority(class: PriorityClass) -> &'static str {
     match class {
         PriorityClass::Critical => "critical",
@@ -176,7 +176,7 @@
     }
 }
 
-/// The tokens that a whole answer in the `OpenAI` shape says it generated.
+/// The number of generated tokens that a complete response in the `OpenAI` format reports.
 fn completion_tokens(body: &Bytes) -> u64 {
     #[derive(serde::Deserialize)]
     struct Usage {
@@ -186,5 +186,5 @@
     struct WithUsage {
         usage: Usage,
     }
-    serde_json::from_slice(body).map_or(0, |answer: WithUsage| answer.usage.completion_tokens)
+    serde_json::from_slice(body).map_or(0, |body: WithUsage| body.usage.completion_tokens)
 }
--- a/crates/berylhook/src/serve/limits.rs
+++ b/crates/berylhook/src/serve/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of accounts and entries, enforced in this process within its share.
+//! Enforces the limits of client accounts and catalogue entries, within this process's share of
+//! each.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,53 +13,52 @@
 
 use super::node::lock;
 
-/// When to come back to a limit of requests at a time, whose end nobody
-/// knows.
-const CONCURRENCY_WAIT_MS: u64 = 200;
+/// Retry delay for a limit on concurrent requests, since it is not known when one of them will end.
+const CONCURRENCY_RETRY_AFTER_MS: u64 = 200;
 
-/// Weight of the last period in the demand.
+/// Weight of the last period in the moving average of the demand.
 const DEMAND_WEIGHT: f64 = 0.5;
 
-/// With more limits than this, shares are only asked for those in use: the
-/// home's work grows with what it is asked about. The price is that an account
-/// that was quiet has only its piece of the static part for a second.
-const ASK_ALL_UP_TO: usize = 200;
+/// With more limits than this, shares are requested only for those in use, since the home's work
+/// grows with the number of limits requested. In exchange, an account without recent requests has
+/// only its portion of the static part for one second.
+const MAX_LIMITS_TO_REQUEST_ALL: usize = 200;
 
-/// Demand below this counts as none.
-const LEAST_DEMAND: f64 = 0.01;
+/// Demand below this is treated as zero.
+const MIN_DEMAND: f64 = 0.01;
 
-/// What a limit counts.
+/// The quantity that a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unit {
-    /// Requests at a time.
-    AtATime,
-    /// Requests begun in a second.
-    Requests,
-    /// Tokens generated in a second.
-    Tokens,
+enum LimitKind {
+    /// Concurrent requests.
+    Concurrency,
+    /// Requests started per second.
+    RequestRate,
+    /// Tokens generated per second.
+    TokenRate,
 }
 
-/// One limit in this process.
-struct Limited {
-    unit: Unit,
+/// The state of one limit in this process.
+struct LimitState {
+    kind: LimitKind,
     limit: f64,
     holder: ShareHolder,
     bucket: TokenBucket,
     in_use: u32,
-    /// Units wanted since the last question, refused ones included.
-    wanted: f64,
+    /// Units requested since the last share request, refused ones included.
+    requested: f64,
     demand: f64,
 }
 
 /// All limits in this process.
 #[derive(Default)]
 pub(crate) struct Limiter {
-    limits: Mutex<IndexMap<Arc<str>, Limited>>,
-    /// Entries in the platform's list; they share each limit's static part.
-    entries: Mutex<f64>,
+    limits: Mutex<IndexMap<Arc<str>, LimitState>>,
+    /// Number of entries on the platform's list, among which each limit's static part is divided.
+    entry_count: Mutex<f64>,
 }
 
-/// A request's hold on the limits it falls under.
+/// Guard of an admitted request; returns its units of concurrency limits when dropped.
 pub(crate) struct Permit {
     limiter: Arc<Limiter>,
     names: Vec<Arc<str>>,
@@ -68,104 +68,104 @@
     fn drop(&mut self) {
         let mut limits = lock(&self.limiter.limits);
         for name in &self.names {
-            if let Some(limited) = limits.get_mut(name)
-                && limited.unit == Unit::AtATime
+            if let Some(state) = limits.get_mut(name)
+                && state.kind == LimitKind::Concurrency
             {
-                limited.in_use = limited.in_use.saturating_sub(1);
+                state.in_use = state.in_use.saturating_sub(1);
             }
         }
     }
 }
 
-impl Limited {
-    fn new(unit: Unit, limit: f64, now_ms: MonoMs) -> Self {
+impl LimitState {
+    fn new(kind: LimitKind, limit: f64, now_ms: MonoMs) -> Self {
         Self {
-            unit,
+            kind,
             limit,
             holder: ShareHolder::new(),
             bucket: TokenBucket::new(0.0, now_ms),
             in_use: 0,
-            wanted: 0.0,
+            requested: 0.0,
             demand: 0.0,
         }
     }
 
-    fn usable(&self, entries: f64, now_ms: MonoMs) -> f64 {
-        self.own(entries) + self.holder.share(now_ms)
+    fn usable_limit(&self, entry_count: f64, now_ms: MonoMs) -> f64 {
+        self.static_portion(entry_count) + self.holder.share(now_ms)
     }
 
-    /// This process's piece of the static part.
-    fn own(&self, entries: f64) -> f64 {
-        self.limit * ShareConfig::default().static_fraction / entries.max(1.0)
+    /// This process's portion of the static part.
+    fn static_portion(&self, entry_count: f64) -> f64 {
+        self.limit * ShareConfig::default().static_fraction / entry_count.max(1.0)
     }
 
-    /// Admits one request, or says when to come back.
-    fn admit(&mut self, usable: f64, now_ms: MonoMs) -> Result<(), u64> {
-        match self.unit {
-            Unit::AtATime => {
-                self.wanted = self.wanted.max(f64::from(self.in_use) + 1.0);
-                if f64::from(self.in_use) + 1.0 > usable {
-                    return Err(CONCURRENCY_WAIT_MS);
+    /// Admits one request, or returns the retry delay in milliseconds.
+    fn admit(&mut self, usable_limit: f64, now_ms: MonoMs) -> Result<(), u64> {
+        match self.kind {
+            LimitKind::Concurrency => {
+                self.requested = self.requested.max(f64::from(self.in_use) + 1.0);
+                if f64::from(self.in_use) + 1.0 > usable_limit {
+                    return Err(CONCURRENCY_RETRY_AFTER_MS);
                 }
                 self.in_use += 1;
                 Ok(())
             }
-            Unit::Requests => {
-                self.wanted += 1.0;
-                self.bucket.set_rate(usable, now_ms);
+            LimitKind::RequestRate => {
+                self.requested += 1.0;
+                self.bucket.set_rate(usable_limit, now_ms);
                 self.bucket.take(now_ms)
             }
-            Unit::Tokens => {
-                self.bucket.set_rate(usable, now_ms);
+            LimitKind::TokenRate => {
+                self.bucket.set_rate(usable_limit, now_ms);
                 match self.bucket.debt_ms(now_ms) {
                     0 => Ok(()),
-                    wait_ms => {
-                        self.wanted += 1.0;
-                        Err(wait_ms)
+                    retry_after_ms => {
+                        self.requested += 1.0;
+                        Err(retry_after_ms)
                     }
                 }
             }
         }
     }
 
-    /// Whether this process needs a share, or still has one to give back.
+    /// Whether this process needs a share, or still has one to return.
     fn is_in_use(&self, now_ms: MonoMs) -> bool {
-        let wants = self.wanted > 0.0 || self.demand > LEAST_DEMAND;
-        wants || self.in_use > 0 || (self.holder.share(now_ms) > 0.0 && self.demand > 0.0)
+        let has_demand = self.requested > 0.0 || self.demand > MIN_DEMAND;
+        has_demand || self.in_use > 0 || (self.holder.share(now_ms) > 0.0 && self.demand > 0.0)
     }
 
-    fn undo(&mut self) {
-        if self.unit == Unit::AtATime {
+    fn release(&mut self) {
+        if self.kind == LimitKind::Concurrency {
             self.in_use = self.in_use.saturating_sub(1);
         }
     }
 }
 
 impl Limiter {
-    /// Follows the catalogue and the list of VMs.
-    pub(crate) fn reconcile(&self, catalogue: &Catalogue, entries: usize, now_ms: MonoMs) {
+    /// Adopts the limits of the catalogue and the number of listed entries.
+    pub(crate) fn reconcile(&self, catalogue: &Catalogue, entry_count: usize, now_ms: MonoMs) {
         #[allow(clippy::cast_precision_loss)] // a few hundred
-        let entries = entries.max(1) as f64;
-        *lock(&self.entries) = entries;
-        let mut wanted: IndexMap<Arc<str>, (Unit, f64)> = IndexMap::new();
+        let entry_count = entry_count.max(1) as f64;
+        *lock(&self.entry_count) = entry_count;
+        let mut configured: IndexMap<Arc<str>, (LimitKind, f64)> = IndexMap::new();
         let accounts = catalogue.accounts.values();
         let accounts =
             accounts.map(|account| (format!("account/{}", account.name), &account.limits));
-        let of_entries = catalogue.entries.values();
-        let of_entries = of_entries.map(|entry| (format!("entry/{}", entry.name), &entry.limits));
-        for (owner, limits) in accounts.chain(of_entries) {
-            for (unit, limit) in units_of(limits) {
+        let entries = catalogue.entries.values();
+        let entries = entries.map(|entry| (format!("entry/{}", entry.name), &entry.limits));
+        for (owner, limits) in accounts.chain(entries) {
+            for (kind, limit) in configured_limits(limits) {
                 if limit > 0 {
-                    wanted.insert(name_of(&owner, unit), (unit, f64::from(limit)));
+                    configured.insert(limit_name(&owner, kind), (kind, f64::from(limit)));
                 }
             }
         }
         let mut limits = lock(&self.limits);
-        limits.retain(|name, _| wanted.contains_key(name));
-        for (name, (unit, limit)) in wanted {
+        limits.retain(|name, _| configured.contains_key(name));
+        for (name, (kind, limit)) in configured {
             limits
                 .entry(name)
-                .or_insert_with(|| Limited::new(unit, limit, now_ms))
+                .or_insert_with(|| LimitState::new(kind, limit, now_ms))
                 .limit = limit;
         }
     }
@@ -176,86 +176,87 @@
         call: &Call,
         now_ms: MonoMs,
     ) -> Result<Permit, ErrorResponse> {
-        let entries = *lock(&self.entries);
+        let entry_count = *lock(&self.entry_count);
         let mut limits = lock(&self.limits);
-        let mut taken = Vec::new();
+        let mut admitted = Vec::new();
         let names = limit_names(call);
         for name in &names {
-            let Some(limited) = limits.get_mut(name) else {
+            let Some(state) = limits.get_mut(name) else {
                 continue;
             };
-            let usable = limited.usable(entries, now_ms);
-            if let Err(wait_ms) = limited.admit(usable, now_ms) {
-                for earlier in &taken {
-                    if let Some(limited) = limits.get_mut(earlier) {
-                        limited.undo();
+            let usable_limit = state.usable_limit(entry_count, now_ms);
+            if let Err(retry_after_ms) = state.admit(usable_limit, now_ms) {
+                for earlier in &admitted {
+                    if let Some(state) = limits.get_mut(earlier) {
+                        state.release();
                     }
                 }
-                return Err(over_limit(name, wait_ms));
+                return Err(over_limit_error(name, retry_after_ms));
             }
-            taken.push(Arc::clone(name));
+            admitted.push(Arc::clone(name));
         }
         drop(limits);
         Ok(Permit {
             limiter: Arc::clone(self),
-            names: taken,
+            names: admitted,
         })
     }
 
     /// Charges tokens that were generated for a call.
     pub(crate) fn charge(&self, call: &Call, tokens: u64, now_ms: MonoMs) {
-        let entries = *lock(&self.entries);
+        let entry_count = *lock(&self.entry_count);
         let mut limits = lock(&self.limits);
         for name in limit_names(call) {
-            if let Some(limited) = limits.get_mut(&name)
-                && limited.unit == Unit::Tokens
+            if let Some(state) = limits.get_mut(&name)
+                && state.kind == LimitKind::TokenRate
             {
-                let usable = limited.usable(entries, now_ms);
-                #[allow(clippy::cast_precision_loss)] // tokens of one answer
+                let usable_limit = state.usable_limit(entry_count, now_ms);
+                #[allow(clippy::cast_precision_loss)] // tokens of one response
                 let tokens = tokens as f64;
-                limited.wanted += tokens;
-                limited.bucket.set_rate(usable, now_ms);
-                limited.bucket.charge(tokens, now_ms);
+                state.requested += tokens;
+                state.bucket.set_rate(usable_limit, now_ms);
+                state.bucket.charge(tokens, now_ms);
             }
         }
     }
 
-    /// What to ask the home, after `period_s` since the last time.
-    pub(crate) fn questions(&self, period_s: f64, now_ms: MonoMs) -> Vec<ShareDemand> {
-        let entries = *lock(&self.entries);
+    /// The demands to send to the home, `period_s` after the previous share request.
+    pub(crate) fn share_demands(&self, period_s: f64, now_ms: MonoMs) -> Vec<ShareDemand> {
+        let entry_count = *lock(&self.entry_count);
         let mut limits = lock(&self.limits);
-        let asks_all = limits.len() <= ASK_ALL_UP_TO;
+        let requests_all = limits.len() <= MAX_LIMITS_TO_REQUEST_ALL;
         limits
             .iter_mut()
-            .filter(|(_, limited)| asks_all || limited.is_in_use(now_ms))
-            .map(|(name, limited)| {
-                let above_own = f64::from(limited.in_use) - limited.own(entries);
-                let wanted = match limited.unit {
-                    Unit::AtATime => limited.wanted,
-                    Unit::Requests | Unit::Tokens => limited.wanted / period_s,
+            .filter(|(_, state)| requests_all || state.is_in_use(now_ms))
+            .map(|(name, state)| {
+                let above_static_portion =
+                    f64::from(state.in_use) - state.static_portion(entry_count);
+                let requested = match state.kind {
+                    LimitKind::Concurrency => state.requested,
+                    LimitKind::RequestRate | LimitKind::TokenRate => state.requested / period_s,
                 };
-                limited.demand += DEMAND_WEIGHT * (wanted - limited.demand);
-                limited.wanted = match limited.unit {
-                    Unit::AtATime => f64::from(limited.in_use),
-                    Unit::Requests | Unit::Tokens => 0.0,
+                state.demand += DEMAND_WEIGHT * (requested - state.demand);
+                state.requested = match state.kind {
+                    LimitKind::Concurrency => f64::from(state.in_use),
+                    LimitKind::RequestRate | LimitKind::TokenRate => 0.0,
                 };
                 ShareDemand {
                     limit: name.to_string(),
-                    demand: limited.demand,
-                    in_use: above_own.max(0.0),
-                    confirmed: limited.holder.confirmed_seq(),
-                    asked: limited.holder.begin_request(now_ms),
+                    demand: state.demand,
+                    in_use: above_static_portion.max(0.0),
+                    confirmed: state.holder.confirmed_seq(),
+                    asked: state.holder.begin_request(now_ms),
                 }
             })
             .collect()
     }
 
-    /// Takes the home's answers.
+    /// Applies the shares that the home granted.
     pub(crate) fn on_grants(&self, grants: &[ShareGrant]) {
         let mut limits = lock(&self.limits);
         for grant in grants {
-            if let Some(limited) = limits.get_mut(grant.limit.as_str()) {
-                limited.holder.on_grant(&GrantedShare {
+            if let Some(state) = limits.get_mut(grant.limit.as_str()) {
+                state.holder.on_grant(&GrantedShare {
                     epoch: grant.epoch,
                     request_seq: grant.asked,
                     share: grant.share,
@@ -265,56 +266,60 @@
         }
     }
 
-    /// Each limit as this process has it, for operators.
+    /// The state of each limit in this process, for operators.
     pub(crate) fn status(&self, now_ms: MonoMs) -> serde_json::Value {
-        let entries = *lock(&self.entries);
+        let entry_count = *lock(&self.entry_count);
         let limits = lock(&self.limits);
-        let shown = limits.iter().map(|(name, limited)| {
+        let rows = limits.iter().map(|(name, state)| {
             serde_json::json!({
                 "name": &**name,
-                "limit": limited.limit,
-                "usable": limited.usable(entries, now_ms),
-                "in_use": limited.in_use,
-                "demand": limited.demand,
+                "limit": state.limit,
+                "usable": state.usable_limit(entry_count, now_ms),
+                "in_use": state.in_use,
+                "demand": state.demand,
             })
         });
-        shown.collect()
+        rows.collect()
     }
 
-    /// The limits' values, for a home to split.
-    pub(crate) fn limit_of(&self, name: &str) -> Option<f64> {
-        lock(&self.limits).get(name).map(|limited| limited.limit)
+    /// The value of a limit, for the home to split.
+    pub(crate) fn limit_value(&self, name: &str) -> Option<f64> {
+        lock(&self.limits).get(name).map(|state| state.limit)
     }
 }
 
-fn units_of(limits: &Limits) -> [(Unit, u32); 3] {
+fn configured_limits(limits: &Limits) -> [(LimitKind, u32); 3] {
     [
-        (Unit::AtATime, limits.concurrency),
-        (Unit::Requests, limits.requests_per_second),
-        (Unit::Tokens, limits.tokens_per_second),
+        (LimitKind::Concurrency, limits.concurrency),
+        (LimitKind::RequestRate, limits.requests_per_second),
+        (LimitKind::TokenRate, limits.tokens_per_second),
     ]
 }
 
-fn name_of(owner: &str, unit: Unit) -> Arc<str> {
-    let unit = match unit {
-        Unit::AtATime => "concurrency",
-        Unit::Requests => "requests_per_second",
-        Unit::Tokens => "tokens_per_second",
+fn limit_name(owner: &str, kind: LimitKind) -> Arc<str> {
+    let kind = match kind {
+        LimitKind::Concurrency => "concurrency",
+        LimitKind::RequestRate => "requests_per_second",
+        LimitKind::TokenRate => "tokens_per_second",
     };
-    format!("{owner}/{unit}").into()
+    format!("{owner}/{kind}").into()
 }
 
 fn limit_names(call: &Call) -> Vec<Arc<str>> {
     let account = format!("account/{}", call.account.name);
     let entry = format!("entry/{}", call.entry.name);
-    let units = [Unit::AtATime, Unit::Requests, Unit::Tokens];
+    let kinds = [
+        LimitKind::Concurrency,
+        LimitKind::RequestRate,
+        LimitKind::TokenRate,
+    ];
     [account, entry]
         .iter()
-        .flat_map(|owner| units.map(|unit| name_of(owner, unit)))
+        .flat_map(|owner| kinds.map(|kind| limit_name(owner, kind)))
         .collect()
 }
 
-fn over_limit(name: &str, wait_ms: u64) -> ErrorResponse {
+fn over_limit_error(name: &str, retry_after_ms: u64) -> ErrorResponse {
     let message = format!("the limit {name} is reached; come back later, or ask for a higher one");
-    ErrorResponse::not_run(ErrorReason::OverLimit, message).with_retry_after_ms(wait_ms)
+    ErrorResponse::not_run(ErrorReason::OverLimit, message).with_retry_after_ms(retry_after_ms)
 }
--- a/crates/berylhook/src/serve/link.rs
+++ b/crates/berylhook/src/serve/link.rs
@@ -1,9 +1,8 @@
 //! The connection to one agent.
 //!
-//! A link dials, keeps the connection alive, and redials. Requests register
-//! for the frames about them; when the connection is lost their channels
-//! close, which is how they notice. A frame nobody is registered for is late
-//! or foreign: it is dropped and counted.
+//! A link connects, keeps the connection alive and reconnects. Requests register for the frames
+//! about them; when the connection is lost, their channels are closed, by which they detect the
+//! loss. A frame about a request that is not registered is dropped and counted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,23 +24,23 @@
 use tokio::time::timeout;
 
 use super::catalogue::OfferedDocument;
-use super::control::Told;
+use super::control::CatalogueUpdate;
 use super::node::{Node, lock};
 
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often a link looks at its health.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+/// Interval of health checks on a connection.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Frames taken into one record.
-const BATCH_FRAMES: usize = 256;
+/// Maximum number of frames in one record.
+const MAX_BATCH_FRAMES: usize = 256;
 
-/// What a link tells its owner.
+/// Events that a link reports to its owner.
 pub(crate) trait LinkEvents: Send + Sync {
     /// The connection came up or was lost.
     fn on_connected(&self, connected: bool);
 
-    /// The agent answered a ping.
+    /// The agent replied to a ping.
     fn on_pong(&self, pong: &Pong);
 }
 
@@ -50,20 +49,20 @@
     pub(crate) agent: Arc<str>,
     pub(crate) address: SocketAddr,
     connection: watch::Sender<Option<Arc<Connection>>>,
-    waiting: Mutex<HashMap<RequestId, mpsc::UnboundedSender<Kind>>>,
+    receivers: Mutex<HashMap<RequestId, mpsc::UnboundedSender<Kind>>>,
     closed: watch::Sender<bool>,
 }
 
-/// A connection that is up.
+/// An established connection.
 pub(crate) struct Connection {
     pub(crate) incarnation: Incarnation,
     outgoing: mpsc::UnboundedSender<Frame>,
-    /// The agent's clock minus ours at the last answer to a ping.
-    agent_ahead_ms: AtomicU64,
-    heard_ms: AtomicU64,
+    /// The agent's clock minus this process's at the last reply to a ping.
+    agent_clock_offset_ms: AtomicU64,
+    last_received_ms: AtomicU64,
 }
 
-/// A request's place among those waiting for frames.
+/// A request's registration for frames, which ends when dropped.
 pub(crate) struct Registration {
     link: Arc<Link>,
     id: RequestId,
@@ -72,7 +71,7 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        lock(&self.link.waiting).remove(&self.id);
+        lock(&self.link.receivers).remove(&self.id);
     }
 }
 
@@ -81,10 +80,10 @@
         self.outgoing.send(frame(id, kind)).is_ok()
     }
 
-    /// A start deadline `within_ms` from now on the agent's own clock.
+    /// The agent's clock `within_ms` from now, for a start deadline.
     pub(crate) fn start_by_ms(&self, now_ms: MonoMs, within_ms: u64) -> u64 {
-        let ahead_ms = self.agent_ahead_ms.load(Ordering::Relaxed);
-        now_ms.0.wrapping_add(ahead_ms).wrapping_add(within_ms)
+        let offset_ms = self.agent_clock_offset_ms.load(Ordering::Relaxed);
+        now_ms.0.wrapping_add(offset_ms).wrapping_add(within_ms)
     }
 }
 
@@ -94,7 +93,7 @@
             agent,
             address,
             connection: watch::Sender::new(None),
-            waiting: Mutex::new(HashMap::new()),
+            receivers: Mutex::new(HashMap::new()),
             closed: watch::Sender::new(false),
         })
     }
@@ -104,11 +103,11 @@
         self.connection.borrow().clone()
     }
 
-    /// Waits for a connection to be up.
-    pub(crate) async fn connected(&self, bound: Duration) -> Option<Arc<Connection>> {
+    /// Waits until the agent is connected, for at most `max_wait`.
+    pub(crate) async fn wait_connected(&self, max_wait: Duration) -> Option<Arc<Connection>> {
         let mut connection = self.connection.subscribe();
         let up = connection.wait_for(Option::is_some);
-        match timeout(bound, up).await {
+        match timeout(max_wait, up).await {
             Ok(Ok(connection)) => connection.clone(),
             _ => None,
         }
@@ -117,7 +116,7 @@
     /// Registers for the frames about a request.
     pub(crate) fn register(self: &Arc<Self>, id: RequestId) -> Registration {
         let (sender, frames) = mpsc::unbounded_channel();
-        lock(&self.waiting).insert(id, sender);
+        lock(&self.receivers).insert(id, sender);
         Registration {
             link: Arc::clone(self),
             id,
@@ -125,24 +124,24 @@
         }
     }
 
-    /// Ends the link; requests still on it lose their connection.
+    /// Closes the link; requests still on it lose their connection.
     pub(crate) fn close(&self) {
         self.closed.send_replace(true);
     }
 
-    /// Whether any request waits for frames.
+    /// Whether no request is registered.
     pub(crate) fn is_idle(&self) -> bool {
-        lock(&self.waiting).is_empty()
+        lock(&self.receivers).is_empty()
     }
 
-    /// Dials and redials until closed.
+    /// Connects and reconnects until the link is closed.
     pub(crate) async fn run(self: Arc<Self>, node: Arc<Node>, events: Arc<dyn LinkEvents>) {
         let mut closed = self.closed.subscribe();
         tokio::select! {
             () = self.keep_connected(&node, &events) => {}
             _ = closed.wait_for(|closed| *closed) => {}
         }
-        self.lost(&events);
+        self.on_connection_lost(&events);
     }
 
     async fn keep_connected(&self, node: &Arc<Node>, events: &Arc<dyn LinkEvents>) {
@@ -152,8 +151,8 @@
             match self.dial(node).await {
                 Ok(peer) => {
                     attempt = 0;
-                    let error = self.converse(node, events, peer).await;
-                    self.lost(events);
+                    let error = self.run_connection(node, events, peer).await;
+                    self.on_connection_lost(events);
                     log::info!("agent {} has disconnected: {error}", self.agent);
                 }
                 Err(error) => log::debug!("agent {} cannot be reached: {error}", self.agent),
@@ -173,8 +172,8 @@
         berylhook_peer::connect(stream, &node.keys, name, node.incarnation).await
     }
 
-    /// Carries frames until the connection is lost.
-    async fn converse(
+    /// Sends and receives frames until the connection is lost.
+    async fn run_connection(
         &self,
         node: &Arc<Node>,
         events: &Arc<dyn LinkEvents>,
@@ -186,11 +185,11 @@
         let connection = Arc::new(Connection {
             incarnation,
             outgoing,
-            agent_ahead_ms: AtomicU64::new(0),
-            heard_ms: AtomicU64::new(node.now_ms().0),
+            agent_clock_offset_ms: AtomicU64::new(0),
+            last_received_ms: AtomicU64::new(node.now_ms().0),
         });
         send_digest(node, &connection);
-        ping(node, &connection);
+        send_ping(node, &connection);
         tokio::select! {
             error = self.read_loop(node, events, &connection, &mut reader) => error,
             error = write_loop(writer, queue) => error,
@@ -198,7 +197,7 @@
                 node.counters.silent_links.fetch_add(1, Ordering::Relaxed);
                 std::io::Error::from(std::io::ErrorKind::TimedOut).into()
             }
-            () = Self::send_changes(node, &connection) => {
+            () = Self::send_digest_on_change(node, &connection) => {
                 std::io::Error::from(std::io::ErrorKind::Interrupted).into()
             }
         }
@@ -215,10 +214,10 @@
             match reader.next().await {
                 Ok(frames) => {
                     connection
-                        .heard_ms
+                        .last_received_ms
                         .store(node.now_ms().0, Ordering::Relaxed);
                     for received in frames {
-                        self.handle(node, events, connection, received);
+                        self.on_frame(node, events, connection, received);
                     }
                 }
                 Err(error) => return error,
@@ -226,7 +225,7 @@
         }
     }
 
-    fn handle(
+    fn on_frame(
         &self,
         node: &Arc<Node>,
         events: &Arc<dyn LinkEvents>,
@@ -236,18 +235,18 @@
         let id = request_id(&received);
         match received.kind {
             Some(Kind::Pong(pong)) => self.on_pong(node, events, connection, &pong),
-            Some(Kind::DigestAnswer(told)) => {
+            Some(Kind::DigestAnswer(reply)) => {
                 let documents = Arc::clone(&node.snapshot.load().documents);
-                let comparison = compare_versions(&documents, &told);
+                let comparison = compare_versions(&documents, &reply);
                 let origin = node.issue_id();
                 if !comparison.offer.documents.is_empty() {
                     connection.send(origin, Kind::Catalogue(comparison.offer));
                 }
                 connection.send(origin, Kind::Want(comparison.want));
             }
-            Some(Kind::Catalogue(told)) => {
-                let documents = told.documents.iter();
-                node.offer(Told {
+            Some(Kind::Catalogue(catalogue)) => {
+                let documents = catalogue.documents.iter();
+                node.send_update(CatalogueUpdate {
                     source: Arc::clone(&self.agent),
                     documents: documents
                         .filter_map(OfferedDocument::from_message)
@@ -255,11 +254,11 @@
                 });
             }
             Some(kind) => {
-                let is_taken = match lock(&self.waiting).get(&id) {
-                    Some(waiting) => waiting.send(kind).is_ok(),
+                let is_delivered = match lock(&self.receivers).get(&id) {
+                    Some(receiver) => receiver.send(kind).is_ok(),
                     None => false,
                 };
-                if !is_taken {
+                if !is_delivered {
                     node.counters.dropped_frames.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -274,9 +273,12 @@
         connection: &Arc<Connection>,
         pong: &Pong,
     ) {
-        let ahead_ms = pong.agent_now_ms.wrapping_sub(node.now_ms().0);
-        connection.agent_ahead_ms.store(ahead_ms, Ordering::Relaxed);
-        // Only now is the agent's clock known, so only now can it get orders.
+        let offset_ms = pong.agent_now_ms.wrapping_sub(node.now_ms().0);
+        connection
+            .agent_clock_offset_ms
+            .store(offset_ms, Ordering::Relaxed);
+        // Run commands carry deadlines on the agent's clock, which is known only from the first
+        // pong.
         if self.connection.borrow().is_none() {
             log::info!(
                 "agent {} incarnation {} is connected",
@@ -289,34 +291,34 @@
         events.on_pong(pong);
     }
 
-    fn lost(&self, events: &Arc<dyn LinkEvents>) {
+    fn on_connection_lost(&self, events: &Arc<dyn LinkEvents>) {
         self.connection.send_replace(None);
         events.on_connected(false);
-        lock(&self.waiting).clear();
+        lock(&self.receivers).clear();
     }
 
-    /// Pings; ends when the connection has been silent for too long.
+    /// Sends pings; returns when nothing has been received for too long.
     async fn watch_health(&self, node: &Arc<Node>, connection: &Connection) {
         let mut health = LinkHealth::new(LivenessConfig::default(), node.now_ms());
         loop {
-            tokio::time::sleep(CHECK_EVERY).await;
-            health.on_received(MonoMs(connection.heard_ms.load(Ordering::Relaxed)));
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
+            health.on_received(MonoMs(connection.last_received_ms.load(Ordering::Relaxed)));
             match health.check(self.is_idle(), node.now_ms()) {
                 LivenessAction::Wait => {}
-                LivenessAction::Ping => ping(node, connection),
+                LivenessAction::Ping => send_ping(node, connection),
                 LivenessAction::Reconnect => return,
             }
         }
     }
 
-    /// Tells the agent of every change of the catalogue.
-    async fn send_changes(node: &Arc<Node>, connection: &Connection) {
+    /// Sends the agent a digest after every change of the catalogue.
+    async fn send_digest_on_change(node: &Arc<Node>, connection: &Connection) {
         let mut published = node.published.subscribe();
-        let mut told = *node.snapshot.load().documents.summary();
+        let mut last_sent = *node.snapshot.load().documents.summary();
         while published.changed().await.is_ok() {
             let summary = *node.snapshot.load().documents.summary();
-            if summary != told {
-                told = summary;
+            if summary != last_sent {
+                last_sent = summary;
                 send_digest(node, connection);
             }
         }
@@ -328,7 +330,7 @@
     connection.send(node.issue_id(), Kind::Digest(digest(&documents)));
 }
 
-fn ping(node: &Node, connection: &Connection) {
+fn send_ping(node: &Node, connection: &Connection) {
     let sent_ms = node.now_ms().0;
     connection.send(node.issue_id(), Kind::Ping(Ping { sent_ms }));
 }
@@ -338,7 +340,7 @@
     mut queue: mpsc::UnboundedReceiver<Frame>,
 ) -> PeerError {
     let mut frames = Vec::new();
-    while queue.recv_many(&mut frames, BATCH_FRAMES).await > 0 {
+    while queue.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
         if let Err(error) = writer.send(&mut frames).await {
             return error;
         }
--- a/crates/berylhook/src/serve/metrics.rs
+++ b/crates/berylhook/src/serve/metrics.rs
@@ -1,5 +1,6 @@
-//! Metrics over statsd, off unless set. Sending never blocks: the sink
-//! queues, drops when its queue is full, and control sends, not traffic.
+//! Metrics over statsd, sent only if an address is configured. Sending never blocks: the sink
+//! queues metrics and drops them when its queue is full, and the control thread sends them, not the
+//! traffic threads.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -12,49 +13,49 @@
 use super::node::Node;
 
 /// Time between two sends.
-const SEND_EVERY: Duration = Duration::from_secs(1);
+const SEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Metrics that wait for the socket at most.
-const QUEUE: usize = 1_024;
+/// Maximum number of metrics queued for the socket.
+const MAX_QUEUED_METRICS: usize = 1_024;
 
-/// Sends until the entry stops; returns at once where metrics are off.
+/// Sends metrics until the entry stops; returns at once if metrics are turned off.
 pub(crate) async fn send(node: Arc<Node>, fleet: Arc<Fleet>) {
     let Some(address) = node.settings.metrics.statsd else {
         return;
     };
-    let client = match client_to(address) {
+    let client = match statsd_client(address) {
         Ok(client) => client,
         Err(error) => {
-            log::error!("no metrics: {error:#}; check `statsd` under [metrics]");
+            log::error!("cannot send metrics: {error:#}; check `statsd` under [metrics]");
             return;
         }
     };
-    let mut last = Sent::default();
+    let mut last = SentCounts::default();
     loop {
-        tokio::time::sleep(SEND_EVERY).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
         send_once(&client, &node, &fleet, &mut last);
     }
 }
 
-fn client_to(address: SocketAddr) -> anyhow::Result<StatsdClient> {
+fn statsd_client(address: SocketAddr) -> anyhow::Result<StatsdClient> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.set_nonblocking(true)?;
     let sink = UdpMetricSink::from(address, socket)?;
-    let queue = QueuingMetricSink::with_capacity(sink, QUEUE);
+    let queue = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS);
     Ok(StatsdClient::from_sink("berylhook", queue))
 }
 
 /// Counter values at the last send.
 #[derive(Default)]
-struct Sent {
+struct SentCounts {
     dropped_frames: u64,
     retries: u64,
     resumed: u64,
     silent_links: u64,
-    ended_under_requests: u64,
+    requests_at_exit: u64,
 }
 
-fn send_once(client: &StatsdClient, node: &Node, fleet: &Fleet, last: &mut Sent) {
+fn send_once(client: &StatsdClient, node: &Node, fleet: &Fleet, last: &mut SentCounts) {
     let counters = &node.counters;
     count(
         client,
@@ -74,8 +75,8 @@
     count(
         client,
         "ended_under_requests",
-        &quarantine.ended_under_requests,
-        &mut last.ended_under_requests,
+        &quarantine.requests_at_exit,
+        &mut last.requests_at_exit,
     );
     let gauge = |gauge: &AtomicU64| gauge.load(Ordering::Relaxed);
     let _ = client.gauge("suspected_requests", gauge(&quarantine.suspected));
@@ -88,7 +89,7 @@
             .with_tag("entry", &service.name)
             .try_send();
     }
-    for (entry, counts) in node.burn.recent(node.now_ms()) {
+    for (entry, counts) in node.burn.recent_counts(node.now_ms()) {
         let gauges = [
             ("requests_5m", counts.requests),
             ("failed_5m", counts.failed),
@@ -105,8 +106,8 @@
 }
 
 fn count(client: &StatsdClient, name: &str, counter: &AtomicU64, last: &mut u64) {
-    let now = counter.load(Ordering::Relaxed);
-    let fresh = i64::try_from(now - *last).unwrap_or(i64::MAX);
-    *last = now;
-    let _ = client.count(name, fresh);
+    let current = counter.load(Ordering::Relaxed);
+    let increase = i64::try_from(current - *last).unwrap_or(i64::MAX);
+    *last = current;
+    let _ = client.count(name, increase);
 }
--- a/crates/berylhook/src/serve/node.rs
+++ b/crates/berylhook/src/serve/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of the entry share.
+//! State shared by all parts of the entry process.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -14,57 +14,59 @@
 use berylhook_quarantine::SuspectTracker;
 use tokio::sync::{mpsc, watch};
 
-use super::burn::Burn;
-use super::control::Told;
+use super::burn::BurnRecorder;
+use super::control::CatalogueUpdate;
 use super::limits::Limiter;
 use super::quarantine::QuarantineCounts;
 
-/// What control has published for traffic to read.
+/// State that the control thread publishes to the traffic threads.
 #[derive(Clone, Default)]
 pub(crate) struct Snapshot {
-    /// The catalogue in force, checked.
+    /// The catalogue in force, parsed and validated.
     pub(crate) catalogue: Arc<Catalogue>,
-    /// The same as it is passed on to agents.
+    /// The catalogue as documents, as they are sent to agents.
     pub(crate) documents: Arc<Documents>,
-    /// The platform's list.
+    /// The platform's list of VMs.
     pub(crate) vms: Arc<Vec<Vm>>,
 }
 
-/// The entry's shared state.
+/// Shared state of the entry process.
 pub(crate) struct Node {
     pub(crate) settings: EntrySettings,
     pub(crate) keys: KeyRing,
     pub(crate) incarnation: Incarnation,
     pub(crate) snapshot: ArcSwap<Snapshot>,
-    /// Changes whenever the snapshot does.
+    /// Incremented whenever the snapshot is replaced.
     pub(crate) published: watch::Sender<u64>,
+    /// Whether the process was told to stop.
     pub(crate) stopping: watch::Sender<bool>,
+    /// Whether serving has ended, after which the control thread stops.
     pub(crate) stopped: watch::Sender<bool>,
-    /// Whether the catalogue is known well enough to serve.
+    /// Whether the catalogue is known well enough to start serving.
     pub(crate) has_catalogue: AtomicBool,
     pub(crate) counters: Counters,
-    pub(crate) burn: Burn,
+    pub(crate) burn: BurnRecorder,
     pub(crate) limiter: Arc<Limiter>,
-    /// Requests under which targets end.
+    /// Quarantine of requests during which targets exited.
     pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) quarantine_counts: Arc<QuarantineCounts>,
-    /// Documents that agents tell, on their way to the control thread.
-    offers: OnceLock<mpsc::UnboundedSender<Told>>,
+    /// Carries documents from agents to the control thread.
+    update_sender: OnceLock<mpsc::UnboundedSender<CatalogueUpdate>>,
     next_id: AtomicU64,
     in_flight: AtomicU32,
-    epoch: Instant,
+    started_at: Instant,
 }
 
 /// Counts since the start, for `berylhook status`.
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// Frames that were late, duplicate or foreign.
+    /// Frames dropped because they were late, duplicate or about an unknown request.
     pub(crate) dropped_frames: AtomicU64,
     /// Attempts after the first.
     pub(crate) retries: AtomicU64,
-    /// Answers resumed at another agent incarnation.
+    /// Streams resumed after a lost connection.
     pub(crate) resumed: AtomicU64,
-    /// Connections given up because they had gone silent.
+    /// Connections dropped because nothing was received for too long.
     pub(crate) silent_links: AtomicU64,
 }
 
@@ -89,19 +91,19 @@
             stopped: watch::Sender::new(false),
             has_catalogue: AtomicBool::new(false),
             counters: Counters::default(),
-            burn: Burn::default(),
+            burn: BurnRecorder::default(),
             limiter: Arc::new(Limiter::default()),
-            offers: OnceLock::new(),
+            update_sender: OnceLock::new(),
             next_id: AtomicU64::new(1),
             in_flight: AtomicU32::new(0),
-            epoch: Instant::now(),
+            started_at: Instant::now(),
             settings,
         })
     }
 
-    /// This process's monotonic clock.
+    /// Monotonic time since this process started.
     pub(crate) fn now_ms(&self) -> MonoMs {
-        let elapsed = self.epoch.elapsed().as_millis();
+        let elapsed = self.started_at.elapsed().as_millis();
         MonoMs(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
@@ -118,19 +120,19 @@
             && !*self.stopping.borrow()
     }
 
-    /// Opens the way to the control thread; called once, by it.
-    pub(crate) fn set_offers(&self, offers: mpsc::UnboundedSender<Told>) {
-        let _ = self.offers.set(offers);
+    /// Sets the channel to the control thread, which calls this once.
+    pub(crate) fn set_update_sender(&self, update_sender: mpsc::UnboundedSender<CatalogueUpdate>) {
+        let _ = self.update_sender.set(update_sender);
     }
 
-    /// Passes on what an agent told of the catalogue.
-    pub(crate) fn offer(&self, told: Told) {
-        if let Some(offers) = self.offers.get() {
-            let _ = offers.send(told);
+    /// Sends documents from an agent to the control thread.
+    pub(crate) fn send_update(&self, update: CatalogueUpdate) {
+        if let Some(update_sender) = self.update_sender.get() {
+            let _ = update_sender.send(update);
         }
     }
 
-    /// Replaces the snapshot; only the control thread does so.
+    /// Replaces the snapshot; called only by the control thread.
     pub(crate) fn publish(&self, change: impl FnOnce(&mut Snapshot)) {
         let mut snapshot = Snapshot::clone(&self.snapshot.load());
         change(&mut snapshot);
@@ -145,23 +147,23 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Counts a request until the guard is dropped.
-    pub(crate) fn begin(self: &Arc<Self>) -> InFlight {
+    /// Counts a request as in flight until the guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight(Arc::clone(self))
+        InFlightGuard(Arc::clone(self))
     }
 }
 
-/// A request that a drain waits for.
-pub(crate) struct InFlight(Arc<Node>);
+/// Guard that counts one request as in flight until it is dropped.
+pub(crate) struct InFlightGuard(Arc<Node>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Locks a state that is only ever held for a few instructions.
+/// Locks a mutex that is only ever held for a few instructions.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of this lock panics")
 }
--- a/crates/berylhook/src/serve/peers.rs
+++ b/crates/berylhook/src/serve/peers.rs
@@ -1,8 +1,8 @@
-//! The exchange between entries, over `nng`'s request pattern.
+//! Gossip between entries, over `nng`'s request-reply pattern.
 //!
-//! A change is pushed to a few others at once, which push it on; whatever a
-//! push missed is found by comparing digests with a random other entry at a
-//! fixed rate. Both cost the same per process however many there are.
+//! A change is pushed at once to a few other entries, which push it on. Changes that a push missed
+//! are found by anti-entropy: each entry compares digests with a random other one at a fixed rate.
+//! The cost of both per process does not depend on the number of entries.
 
 use std::ffi::CString;
 use std::net::SocketAddr;
@@ -26,28 +26,28 @@
 use super::catalogue::OfferedDocument;
 use super::control::Control;
 use super::node::Node;
-use super::quarantine::{answer_news, on_answer};
+use super::quarantine::{apply_peer_update, on_digest_reply};
 use super::shares;
 use super::status::status;
 
-/// Time between two digests sent.
-const GOSSIP_EVERY: Duration = Duration::from_millis(500);
+/// Interval of digest comparisons.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Other entries a change is pushed to at once.
+/// Number of other entries to which a change is pushed.
 const PUSH_FANOUT: usize = 4;
 
-/// Time for one question.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time allowed for one request and its reply.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Questions answered at a time.
-const ANSWERERS: usize = 4;
+/// Number of requests served at a time.
+const RESPONDERS: usize = 4;
 
-const QUESTION_LABEL: &str = "berylhook question";
-const ANSWER_LABEL: &str = "berylhook answer";
+const REQUEST_LABEL: &str = "berylhook question";
+const REPLY_LABEL: &str = "berylhook answer";
 
-/// Answers other entries and operators' commands.
+/// Serves requests of other entries and of operators' commands.
 pub(crate) async fn serve(control: Rc<Control>) {
-    let url = url_of(control.node.settings.digest_listen);
+    let url = socket_url(control.node.settings.digest_listen);
     let socket = match Rep0::listen(&url).await {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
@@ -55,7 +55,7 @@
             return;
         }
     };
-    let answerers = (0..ANSWERERS).map(|_| {
+    let responders = (0..RESPONDERS).map(|_| {
         let control = Rc::clone(&control);
         let socket = Arc::clone(&socket);
         tokio::task::spawn_local(async move {
@@ -64,11 +64,11 @@
                 let (request, responder) = match context.receive().await {
                     Ok(received) => received,
                     Err(error) => {
-                        log::warn!("a question could not be received: {error}");
+                        log::warn!("cannot receive a request: {error}");
                         continue;
                     }
                 };
-                let reply = answer_bytes(&control, request.as_slice());
+                let reply = sealed_reply(&control, request.as_slice());
                 let mut message = NngMessage::with_capacity(reply.len());
                 let written = std::io::Write::write_all(&mut message, &reply);
                 if written.is_ok() {
@@ -77,34 +77,35 @@
             }
         })
     });
-    for answerer in answerers.collect::<Vec<_>>() {
-        let _ = answerer.await;
+    for responder in responders.collect::<Vec<_>>() {
+        let _ = responder.await;
     }
 }
 
-/// An empty answer tells an asker with a wrong key nothing.
-fn answer_bytes(control: &Control, request: &[u8]) -> Vec<u8> {
+/// Makes the sealed reply to a request. It is empty if the request cannot be opened, so that a
+/// requester with a wrong key learns nothing.
+fn sealed_reply(control: &Control, request: &[u8]) -> Vec<u8> {
     let keys = &control.node.keys;
-    match open::<Question>(keys, QUESTION_LABEL, request) {
+    match open::<Question>(keys, REQUEST_LABEL, request) {
         Ok(opened) => {
-            let reply = answer_question(control, &opened.message);
-            seal(keys.current(), ANSWER_LABEL, &opened.nonce, &reply)
+            let reply = reply_to(control, &opened.message);
+            seal(keys.current(), REPLY_LABEL, &opened.nonce, &reply)
         }
         Err(error) => {
-            log::warn!("a question was refused: {error}");
+            log::warn!("request from another process refused: {error}");
             Vec::new()
         }
     }
 }
 
-fn answer_question(control: &Control, question: &Question) -> Answer {
-    let kind = match &question.kind {
+fn reply_to(control: &Control, request: &Question) -> Answer {
+    let kind = match &request.kind {
         Some(question::Kind::Digest(digest)) => {
             let store = control.store.borrow();
             answer::Kind::Digest(reply_to_digest(&store.documents, digest))
         }
         Some(question::Kind::Exchange(exchange)) => {
-            take_up(control, &exchange.documents);
+            apply_documents(control, &exchange.documents);
             let store = control.store.borrow();
             answer::Kind::Documents(documents_for(&store.documents, &exchange.want))
         }
@@ -113,13 +114,13 @@
             answer::Kind::Status(StatusAnswer { json })
         }
         Some(question::Kind::Burn(_)) => {
-            answer::Kind::Burn(control.node.burn.answer(control.node.now_ms()))
+            answer::Kind::Burn(control.node.burn.reply(control.node.now_ms()))
         }
         Some(question::Kind::Share(share)) => {
-            answer::Kind::Share(shares::answer(control, &question.asker, share))
+            answer::Kind::Share(shares::reply_to(control, &request.asker, share))
         }
-        Some(question::Kind::Suspicions(told)) => {
-            answer::Kind::Suspicions(answer_news(&control.keeper, told))
+        Some(question::Kind::Suspicions(update)) => {
+            answer::Kind::Suspicions(apply_peer_update(&control.replicator, update))
         }
         None => answer::Kind::Documents(Catalogue::default()),
     };
@@ -130,15 +131,15 @@
     }
 }
 
-fn take_up(control: &Control, documents: &[berylhook_peer::proto::Document]) {
+fn apply_documents(control: &Control, documents: &[berylhook_peer::proto::Document]) {
     let documents: Vec<_> = documents
         .iter()
         .filter_map(OfferedDocument::from_message)
         .collect();
-    control.take_up(&documents);
+    control.apply_documents(&documents);
 }
 
-/// Compares digests with a random other entry, for ever.
+/// Compares digests with a random other entry, in an endless loop.
 pub(crate) async fn gossip(control: Rc<Control>) {
     loop {
         let others = other_entries(&control.node);
@@ -146,50 +147,54 @@
         if let Some(vm) = chosen
             && let Err(error) = reconcile(&control, vm).await
         {
-            log::debug!("no exchange with {}: {error:#}", vm.name);
+            log::debug!("cannot compare digests with {}: {error:#}", vm.name);
         }
-        // Until there is a catalogue, nothing can be served, so the first
-        // exchanges follow one another quickly.
+        // Nothing can be served without a catalogue, so until then digests are compared more often.
         let wait = if control.node.is_ready() {
-            GOSSIP_EVERY
+            GOSSIP_INTERVAL
         } else {
-            GOSSIP_EVERY / 10
+            GOSSIP_INTERVAL / 10
         };
         tokio::time::sleep(wait).await;
     }
 }
 
 async fn reconcile(control: &Rc<Control>, vm: &Vm) -> anyhow::Result<()> {
-    let own = digest(&control.store.borrow().documents);
-    let told = ask(&control.node, vm.address, question::Kind::Digest(own)).await?;
-    on_answer(&control.node, vm.address, &told);
-    let Some(answer::Kind::Digest(told)) = told.kind else {
-        bail!("the answer is of another kind; check that both run matching versions");
+    let own_digest = digest(&control.store.borrow().documents);
+    let reply = send_request(
+        &control.node,
+        vm.address,
+        question::Kind::Digest(own_digest),
+    )
+    .await?;
+    on_digest_reply(&control.node, vm.address, &reply);
+    let Some(answer::Kind::Digest(reply)) = reply.kind else {
+        bail!("the reply is of another kind; check that both processes run matching versions");
     };
-    let comparison = compare_versions(&control.store.borrow().documents, &told);
+    let comparison = compare_versions(&control.store.borrow().documents, &reply);
     if !comparison.is_empty() {
         let exchange = Exchange {
             documents: comparison.offer.documents,
             want: comparison.want.versions,
         };
-        let told = ask(
+        let reply = send_request(
             &control.node,
             vm.address,
             question::Kind::Exchange(exchange),
         )
         .await?;
-        if let Some(answer::Kind::Documents(catalogue)) = told.kind {
-            take_up(control, &catalogue.documents);
+        if let Some(answer::Kind::Documents(catalogue)) = reply.kind {
+            apply_documents(control, &catalogue.documents);
         }
     }
-    control.heard_from(&vm.name);
+    control.on_complete_catalogue(&vm.name);
     Ok(())
 }
 
-/// Sends fresh documents to a few other entries, without waiting.
-pub(crate) fn push(node: &Arc<Node>, fresh: &[OfferedDocument]) {
+/// Pushes newer documents to a few other entries, without waiting for them.
+pub(crate) fn push(node: &Arc<Node>, newer: &[OfferedDocument]) {
     let others = other_entries(node);
-    let documents: Vec<_> = fresh
+    let documents: Vec<_> = newer
         .iter()
         .map(|document| berylhook_peer::proto::Document {
             kind: document.id.kind.as_str().to_owned(),
@@ -206,8 +211,8 @@
         let node = Arc::clone(node);
         let address = vm.address;
         tokio::task::spawn_local(async move {
-            // A push that fails is made good by the next digests.
-            let _ = ask(&node, address, question::Kind::Exchange(exchange)).await;
+            // The next digest comparison finds what a failed push missed.
+            let _ = send_request(&node, address, question::Kind::Exchange(exchange)).await;
         });
     }
 }
@@ -223,33 +228,33 @@
         .collect()
 }
 
-/// Asks one process one question.
-pub(crate) async fn ask(
+/// Sends one request to a process and returns its reply.
+pub(crate) async fn send_request(
     node: &Node,
     address: SocketAddr,
     kind: question::Kind,
 ) -> anyhow::Result<Answer> {
-    ask_as(&node.keys, &node.settings.node.name, address, kind).await
+    send_request_as(&node.keys, &node.settings.node.name, address, kind).await
 }
 
-/// Asks on behalf of `asker`.
-pub(crate) async fn ask_as(
+/// Sends one request on behalf of `requester`.
+pub(crate) async fn send_request_as(
     keys: &KeyRing,
-    asker: &str,
+    requester: &str,
     address: SocketAddr,
     kind: question::Kind,
 ) -> anyhow::Result<Answer> {
-    let question = Question {
-        asker: asker.to_owned(),
+    let request = Question {
+        asker: requester.to_owned(),
         kind: Some(kind),
     };
     let nonce: [u8; 16] = rand::random();
-    let request = seal(keys.current(), QUESTION_LABEL, &nonce, &question);
-    let exchange = async {
-        let socket = Req0::dial(&url_of(address)).await?;
+    let sealed_request = seal(keys.current(), REQUEST_LABEL, &nonce, &request);
+    let round_trip = async {
+        let socket = Req0::dial(&socket_url(address)).await?;
         let mut context = socket.context();
-        let mut message = NngMessage::with_capacity(request.len());
-        std::io::Write::write_all(&mut message, &request)?;
+        let mut message = NngMessage::with_capacity(sealed_request.len());
+        std::io::Write::write_all(&mut message, &sealed_request)?;
         let reply = context
             .request(message)
             .await
@@ -257,19 +262,19 @@
             .await?;
         anyhow::Ok(reply.as_slice().to_vec())
     };
-    let reply = timeout(ASK_TIMEOUT, exchange)
+    let reply = timeout(REQUEST_TIMEOUT, round_trip)
         .await
-        .with_context(|| format!("{address} did not answer in {ASK_TIMEOUT:?}"))??;
+        .with_context(|| format!("{address} did not reply within {REQUEST_TIMEOUT:?}"))??;
     if reply.is_empty() {
-        bail!("{address} refused the question; check `key` under [trust] on both sides");
+        bail!("{address} refused the request; check `key` under [trust] on both sides");
     }
-    let opened = open::<Answer>(keys, ANSWER_LABEL, &reply)?;
+    let opened = open::<Answer>(keys, REPLY_LABEL, &reply)?;
     if opened.nonce != nonce {
-        bail!("{address} answered another question; the answer is dropped");
+        bail!("{address} replied to another request; the reply is dropped");
     }
     Ok(opened.message)
 }
 
-fn url_of(address: SocketAddr) -> CString {
-    CString::new(format!("tcp://{address}")).expect("addresses hold no zero byte")
+fn socket_url(address: SocketAddr) -> CString {
+    CString::new(format!("tcp://{address}")).expect("socket addresses contain no NUL byte")
 }
--- a/crates/berylhook/src/serve/quarantine.rs
+++ b/crates/berylhook/src/serve/quarantine.rs
@@ -1,8 +1,9 @@
-//! What the quarantine of requests under which targets end needs of this entry: what makes
-//! a request the same, the way to other entries and to the store, and counts.
+//! Connects the quarantine to this entry: identities of requests, access to the other entries and
+//! the store, and counts.
 //!
-//! Whether a target has ended is told by the agent beside it, with the end of each run that
-//! was lost. For a run that nobody waits for any more the entry hears the agent out.
+//! The quarantine tracks requests during which targets exited. The agent beside a target reports,
+//! with the end of each lost run, whether the target has exited. For a run that no caller waits for
+//! any more, the entry waits for that report.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,23 +27,23 @@
 use super::node::Node;
 use super::peers;
 
-/// The agent tells within a second of a cancellation whether its target ended.
-const HEAR_OUT: Duration = Duration::from_millis(1_200);
+/// An agent reports within one second of a cancel whether its target has exited.
+const OUTCOME_WAIT: Duration = Duration::from_millis(1_200);
 
-/// What makes a request the same when it comes again.
+/// Identifies repeats of the same request to the quarantine.
 #[derive(Debug)]
-pub(crate) struct Identity {
+pub(crate) struct CallIdentity {
     id: RequestId,
     method: String,
     path: String,
     account: Arc<str>,
     service: Arc<str>,
     body: Bytes,
-    /// Made when it is first asked for: most requests need none.
+    /// Computed on first use, since most requests do not need it.
     digest: OnceLock<RequestDigest>,
 }
 
-impl Identity {
+impl CallIdentity {
     pub(crate) fn of(call: &Call) -> Self {
         Self {
             id: call.id,
@@ -65,7 +66,7 @@
     }
 }
 
-impl RequestIdentity for Identity {
+impl RequestIdentity for CallIdentity {
     fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             RequestDigest::of(&RequestContent {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Takes over what the end of a run shows of its target.
-pub(crate) fn on_run_end(node: &Node, identity: &Identity, ran_alone: bool, end: &End) {
+/// Reports to the quarantine whether a target survived a run or exited.
+pub(crate) fn on_run_end(node: &Node, identity: &CallIdentity, ran_alone: bool, end: &End) {
     let suspects = &node.suspects;
     match (end.whole, end.ended_target.as_str()) {
         (true, _) if suspects.is_active() => suspects.on_survived_run(identity.digest()),
@@ -92,21 +93,21 @@
     }
 }
 
-/// A run that nobody waits for any more.
-pub(crate) struct LeftRun {
+/// A run that no caller waits for any more.
+pub(crate) struct AbandonedRun {
     pub(crate) node: Arc<Node>,
     pub(crate) registration: Registration,
-    pub(crate) identity: Arc<Identity>,
-    /// Given back once it is known how the run ended.
+    pub(crate) identity: Arc<CallIdentity>,
+    /// Released once the outcome of the run is known.
     pub(crate) clearance: RunClearance,
-    /// Until when the target may be at work on it.
-    pub(crate) runs_until: Instant,
+    /// Latest time at which the target may still be running the request.
+    pub(crate) may_run_until: Instant,
 }
 
-impl LeftRun {
-    /// Hears what the agent tells of the run until it cannot tell more.
-    pub(crate) async fn hear_out(mut self) {
-        let until = (Instant::now() + HEAR_OUT).max(self.runs_until);
+impl AbandonedRun {
+    /// Waits until the agent has reported the outcome of the run or can no longer report it.
+    pub(crate) async fn await_outcome(mut self) {
+        let until = (Instant::now() + OUTCOME_WAIT).max(self.may_run_until);
         while let Ok(Some(kind)) = timeout_at(until, self.registration.frames.recv()).await {
             let Kind::End(end) = kind else {
                 continue;
@@ -124,13 +125,13 @@
     }
 }
 
-/// The store and the other entries.
-pub(crate) struct ServeSurroundings {
+/// Gives the quarantine access to the store and the other entries.
+pub(crate) struct ServeClusterAccess {
     pub(crate) node: Arc<Node>,
     pub(crate) store: SocketAddr,
 }
 
-impl ClusterAccess for ServeSurroundings {
+impl ClusterAccess for ServeClusterAccess {
     fn name(&self) -> Arc<str> {
         Arc::clone(&self.node.settings.node.name)
     }
@@ -144,53 +145,55 @@
         others.into_iter().map(|vm| vm.address).collect()
     }
 
-    fn send_update(&self, peer: SocketAddr, news: QuarantineUpdate) -> UpdateReply<'_> {
-        let question = question::Kind::Suspicions(message(&news));
+    fn send_update(&self, peer: SocketAddr, update: QuarantineUpdate) -> UpdateReply<'_> {
+        let request = question::Kind::Suspicions(to_message(&update));
         Box::pin(async move {
-            let told = peers::ask(&self.node, peer, question).await;
-            let told = told.map_err(|error| format!("{error:#}"))?;
-            match told.kind {
-                Some(answer::Kind::Suspicions(told)) => {
-                    QuarantineUpdate::from_bytes(&told.news).map_err(|error| error.to_string())
+            let reply = peers::send_request(&self.node, peer, request).await;
+            let reply = reply.map_err(|error| format!("{error:#}"))?;
+            match reply.kind {
+                Some(answer::Kind::Suspicions(suspicions)) => {
+                    QuarantineUpdate::from_bytes(&suspicions.news)
+                        .map_err(|error| error.to_string())
                 }
-                _ => Err("it is of a version that keeps no suspicions".to_owned()),
+                _ => Err("the peer runs a version without quarantine updates".to_owned()),
             }
         })
     }
 }
 
-fn message(news: &QuarantineUpdate) -> Suspicions {
+fn to_message(update: &QuarantineUpdate) -> Suspicions {
     Suspicions {
-        news: news.to_bytes().into(),
+        news: update.to_bytes().into(),
     }
 }
 
-/// Answers another entry's news.
-pub(crate) fn answer_news(keeper: &Replicator, told: &Suspicions) -> Suspicions {
-    match QuarantineUpdate::from_bytes(&told.news) {
-        Ok(news) => message(&keeper.apply_update(news)),
+/// Applies another entry's quarantine update and returns the update to reply with.
+pub(crate) fn apply_peer_update(replicator: &Replicator, suspicions: &Suspicions) -> Suspicions {
+    match QuarantineUpdate::from_bytes(&suspicions.news) {
+        Ok(update) => to_message(&replicator.apply_update(update)),
         Err(error) => {
-            log::warn!("what another entry suspects is left out: {error}");
+            log::warn!("ignoring an invalid quarantine update from another entry: {error}");
             Suspicions::default()
         }
     }
 }
 
-/// Compares what another entry knows, by the summary in its answer to a digest.
-pub(crate) fn on_answer(node: &Node, address: SocketAddr, answer: &Answer) {
-    if let Some(summary) = answer.suspicions_summary {
+/// Compares the quarantine state of another entry with this one's, by the summary in its reply to a
+/// digest.
+pub(crate) fn on_digest_reply(node: &Node, address: SocketAddr, reply: &Answer) {
+    if let Some(summary) = reply.suspicions_summary {
         node.suspects.on_peer_summary(address, summary);
     }
 }
 
-/// Counts of what is held back, for metrics and `berylhook status`.
+/// Counts of suspected and rejected requests, for metrics and `berylhook status`.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineCounts {
-    /// Requests that were newly found to have been at a target that ended.
-    pub(crate) ended_under_requests: AtomicU64,
+    /// Requests newly found to have been running on a target that exited.
+    pub(crate) requests_at_exit: AtomicU64,
     /// Requests that are suspected at present.
     pub(crate) suspected: AtomicU64,
-    /// Requests that are held back at present.
+    /// Requests that the quarantine rejects at present.
     pub(crate) held: AtomicU64,
 }
 
@@ -201,7 +204,7 @@
     }
 
     fn add_requests_at_exit(&self, requests: usize) {
-        let ended = &self.ended_under_requests;
-        ended.fetch_add(requests as u64, Ordering::Relaxed);
+        let counter = &self.requests_at_exit;
+        counter.fetch_add(requests as u64, Ordering::Relaxed);
     }
 }
