--- a/crates/berylhook/src/serve/refusals.rs
+++ b/crates/berylhook/src/serve/refusals.rs
@@ -1,4 +1,4 @@
-//! Final answers other than the target's own, and when they are due.
+//! Error responses to callers that the entry itself creates.
 
 use berylhook_caller::{ErrorReason, ErrorResponse};
 use berylhook_core::attempt::Verdict;
@@ -10,22 +10,26 @@
 use super::fleet::Target;
 use super::job::Job;
 
-/// Longest wait told to a caller that would be too late.
-const MAX_WAIT_MS: f64 = 60_000.0;
+/// Longest retry delay given to a caller whose request would start too late.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
-/// When to come back where nothing better is known.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay given to a caller where no better estimate is known.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Refuses a request that could not begin before its deadline even at the
-/// best target sampled. Sending it would only make others late as well.
-pub(super) fn too_late(job: &Job, target: &Target, now_ms: MonoMs) -> Option<ErrorResponse> {
-    let left = job.order.deadline.saturating_duration_since(Instant::now());
+/// Returns an error response if the request could not start before its deadline even at the best
+/// target sampled. Sending it would only delay other requests as well.
+pub(super) fn too_late_error(job: &Job, target: &Target, now_ms: MonoMs) -> Option<ErrorResponse> {
+    let remaining = job
+        .command
+        .deadline
+        .saturating_duration_since(Instant::now());
     let estimate_ms = job
         .service
-        .estimate_ms(target.id, &job.order.blocks, now_ms);
+        .estimate_ms(target.id, &job.command.blocks, now_ms);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // clamped first
-    let over_ms = (estimate_ms - left.as_secs_f64() * 1_000.0).clamp(0.0, MAX_WAIT_MS) as u64;
-    if over_ms == 0 || job.may_have_run {
+    let excess_ms =
+        (estimate_ms - remaining.as_secs_f64() * 1_000.0).clamp(0.0, MAX_RETRY_AFTER_MS) as u64;
+    if excess_ms == 0 || job.may_have_run {
         return None;
     }
     let message = format!(
@@ -34,54 +38,61 @@
         job.call.entry.name
     );
     Some(
-        ErrorResponse::not_run(ErrorReason::DeadlineExceeded, message).with_retry_after_ms(over_ms),
+        ErrorResponse::not_run(ErrorReason::DeadlineExceeded, message)
+            .with_retry_after_ms(excess_ms),
     )
 }
 
-pub(super) fn no_target(job: &Job) -> ErrorResponse {
+pub(super) fn no_target_error(job: &Job) -> ErrorResponse {
     if job.may_have_run {
-        return answer_lost();
+        return response_lost_error();
     }
     let message = format!(
         "no target of {} can take the request at present; come back later",
         job.call.entry.name
     );
-    ErrorResponse::not_run(ErrorReason::NoTarget, message).with_retry_after_ms(RETRY_AFTER_MS)
+    ErrorResponse::not_run(ErrorReason::NoTarget, message)
+        .with_retry_after_ms(DEFAULT_RETRY_AFTER_MS)
 }
 
-/// The final answer to a request that is not sent because targets end under it.
-pub(super) fn held_back(job: &Job, held: QuarantineRejection) -> ErrorResponse {
-    let back_ms = held
+/// The error response to a request that the quarantine rejects because targets exited while running
+/// it.
+pub(super) fn quarantine_error(job: &Job, rejection: QuarantineRejection) -> ErrorResponse {
+    let retry_after_ms = rejection
         .retry_after
-        .map(|back| u64::try_from(back.as_millis()).unwrap_or(u64::MAX));
+        .map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX));
     log::warn!(
         request:% = job.call.id,
         account = &*job.call.account.name,
-        digest:% = job.order.identity.digest(),
-        why = held.reason,
-        back_ms = back_ms.unwrap_or_default();
+        digest:% = job.command.identity.digest(),
+        why = rejection.reason,
+        back_ms = retry_after_ms.unwrap_or_default();
         "a request was held back"
     );
     if job.may_have_run {
-        return answer_lost();
+        return response_lost_error();
     }
-    let refused = ErrorResponse::not_run(
+    let error_response = ErrorResponse::not_run(
         ErrorReason::Quarantined,
         "targets ended while they ran this request, so it is not sent on; it did not run. \
          Change the request, or ask the operators",
     );
-    match back_ms {
-        Some(back_ms) => refused.with_retry_after_ms(back_ms),
-        None => refused,
+    match retry_after_ms {
+        Some(retry_after_ms) => error_response.with_retry_after_ms(retry_after_ms),
+        None => error_response,
     }
 }
 
-/// The final answer after an attempt that is not retried.
-pub(super) fn tell(job: &Job, verdict: Verdict, retry_after_ms: Option<u64>) -> ErrorResponse {
-    let after_ms = retry_after_ms
+/// The error response that reports the verdict of an attempt that is not retried.
+pub(super) fn verdict_error(
+    job: &Job,
+    verdict: Verdict,
+    retry_after_ms: Option<u64>,
+) -> ErrorResponse {
+    let retry_after_ms = retry_after_ms
         .filter(|ms| *ms > 0)
-        .unwrap_or(RETRY_AFTER_MS);
-    let deadline_passed = Instant::now() >= job.order.deadline;
+        .unwrap_or(DEFAULT_RETRY_AFTER_MS);
+    let deadline_passed = Instant::now() >= job.command.deadline;
     match (verdict.outcome, verdict.refusal) {
         (_, Some(Refusal::KeyReused)) => ErrorResponse::not_run(
             ErrorReason::IdempotencyKeyReused,
@@ -92,27 +103,27 @@
             ErrorReason::BadHeader,
             "the idempotency key was issued in the future; set your clock, and make a new key",
         ),
-        // What a later attempt was refused says nothing of an earlier one.
-        (Outcome::NotRun, _) if job.may_have_run => answer_lost(),
+        // The refusal of a later attempt does not show whether an earlier one ran.
+        (Outcome::NotRun, _) if job.may_have_run => response_lost_error(),
         (Outcome::NotRun, _) if deadline_passed => ErrorResponse::not_run(
             ErrorReason::DeadlineExceeded,
             "the deadline passed before the request could start; it did not run",
         )
-        .with_retry_after_ms(after_ms),
+        .with_retry_after_ms(retry_after_ms),
         (Outcome::NotRun, _) => ErrorResponse::not_run(
             ErrorReason::NoTarget,
             "no target took the request; it did not run",
         )
-        .with_retry_after_ms(after_ms),
+        .with_retry_after_ms(retry_after_ms),
         (Outcome::Unknown, _) if deadline_passed => ErrorResponse::unknown(
             ErrorReason::DeadlineExceeded,
             "the deadline passed after the request was sent; it may have run",
         ),
-        (_, _) => answer_lost(),
+        (_, _) => response_lost_error(),
     }
 }
 
-fn answer_lost() -> ErrorResponse {
+fn response_lost_error() -> ErrorResponse {
     ErrorResponse::unknown(
         ErrorReason::ResponseLost,
         "the answer was lost; the request may have run. Repeat it only under the same \
--- a/crates/berylhook/src/serve/shares.rs
+++ b/crates/berylhook/src/serve/shares.rs
@@ -1,11 +1,11 @@
-//! Who splits the limits, and the questions to it.
+//! Splits limits between entries.
 //!
-//! One entry at a time is home to all limits. It holds a lease on a key in
-//! the key-value service. While the service is down the lease cannot be
-//! renewed; the home then goes on only as long as *every* listed entry keeps
-//! asking it, which shows that none of them has become, or follows, another
-//! home. A home that is cut off from some of them stops giving, and each
-//! entry is left with its own piece of the static part.
+//! One entry at a time is the home (owner) of all limits: it grants shares of them to all entries.
+//! It holds a lease on a key in the key-value service. While the service is down the lease cannot
+//! be renewed; the home then continues only as long as *every* listed entry keeps requesting shares
+//! from it, which shows that none of them has become, or follows, another home. A home that is
+//! disconnected from some of them stops granting, and each entry is left with its own portion of
+//! the static part.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,32 +21,32 @@
 use indexmap::IndexMap;
 
 use super::control::Control;
-use super::peers::ask;
+use super::peers::send_request;
 
-/// Time between two questions to the home.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+/// Interval of share requests to the home.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time to live of the home's lease.
 const LEASE_TTL_S: i64 = 5;
 
-/// The mark that the limits may be claimed again after the store was restored.
-const SETTLED_KEY: &str = "berylhook/limits-settled";
+/// Key that marks that the limits may be claimed again after the store was restored.
+const CLAIMABLE_KEY: &str = "berylhook/limits-settled";
 
-/// Every listed entry must have asked within this, for a home to go on
-/// without its lease.
-const UNANIMOUS_WITHIN_MS: u64 = 1_500;
+/// A home continues without a valid lease only if every listed entry has requested shares within
+/// this time.
+const UNANIMITY_WINDOW_MS: u64 = 1_500;
 
-/// Questions without a home's answer after which the first entry of the list
-/// tries to become home; the others follow one by one, so that the service
-/// sees few claimers at a time, and a first entry that is cut off from it
-/// does not keep the rest without a home.
-const TRIES_PER_CLAIMER: usize = 3;
+/// Share requests without a home's reply after which the first entry of the list tries to become
+/// home. The others follow one by one, so that the service receives few claims at a time, and a
+/// first entry that cannot reach it does not leave the rest without a home.
+const FAILED_REQUESTS_PER_CLAIMANT: usize = 3;
 
-/// This entry's part in splitting the limits.
+/// Which entry this entry believes to be the home of the limits, and its own state while it is the
+/// home.
 pub(crate) struct Shares {
     state: RefCell<State>,
-    /// Keeps a claim from being made while a home of a former era may still give shares.
-    gate: ClaimGuard,
+    /// Prevents a claim while a home of the store's previous era may still grant shares.
+    claim_gate: ClaimGuard,
 }
 
 impl Default for Shares {
@@ -54,87 +54,93 @@
         let lease_s = u64::try_from(LEASE_TTL_S).unwrap_or(0);
         Self {
             state: RefCell::default(),
-            gate: ClaimGuard::new(SETTLED_KEY.into(), lease_s * 1_000),
+            claim_gate: ClaimGuard::new(CLAIMABLE_KEY.into(), lease_s * 1_000),
         }
     }
 }
 
 #[derive(Default)]
 struct State {
-    home: Option<Split>,
-    believed: Option<Arc<str>>,
-    /// Questions since a home last answered.
-    tries: usize,
+    home: Option<HomeState>,
+    believed_home: Option<Arc<str>>,
+    /// Share requests since a home last replied.
+    failed_requests: usize,
 }
 
-/// What this entry holds while it is home.
-struct Split {
+/// The state of this entry while it is home.
+struct HomeState {
     epoch: u64,
     lease_id: i64,
     lease: HeldLease,
-    taken_ms: MonoMs,
-    homes: IndexMap<String, LimitHome>,
-    /// When each entry last asked.
-    asked_ms: IndexMap<String, MonoMs>,
+    /// When this entry became home.
+    takeover_ms: MonoMs,
+    limit_homes: IndexMap<String, LimitHome>,
+    /// When each entry last requested shares.
+    last_request_ms: IndexMap<String, MonoMs>,
 }
 
-/// Asks the home for shares, for ever; becomes home where there is none.
-pub(crate) async fn follow(control: Rc<Control>) {
+/// Requests shares from the home in an endless loop; tries to become home if there is none.
+pub(crate) async fn request_loop(control: Rc<Control>) {
     loop {
-        tokio::time::sleep(ASK_EVERY).await;
-        renew(&control).await;
-        let Some(vm) = home_to_ask(&control) else {
+        tokio::time::sleep(REQUEST_INTERVAL).await;
+        renew_or_claim(&control).await;
+        let Some(vm) = home_to_query(&control) else {
             continue;
         };
         let now_ms = control.node.now_ms();
-        let question = ShareQuestion {
+        let share_request = ShareQuestion {
             holder: control.node.incarnation.0,
             demands: control
                 .node
                 .limiter
-                .questions(ASK_EVERY.as_secs_f64(), now_ms),
+                .share_demands(REQUEST_INTERVAL.as_secs_f64(), now_ms),
         };
         if vm.name == control.node.settings.node.name {
-            let own = answer(&control, &vm.name, &question);
-            take(&control, &own);
+            let reply = reply_to(&control, &vm.name, &share_request);
+            apply_reply(&control, &reply);
             continue;
         }
-        let told = ask(&control.node, vm.address, question::Kind::Share(question)).await;
-        match told.map(|told| told.kind) {
-            Ok(Some(answer::Kind::Share(share))) => take(&control, &share),
-            _ => control.shares.no_home(),
+        let reply = send_request(
+            &control.node,
+            vm.address,
+            question::Kind::Share(share_request),
+        )
+        .await;
+        match reply.map(|reply| reply.kind) {
+            Ok(Some(answer::Kind::Share(share))) => apply_reply(&control, &share),
+            _ => control.shares.on_no_home(),
         }
     }
 }
 
-fn take(control: &Control, share: &ShareAnswer) {
-    control.node.limiter.on_grants(&share.grants);
-    if share.is_home {
-        control.shares.state.borrow_mut().tries = 0;
+fn apply_reply(control: &Control, reply: &ShareAnswer) {
+    control.node.limiter.on_grants(&reply.grants);
+    if reply.is_home {
+        control.shares.state.borrow_mut().failed_requests = 0;
         return;
     }
-    control.shares.no_home();
-    let hint = Some(share.home.as_str()).filter(|home| !home.is_empty());
-    control.shares.state.borrow_mut().believed = hint.map(Arc::from);
+    control.shares.on_no_home();
+    let hint = Some(reply.home.as_str()).filter(|home| !home.is_empty());
+    control.shares.state.borrow_mut().believed_home = hint.map(Arc::from);
 }
 
 impl Shares {
-    fn no_home(&self) {
+    fn on_no_home(&self) {
         let mut state = self.state.borrow_mut();
-        state.believed = None;
-        state.tries += 1;
+        state.believed_home = None;
+        state.failed_requests += 1;
     }
 }
 
-/// The believed home, or one entry after the other: one of them knows.
-fn home_to_ask(control: &Control) -> Option<Vm> {
+/// The believed home, or else each entry in turn, since one of them knows the home.
+fn home_to_query(control: &Control) -> Option<Vm> {
     let entries = sorted_entries(control);
     let state = control.shares.state.borrow();
-    let found = entries
+    let known_home = entries
         .iter()
-        .find(|vm| Some(&vm.name) == state.believed.as_ref());
-    let next = entries.get(state.tries % entries.len().max(1));
-    found.or(next).cloned()
+        .find(|vm| Some(&vm.name) == state.believed_home.as_ref());
+    let next_in_turn = entries.get(state.failed_requests % entries.len().max(1));
+    known_home.or(next_in_turn).cloned()
 }
 
 fn sorted_entries(control: &Control) -> Vec<Vm> {
@@ -149,63 +155,72 @@
         .filter(|vm| vm.service.is_empty() && vm.state == VmState::Live)
 }
 
-/// Answers an entry's question, as home or with a hint.
-pub(crate) fn answer(control: &Control, asker: &str, question: &ShareQuestion) -> ShareAnswer {
+/// Replies to a share request: with grants if this entry is home, otherwise with the believed home.
+pub(crate) fn reply_to(
+    control: &Control,
+    requester: &str,
+    share_request: &ShareQuestion,
+) -> ShareAnswer {
     let now_ms = control.node.now_ms();
-    let listed = Arc::clone(&control.node.snapshot.load().vms);
+    let listed_vms = Arc::clone(&control.node.snapshot.load().vms);
     let mut state = control.shares.state.borrow_mut();
-    let believed = state.believed.clone().unwrap_or_default();
-    let Some(split) = &mut state.home else {
+    let believed_home = state.believed_home.clone().unwrap_or_default();
+    let Some(home_state) = &mut state.home else {
         return ShareAnswer {
-            home: believed.to_string(),
+            home: believed_home.to_string(),
             ..ShareAnswer::default()
         };
     };
-    split.asked_ms.insert(asker.to_owned(), now_ms);
-    if !split.may_give(&listed, now_ms) {
-        // Another may be home by now; the asker looks for it.
+    home_state
+        .last_request_ms
+        .insert(requester.to_owned(), now_ms);
+    if !home_state.may_grant(&listed_vms, now_ms) {
+        // Another entry may be home by now; the requester searches for it.
         return ShareAnswer::default();
     }
     ShareAnswer {
-        grants: split.grants(control, question, now_ms),
+        grants: home_state.grants(control, share_request, now_ms),
         is_home: true,
         home: String::new(),
     }
 }
 
-impl Split {
-    fn may_give(&self, listed: &[Vm], now_ms: MonoMs) -> bool {
-        let has_asked = |vm: &Vm| {
-            self.asked_ms
+impl HomeState {
+    fn may_grant(&self, listed_vms: &[Vm], now_ms: MonoMs) -> bool {
+        let has_requested = |vm: &Vm| {
+            self.last_request_ms
                 .get(&*vm.name)
-                .is_some_and(|asked| now_ms.since(*asked) <= UNANIMOUS_WITHIN_MS)
+                .is_some_and(|requested_ms| now_ms.since(*requested_ms) <= UNANIMITY_WINDOW_MS)
         };
-        self.lease.is_valid(now_ms) || live_entries(listed).all(has_asked)
+        self.lease.is_valid(now_ms) || live_entries(listed_vms).all(has_requested)
     }
 
     fn grants(
         &mut self,
         control: &Control,
-        question: &ShareQuestion,
+        share_request: &ShareQuestion,
         now_ms: MonoMs,
     ) -> Vec<ShareGrant> {
-        let (epoch, taken_ms) = (self.epoch, self.taken_ms);
-        let demands = question.demands.iter();
+        let (epoch, takeover_ms) = (self.epoch, self.takeover_ms);
+        let demands = share_request.demands.iter();
         demands
             .filter_map(|demand| {
-                let limit = control.node.limiter.limit_of(&demand.limit)?;
-                let home = self.homes.entry(demand.limit.clone()).or_insert_with(|| {
-                    LimitHome::takeover(ShareConfig::default(), limit, epoch, taken_ms)
-                });
+                let limit = control.node.limiter.limit_value(&demand.limit)?;
+                let home = self
+                    .limit_homes
+                    .entry(demand.limit.clone())
+                    .or_insert_with(|| {
+                        LimitHome::takeover(ShareConfig::default(), limit, epoch, takeover_ms)
+                    });
                 home.set_limit(limit);
-                let ask = ShareRequest {
-                    holder: question.holder,
+                let request = ShareRequest {
+                    holder: share_request.holder,
                     request_seq: demand.asked,
                     demand: demand.demand,
                     in_use: demand.in_use,
-                    confirmed_seq: Some(demand.confirmed).filter(|asked| *asked > 0),
+                    confirmed_seq: Some(demand.confirmed).filter(|seq| *seq > 0),
                 };
-                let grant = home.on_request(&ask, now_ms);
+                let grant = home.on_request(&request, now_ms);
                 Some(ShareGrant {
                     limit: demand.limit.clone(),
                     share: grant.share,
@@ -218,70 +233,75 @@
     }
 }
 
-/// Renews the lease as home, or tries to become home where none is known.
-async fn renew(control: &Rc<Control>) {
+/// Renews the lease as home, or tries to become home if none is known.
+async fn renew_or_claim(control: &Rc<Control>) {
     let now_ms = control.node.now_ms();
-    let held = control
+    let held_lease_id = control
         .shares
         .state
         .borrow()
         .home
         .as_ref()
-        .map(|split| split.lease_id);
-    if let Some(lease_id) = held {
+        .map(|home_state| home_state.lease_id);
+    if let Some(lease_id) = held_lease_id {
         match control.key_value.renew(lease_id).await {
             Ok(_) => {
-                if let Some(split) = &mut control.shares.state.borrow_mut().home {
-                    split.lease.on_renewed(now_ms);
+                if let Some(home_state) = &mut control.shares.state.borrow_mut().home {
+                    home_state.lease.on_renewed(now_ms);
                 }
             }
             Err(KvError::LeaseGone) => {
-                log::warn!("the lease on the limits has expired; no longer their home");
+                log::warn!(
+                    "the lease on the limits has expired; this entry is no longer their home"
+                );
                 let mut state = control.shares.state.borrow_mut();
                 state.home = None;
-                state.believed = None;
+                state.believed_home = None;
             }
-            Err(error) => log::debug!("the lease on the limits is not renewed: {error}"),
+            Err(error) => log::debug!("cannot renew the lease on the limits: {error}"),
         }
         return;
     }
     if should_claim(control)
         && let Err(error) = claim(control).await
     {
-        log::debug!("the limits have no home yet: {error}");
+        log::debug!("cannot claim the limits: {error}");
     }
 }
 
 fn should_claim(control: &Control) -> bool {
-    let own = &control.node.settings.node.name;
+    let own_name = &control.node.settings.node.name;
     let entries = sorted_entries(control);
-    let Some(rank) = entries.iter().position(|vm| vm.name == *own) else {
+    let Some(rank) = entries.iter().position(|vm| vm.name == *own_name) else {
         return false;
     };
-    control.shares.state.borrow().tries > rank * TRIES_PER_CLAIMER
+    control.shares.state.borrow().failed_requests > rank * FAILED_REQUESTS_PER_CLAIMANT
 }
 
 async fn claim(control: &Rc<Control>) -> Result<(), KvError> {
-    let own = &control.node.settings.node.name;
-    let found = control.key_value.range(LIMITS_HOME_KEY).await?;
-    if let Some(kv) = found.kvs.first() {
+    let own_name = &control.node.settings.node.name;
+    let stored = control.key_value.range(LIMITS_HOME_KEY).await?;
+    if let Some(kv) = stored.kvs.first() {
         let holder = String::from_utf8_lossy(&kv.value).into_owned();
         let holder = holder.split('/').next().unwrap_or_default();
-        // Our own key of a former incarnation ends with its lease.
-        if holder != &**own {
-            control.shares.state.borrow_mut().believed = Some(holder.into());
+        // A key of this entry's previous incarnation expires with its lease.
+        if holder != &**own_name {
+            control.shares.state.borrow_mut().believed_home = Some(holder.into());
         }
         return Ok(());
     }
     let sent_ms = control.node.now_ms();
-    let era = era_of(found.revision);
-    let gate = &control.shares.gate;
-    if !gate.may_claim(&*control.key_value, era, sent_ms).await? {
+    let era = era_of(stored.revision);
+    let claim_gate = &control.shares.claim_gate;
+    if !claim_gate
+        .may_claim(&*control.key_value, era, sent_ms)
+        .await?
+    {
         return Ok(());
     }
     let sent_ms = control.node.now_ms();
     let grant = control.key_value.grant(LEASE_TTL_S).await?;
-    let value = format!("{own}/{}", control.node.incarnation);
+    let value = format!("{own_name}/{}", control.node.incarnation);
     let txn = Txn {
         compares: vec![Compare::Absent(LIMITS_HOME_KEY.into())],
         puts: vec![Put {
@@ -291,22 +311,22 @@
         }],
         deletes: Vec::new(),
     };
-    // A claim in doubt is not used; its lease is not renewed and ends.
-    let answer = control.key_value.commit(txn).await?;
-    if !answer.succeeded {
+    // A claim whose outcome is unknown is not used; its lease is not renewed and expires.
+    let outcome = control.key_value.commit(txn).await?;
+    if !outcome.succeeded {
         return Ok(());
     }
     let ttl_ms = u64::try_from(grant.ttl_s).unwrap_or(0) * 1_000;
-    log::info!("home to the limits, epoch {}", answer.revision);
+    log::info!("became home of the limits, epoch {}", outcome.revision);
     let mut state = control.shares.state.borrow_mut();
-    state.believed = Some(Arc::clone(own));
-    state.home = Some(Split {
-        epoch: u64::try_from(answer.revision).unwrap_or(0),
+    state.believed_home = Some(Arc::clone(own_name));
+    state.home = Some(HomeState {
+        epoch: u64::try_from(outcome.revision).unwrap_or(0),
         lease_id: grant.id,
         lease: HeldLease::granted(ttl_ms, sent_ms),
-        taken_ms: control.node.now_ms(),
-        homes: IndexMap::new(),
-        asked_ms: IndexMap::new(),
+        takeover_ms: control.node.now_ms(),
+        limit_homes: IndexMap::new(),
+        last_request_ms: IndexMap::new(),
     });
     Ok(())
 }
--- a/crates/berylhook/src/serve/status.rs
+++ b/crates/berylhook/src/serve/status.rs
@@ -1,4 +1,4 @@
-//! What an entry says of itself to `berylhook status`.
+//! The status that an entry reports to `berylhook status`.
 
 use std::sync::atomic::Ordering;
 
@@ -8,7 +8,7 @@
 use super::fleet::{Fleet, Service};
 use super::node::{Node, lock};
 
-/// The state of this process as JSON; see docs/GUIDE.md for its shape.
+/// The state of this process as JSON; see docs/GUIDE.md for the format.
 pub(crate) fn status(node: &Node, fleet: &Fleet) -> Value {
     let snapshot = node.snapshot.load();
     let digest = snapshot
@@ -34,7 +34,7 @@
         "services": services,
         "limits": node.limiter.status(node.now_ms()),
         "quarantine": {
-            "ended_under_requests": count(&node.quarantine_counts.ended_under_requests),
+            "ended_under_requests": count(&node.quarantine_counts.requests_at_exit),
             "suspected_requests": count(&node.quarantine_counts.suspected),
             "held_requests": count(&node.quarantine_counts.held),
         },
--- a/crates/berylhook/src/serve/streaming.rs
+++ b/crates/berylhook/src/serve/streaming.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on to its caller, and resuming it.
+//! Forwards a streamed response to its caller, and resumes it after a lost connection.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,103 +10,116 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::attempt::{Attempt, Step};
+use super::attempt::{Attempt, AttemptOutput};
 use super::job::Job;
 
-/// Parts of a streamed answer that wait for a slow caller.
-const STREAM_PARTS: usize = 64;
+/// Maximum number of response chunks buffered for a slow caller.
+const STREAM_BUFFER_CHUNKS: usize = 64;
 
-/// Told to a caller whose answer ends early.
-const CUT_MESSAGE: &str = "the answer was lost on its way; what came before is genuine";
+/// Error message for a caller whose streamed response ends early.
+const ABORT_MESSAGE: &str = "the answer was lost on its way; what came before is genuine";
 
-/// How long to wait for an agent to come back and resume a stream. With the
-/// second that a silent connection takes to be given up, a stream that cannot
-/// be resumed is cut within three.
-const RESUME_BOUND: Duration = Duration::from_millis(1_900);
+/// Time allowed for an agent to reconnect and resume a stream. Since a silent connection is dropped
+/// after one second, a stream that cannot be resumed is aborted within three seconds.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_900);
 
-/// Passes a stream on in the background.
-pub(super) fn stream(job: Job, attempt: Attempt, head: &Head, first: Vec<Data>) -> CallResponse {
-    let (parts, receiver) = mpsc::channel(STREAM_PARTS);
-    let reply_head = answer_head(head);
-    let passing = Passing {
-        parts,
-        events: 0,
-        on_border: true,
+/// Spawns a task that forwards the stream, and returns the response that carries it.
+pub(super) fn spawn_stream(
+    job: Job,
+    attempt: Attempt,
+    head: &Head,
+    first_chunks: Vec<Data>,
+) -> CallResponse {
+    let (chunks, receiver) = mpsc::channel(STREAM_BUFFER_CHUNKS);
+    let head_to_caller = response_head(head);
+    let sender = StreamSender {
+        chunks,
+        events_sent: 0,
+        at_event_boundary: true,
         is_event_stream: is_event_stream(head),
     };
-    tokio::spawn(pass_on(job, attempt, passing, first));
+    tokio::spawn(forward(job, attempt, sender, first_chunks));
     CallResponse {
-        head: reply_head,
+        head: head_to_caller,
         body: ResponseBody::Stream(receiver),
     }
 }
 
-/// A stream on its way to the caller.
-struct Passing {
-    parts: mpsc::Sender<BodyChunk>,
-    /// Whole events the caller has.
-    events: u64,
-    /// Whether the caller's last byte ends an event.
-    on_border: bool,
+/// Sends a stream to the caller.
+struct StreamSender {
+    chunks: mpsc::Sender<BodyChunk>,
+    /// Number of complete events sent to the caller.
+    events_sent: u64,
+    /// Whether the last byte sent ends an event.
+    at_event_boundary: bool,
     is_event_stream: bool,
 }
 
-/// The caller has gone away.
-struct CallerGone;
+/// The caller has disconnected.
+struct CallerDisconnected;
 
-impl Passing {
-    async fn send(&mut self, data: Data) -> Result<(), CallerGone> {
-        self.events += u64::from(data.events);
-        self.on_border = data.events > 0;
-        self.parts
+impl StreamSender {
+    async fn send(&mut self, data: Data) -> Result<(), CallerDisconnected> {
+        self.events_sent += u64::from(data.events);
+        self.at_event_boundary = data.events > 0;
+        self.chunks
             .send(Ok(data.bytes))
             .await
-            .map_err(|_| CallerGone)
+            .map_err(|_| CallerDisconnected)
     }
 
-    /// Cuts the stream so that any HTTP client can tell: the chunked body
-    /// lacks its end. A client of server-sent events also gets an event.
-    async fn cut(self, why: &str) {
-        if self.is_event_stream && self.on_border {
+    /// Aborts the stream in a way that any HTTP client detects: the chunked body lacks its last
+    /// chunk. A client of server-sent events also receives an error event.
+    async fn abort(self, message: &str) {
+        if self.is_event_stream && self.at_event_boundary {
             let event = serde_json::json!({
-                "error": {"message": why, "type": "server_error", "code": "answer_lost"}
+                "error": {"message": message, "type": "server_error", "code": "answer_lost"}
             });
             let bytes = Bytes::from(format!("data: {event}\n\n"));
-            let _ = self.parts.send(Ok(bytes)).await;
+            let _ = self.chunks.send(Ok(bytes)).await;
         }
-        let error = std::io::Error::other(why.to_owned());
-        let _ = self.parts.send(Err(error)).await;
+        let error = std::io::Error::other(message.to_owned());
+        let _ = self.chunks.send(Err(error)).await;
     }
 }
 
-async fn pass_on(mut job: Job, mut attempt: Attempt, mut passing: Passing, first: Vec<Data>) {
-    for data in first {
-        if passing.send(data).await.is_err() {
-            job.close(false);
+async fn forward(
+    mut job: Job,
+    mut attempt: Attempt,
+    mut sender: StreamSender,
+    first_chunks: Vec<Data>,
+) {
+    for data in first_chunks {
+        if sender.send(data).await.is_err() {
+            job.finish(false);
             return;
         }
     }
     loop {
         match attempt.next().await {
-            Step::Head(_) => {}
-            Step::Data(data) => {
+            AttemptOutput::Head(_) => {}
+            AttemptOutput::Data(data) => {
                 job.clock.on_data(&data);
-                if passing.send(data).await.is_err() {
-                    log::info!("request {}: the caller has gone", job.call.id);
-                    job.close(false);
+                if sender.send(data).await.is_err() {
+                    log::info!("request {}: the caller disconnected", job.call.id);
+                    job.finish(false);
                     return;
                 }
             }
-            Step::Over(verdict) if verdict.outcome == Outcome::Done => {
-                log::info!("request {}: done, {} events", job.call.id, passing.events);
-                job.close(false);
+            AttemptOutput::Finished(verdict) if verdict.outcome == Outcome::Done => {
+                log::info!(
+                    "request {}: done, {} events",
+                    job.call.id,
+                    sender.events_sent
+                );
+                job.finish(false);
                 return;
             }
-            Step::Over(_) => {
-                let Some(resumed) = resume(&mut job, &mut attempt, &passing).await else {
-                    log::warn!("request {}: the answer was cut off", job.call.id);
-                    passing.cut(CUT_MESSAGE).await;
-                    job.close(true);
+            AttemptOutput::Finished(_) => {
+                let Some(resumed) = resume(&mut job, &mut attempt, &sender).await else {
+                    log::warn!("request {}: response stream aborted", job.call.id);
+                    sender.abort(ABORT_MESSAGE).await;
+                    job.finish(true);
                     return;
                 };
                 attempt = resumed;
@@ -115,37 +128,43 @@
     }
 }
 
-/// Continues a stream behind the last event that the caller has, where the
-/// target can. The agent may be of a new incarnation; the target is the same.
-async fn resume(job: &mut Job, attempt: &mut Attempt, passing: &Passing) -> Option<Attempt> {
-    let can_resume = job.call.entry.resume && passing.is_event_stream && passing.on_border;
-    if !can_resume || Instant::now() >= job.order.deadline {
+/// Resumes a stream after the last event that the caller received, if the entry's targets support
+/// it. The agent may be of a new incarnation; the target is the same.
+async fn resume(job: &mut Job, attempt: &mut Attempt, sender: &StreamSender) -> Option<Attempt> {
+    let can_resume = job.call.entry.resume && sender.is_event_stream && sender.at_event_boundary;
+    if !can_resume || Instant::now() >= job.command.deadline {
         return None;
     }
     let target = attempt.target();
-    let from_event = passing.events;
-    if let Some(resume) = &mut job.order.start.resume {
+    let from_event = sender.events_sent;
+    if let Some(resume) = &mut job.command.start.resume {
         resume.from_event = from_event;
     }
-    if !Attempt::reconnected(&target, RESUME_BOUND).await {
-        log::info!("request {}: no connection to resume on", job.call.id);
+    if !Attempt::wait_reconnected(&target, RESUME_TIMEOUT).await {
+        log::info!(
+            "request {}: not resumed, no connection to resume on",
+            job.call.id
+        );
         return None;
     }
     let clearance = attempt.take_clearance();
-    let begun = Attempt::begin(attempt.node(), target, &job.order, clearance).await;
-    let mut resumed = match begun {
+    let started = Attempt::begin(attempt.node(), target, &job.command, clearance).await;
+    let mut resumed = match started {
         Ok(Some(resumed)) => resumed,
         Ok(None) => {
-            log::info!("request {}: the connection is gone again", job.call.id);
+            log::info!(
+                "request {}: not resumed, the connection was lost again",
+                job.call.id
+            );
             return None;
         }
-        Err(held) => {
-            log::info!("request {}: not resumed, {}", job.call.id, held.reason);
+        Err(rejection) => {
+            log::info!("request {}: not resumed, {}", job.call.id, rejection.reason);
             return None;
         }
     };
     match resumed.next().await {
-        Step::Head(head) if head.status == 200 => {
+        AttemptOutput::Head(head) if head.status == 200 => {
             attempt
                 .node()
                 .counters
@@ -154,13 +173,13 @@
             log::info!("request {}: resumed at event {from_event}", job.call.id);
             Some(resumed)
         }
-        Step::Head(head) => {
+        AttemptOutput::Head(head) => {
             let status = head.status;
             log::info!("request {}: not resumed, status {status}", job.call.id);
             None
         }
-        Step::Data(_) => None,
-        Step::Over(verdict) => {
+        AttemptOutput::Data(_) => None,
+        AttemptOutput::Finished(verdict) => {
             log::info!("request {}: not resumed, {:?}", job.call.id, verdict);
             None
         }
@@ -173,7 +192,7 @@
     })
 }
 
-pub(super) fn answer_head(head: &Head) -> ResponseHead {
+pub(super) fn response_head(head: &Head) -> ResponseHead {
     let headers = head
         .headers
         .iter()
