--- a/crates/berylhook/tests/at_most_once.rs
+++ b/crates/berylhook/tests/at_most_once.rs
@@ -9,9 +9,9 @@
 use berylhook_test_support::cluster::{Cluster, DESK_KEY, until, until_plain_service_ready};
 use berylhook_test_support::{Fault, Link, Outage, PlainService, Signal, VmListStandIn};
 
-use common::{a_shard_of, attempt, fresh_key, fresh_key_of, home_of};
+use common::{first_shard_of, new_key, new_key_in_shard, send_attempt, shard_home};
 
-fn effects(service: &PlainService, key: &str) -> usize {
+fn run_count(service: &PlainService, key: &str) -> usize {
     service.runs().iter().filter(|run| run.body == key).count()
 }
 
@@ -30,30 +30,30 @@
     until_plain_service_ready(&first).await;
     until_plain_service_ready(&second).await;
     let caller = Caller::new(DESK_KEY);
-    let key = fresh_key();
+    let key = new_key();
 
     service.set_hung(true);
-    let lost = tokio::spawn({
+    let interrupted = tokio::spawn({
         let (caller, key, address) = (caller.clone(), key.clone(), first.address);
-        async move { attempt(&caller, address, &key, "a").await.0 }
+        async move { send_attempt(&caller, address, &key, "a").await.0 }
     });
     until("the call has run", || async {
-        effects(&service, &key) == 1
+        run_count(&service, &key) == 1
     })
     .await;
     first.daemon.signal(Signal::Kill);
-    let lost = lost.await.expect("the call ends");
+    let interrupted = interrupted.await.expect("the call ends");
     let repeat = tokio::spawn({
         let (caller, key, address) = (caller.clone(), key.clone(), second.address);
-        async move { attempt(&caller, address, &key, "b").await.0 }
+        async move { send_attempt(&caller, address, &key, "b").await.0 }
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     service.set_hung(false);
     let repeat = repeat.await.expect("the repeat ends");
 
-    assert_eq!(lost.status, 0);
+    assert_eq!(interrupted.status, 0);
     assert_eq!(repeat.outcome, "done", "{}", repeat.body);
-    assert_eq!(effects(&service, &key), 1);
+    assert_eq!(run_count(&service, &key), 1);
 }
 
 /// Symptom: a letter goes out twice after a network cut.
@@ -67,31 +67,37 @@
 async fn a_former_home_that_is_cut_off_starts_nothing() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let cut = Link::start(cluster.key_value.address()).await;
-    let former_url = format!("http://{}", cut.address);
-    let former = cluster.start_agent_with_key_value(
+    let store_link = Link::start(cluster.key_value.address()).await;
+    let previous_url = format!("http://{}", store_link.address);
+    let previous = cluster.start_agent_with_key_value(
         "push-1",
         "guide-push",
         service.server.address,
-        &former_url,
+        &previous_url,
     );
     cluster
         .vms
-        .add("push-1", former.address, "cairo-a", "guide-push");
-    let believer = cluster.start_entry("entry-1");
-    until_plain_service_ready(&believer).await;
+        .add("push-1", previous.address, "cairo-a", "guide-push");
+    let uninformed = cluster.start_entry("entry-1");
+    until_plain_service_ready(&uninformed).await;
     let successor = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
-        a_shard_of(&cluster.key_value, "push-2").is_some()
+        first_shard_of(&cluster.key_value, "push-2").is_some()
     })
     .await;
-    let shard = a_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
+    let shard = first_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
     let caller = Caller::new(DESK_KEY);
-    let (warm_up, _) = attempt(&caller, believer.address, &fresh_key_of(shard), "warm-up").await;
+    let (warm_up, _) = send_attempt(
+        &caller,
+        uninformed.address,
+        &new_key_in_shard(shard),
+        "warm-up",
+    )
+    .await;
 
-    cut.set_fault(Fault::FreezeAll);
+    store_link.set_fault(Fault::FreezeAll);
     until("the successor is home", || async {
-        home_of(&cluster.key_value, shard).as_deref() == Some("push-2")
+        shard_home(&cluster.key_value, shard).as_deref() == Some("push-2")
     })
     .await;
     let other_list = VmListStandIn::start().await;
@@ -99,14 +105,14 @@
     let informed = cluster.start_entry_with_list("entry-2", &other_list);
     until_plain_service_ready(&informed).await;
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let key = fresh_key_of(shard);
-    let (first, _) = attempt(&caller, believer.address, &key, "a").await;
-    let (repeat, _) = attempt(&caller, informed.address, &key, "b").await;
+    let key = new_key_in_shard(shard);
+    let (first, _) = send_attempt(&caller, uninformed.address, &key, "a").await;
+    let (repeat, _) = send_attempt(&caller, informed.address, &key, "b").await;
 
     assert_eq!(warm_up.outcome, "done", "{}", warm_up.body);
     assert_eq!(first.outcome, "done", "{}", first.body);
     assert_eq!(repeat.outcome, "done", "{}", repeat.body);
-    assert_eq!(effects(&service, &key), 1);
+    assert_eq!(run_count(&service, &key), 1);
 }
 
 /// Symptom: a confirmation is sent again after its keeper died.
@@ -119,42 +125,42 @@
 async fn a_successor_runs_no_key_from_before_its_time() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let former = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let previous = cluster.start_agent("push-1", "guide-push", service.server.address);
     let entry = cluster.start_entry("entry-1");
     until_plain_service_ready(&entry).await;
     let _successor = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
-        a_shard_of(&cluster.key_value, "push-2").is_some()
+        first_shard_of(&cluster.key_value, "push-2").is_some()
     })
     .await;
-    let shard = a_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
+    let shard = first_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
     let caller = Caller::new(DESK_KEY);
-    let key = fresh_key_of(shard);
+    let key = new_key_in_shard(shard);
 
     service.set_hung(true);
     let first = tokio::spawn({
         let (caller, key, address) = (caller.clone(), key.clone(), entry.address);
-        async move { attempt(&caller, address, &key, "a").await.0 }
+        async move { send_attempt(&caller, address, &key, "a").await.0 }
     });
     until("the call has run", || async {
-        effects(&service, &key) == 1
+        run_count(&service, &key) == 1
     })
     .await;
-    former.daemon.signal(Signal::Stop);
+    previous.daemon.signal(Signal::Stop);
     let first = first.await.expect("the call ends");
     until("the successor is home", || async {
-        home_of(&cluster.key_value, shard).as_deref() == Some("push-2")
+        shard_home(&cluster.key_value, shard).as_deref() == Some("push-2")
     })
     .await;
     service.set_hung(false);
-    let (repeat, _) = attempt(&caller, entry.address, &key, "b").await;
-    former.daemon.signal(Signal::Continue);
-    let (last, _) = attempt(&caller, entry.address, &key, "c").await;
+    let (repeat, _) = send_attempt(&caller, entry.address, &key, "b").await;
+    previous.daemon.signal(Signal::Continue);
+    let (after_resume, _) = send_attempt(&caller, entry.address, &key, "c").await;
 
     assert_eq!(first.outcome, "unknown", "{}", first.body);
     assert_eq!(repeat.outcome, "unknown", "{}", repeat.body);
-    assert_eq!(last.outcome, "unknown", "{}", last.body);
-    assert_eq!(effects(&service, &key), 1);
+    assert_eq!(after_resume.outcome, "unknown", "{}", after_resume.body);
+    assert_eq!(run_count(&service, &key), 1);
 }
 
 /// Symptom: during an outage callers are told nothing, or too much.
@@ -170,28 +176,28 @@
     let entry = cluster.start_entry("entry-1");
     until_plain_service_ready(&entry).await;
     let caller = Caller::new(DESK_KEY);
-    let known = fresh_key();
-    let (before, _) = attempt(&caller, entry.address, &known, "a").await;
+    let recorded_key = new_key();
+    let (first, _) = send_attempt(&caller, entry.address, &recorded_key, "a").await;
 
     cluster.key_value.set_outage(Outage::Refusing);
     until("fresh keys are refused", || async {
-        let (answered, _) = attempt(&caller, entry.address, &fresh_key(), "probe").await;
-        answered.outcome == "not-run"
+        let (response, _) = send_attempt(&caller, entry.address, &new_key(), "probe").await;
+        response.outcome == "not-run"
     })
     .await;
-    let refused_key = fresh_key();
-    let (refused, _) = attempt(&caller, entry.address, &refused_key, "b").await;
-    let (repeat, _) = attempt(&caller, entry.address, &known, "c").await;
+    let refused_key = new_key();
+    let (refused, _) = send_attempt(&caller, entry.address, &refused_key, "b").await;
+    let (repeat, _) = send_attempt(&caller, entry.address, &recorded_key, "c").await;
     cluster.key_value.set_outage(Outage::None);
     until_plain_service_ready(&entry).await;
 
-    assert_eq!(before.outcome, "done");
+    assert_eq!(first.outcome, "done");
     assert_eq!(refused.outcome, "not-run", "{}", refused.body);
     assert!(refused.retry_after.is_some());
-    assert_eq!(effects(&service, &refused_key), 0);
+    assert_eq!(run_count(&service, &refused_key), 0);
     assert_eq!(repeat.outcome, "done", "{}", repeat.body);
-    assert_eq!(repeat.body, before.body);
-    assert_eq!(effects(&service, &known), 1);
+    assert_eq!(repeat.body, first.body);
+    assert_eq!(run_count(&service, &recorded_key), 1);
 }
 
 /// Symptom: a rolling restart refuses calls, or runs some again.
@@ -203,12 +209,12 @@
 async fn a_planned_move_refuses_nothing_and_forgets_nothing() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let mut leaving = cluster.start_agent("push-1", "guide-push", service.server.address);
+    let mut stopping = cluster.start_agent("push-1", "guide-push", service.server.address);
     let entry = cluster.start_entry("entry-1");
     until_plain_service_ready(&entry).await;
-    let _staying = cluster.start_agent("push-2", "guide-push", service.server.address);
+    let _remaining = cluster.start_agent("push-2", "guide-push", service.server.address);
     until("both agents are home to shards", || async {
-        a_shard_of(&cluster.key_value, "push-2").is_some()
+        first_shard_of(&cluster.key_value, "push-2").is_some()
     })
     .await;
     let caller = Caller::new(DESK_KEY);
@@ -217,18 +223,18 @@
     let mut outcomes = Vec::new();
     for number in 0..60 {
         if number == 20 {
-            leaving.daemon.signal(Signal::Terminate);
+            stopping.daemon.signal(Signal::Terminate);
         }
-        let key = fresh_key();
-        let (answered, _) = attempt(&caller, entry.address, &key, "a").await;
-        outcomes.push(answered.outcome);
+        let key = new_key();
+        let (response, _) = send_attempt(&caller, entry.address, &key, "a").await;
+        outcomes.push(response.outcome);
         keys.push(key);
     }
-    let exit_code = leaving.daemon.wait().expect("it ends by itself");
+    let exit_code = stopping.daemon.wait().expect("it ends by itself");
     let mut repeats = Vec::new();
     for key in &keys {
-        let (answered, _) = attempt(&caller, entry.address, key, "b").await;
-        repeats.push(answered.outcome);
+        let (response, _) = send_attempt(&caller, entry.address, key, "b").await;
+        repeats.push(response.outcome);
     }
 
     assert_eq!(exit_code, 0);
@@ -240,7 +246,7 @@
         repeats.iter().all(|outcome| outcome == "done"),
         "{repeats:?}"
     );
-    assert!(keys.iter().all(|key| effects(&service, key) == 1));
+    assert!(keys.iter().all(|key| run_count(&service, key) == 1));
 }
 
 /// Symptom: one key used for two different requests gets the wrong answer.
@@ -255,20 +261,20 @@
     let entry = cluster.start_entry("entry-1");
     until_plain_service_ready(&entry).await;
     let caller = Caller::new(DESK_KEY);
-    let key = fresh_key();
+    let key = new_key();
     let headers = [("idempotency-key", key.as_str())];
 
     let first = caller
         .post(entry.address, "/guide-push", "canoe 7", &headers)
         .await;
-    let other = caller
+    let reused = caller
         .post(entry.address, "/guide-push", "canoe 8", &headers)
         .await;
 
     assert_eq!(first.outcome, "done");
-    assert_eq!(other.status, 422);
-    assert_eq!(other.outcome, "not-run");
-    assert_eq!(other.json()["error"]["code"], "idempotency_key_reused");
+    assert_eq!(reused.status, 422);
+    assert_eq!(reused.outcome, "not-run");
+    assert_eq!(reused.json()["error"]["code"], "idempotency_key_reused");
 }
 
 /// Symptom: a sixteenth of all calls is refused until an agent is restarted.
@@ -293,9 +299,9 @@
     let caller = Caller::new(DESK_KEY);
 
     until("the shard has a home again", || async {
-        let key = fresh_key_of(SHARD);
-        let (answered, _) = attempt(&caller, entry.address, &key, "a").await;
-        answered.outcome == "done" && effects(&service, &key) == 1
+        let key = new_key_in_shard(SHARD);
+        let (response, _) = send_attempt(&caller, entry.address, &key, "a").await;
+        response.outcome == "done" && run_count(&service, &key) == 1
     })
     .await;
 }
--- a/crates/berylhook/tests/catalogue.rs
+++ b/crates/berylhook/tests/catalogue.rs
@@ -10,18 +10,18 @@
 use berylhook_test_support::{Daemon, Engine, EngineConfig, Outage, Signal};
 use serde_json::Value;
 
-fn apply(cluster: &Cluster, file: &TemporaryFile, more: &[&str]) -> CommandOutput {
+fn apply(cluster: &Cluster, file: &TemporaryFile, extra_arguments: &[&str]) -> CommandOutput {
     let url = cluster.key_value.url();
     let mut arguments = vec!["catalogue", "apply", "--key-value", &url, file.path()];
-    arguments.extend_from_slice(more);
+    arguments.extend_from_slice(extra_arguments);
     berylhook(&arguments)
 }
 
 fn get(cluster: &Cluster) -> String {
     let url = cluster.key_value.url();
-    let ran = berylhook(&["catalogue", "get", "--key-value", &url]);
-    assert_eq!(ran.code, 0, "{}", ran.stderr);
-    ran.stdout
+    let output = berylhook(&["catalogue", "get", "--key-value", &url]);
+    assert_eq!(output.code, 0, "{}", output.stderr);
+    output.stdout
 }
 
 fn statuses(entry: &EntryProcess) -> Vec<Value> {
@@ -29,10 +29,12 @@
 }
 
 /// Whether all `count` entries have the same, and not `old`, in force.
-fn all_changed(entry: &EntryProcess, count: usize, old: &Value) -> bool {
+fn is_changed_everywhere(entry: &EntryProcess, count: usize, old_digest: &Value) -> bool {
     let statuses = statuses(entry);
     let same = |status: &Value| status["catalogue_digest"] == statuses[0]["catalogue_digest"];
-    statuses.len() == count && statuses.iter().all(same) && statuses[0]["catalogue_digest"] != *old
+    statuses.len() == count
+        && statuses.iter().all(same)
+        && statuses[0]["catalogue_digest"] != *old_digest
 }
 
 /// Symptom: some processes serve by the old catalogue for ever.
@@ -52,19 +54,19 @@
         statuses(&entries[0]).len() == 4
     })
     .await;
-    let old = statuses(&entries[0])[0]["catalogue_digest"].clone();
+    let old_digest = statuses(&entries[0])[0]["catalogue_digest"].clone();
 
     cluster.key_value.mute_watches(true);
-    let changed = get(&cluster).replace("class = interactive", "class = batch");
-    let ran = apply(
+    let changed_file = get(&cluster).replace("class = interactive", "class = batch");
+    let output = apply(
         &cluster,
-        &TemporaryFile::new(&changed),
+        &TemporaryFile::new(&changed_file),
         &["--based-on", "0"],
     );
 
-    assert_eq!(ran.code, 0, "{}{}", ran.stdout, ran.stderr);
+    assert_eq!(output.code, 0, "{}{}", output.stdout, output.stderr);
     until("the change is in force everywhere", || async {
-        all_changed(&entries[0], 4, &old)
+        is_changed_everywhere(&entries[0], 4, &old_digest)
     })
     .await;
 }
@@ -123,16 +125,16 @@
     for entry in &entries {
         until_serving(entry, "briefing-llm").await;
     }
-    let old = statuses(&entries[0])[0]["catalogue_digest"].clone();
-    let changed = get(&cluster).replace("class = interactive", "class = batch");
-    let ran = apply(
+    let old_digest = statuses(&entries[0])[0]["catalogue_digest"].clone();
+    let changed_file = get(&cluster).replace("class = interactive", "class = batch");
+    let output = apply(
         &cluster,
-        &TemporaryFile::new(&changed),
+        &TemporaryFile::new(&changed_file),
         &["--based-on", "0"],
     );
-    assert_eq!(ran.code, 0, "{}", ran.stderr);
+    assert_eq!(output.code, 0, "{}", output.stderr);
     until("the change is in force everywhere", || async {
-        all_changed(&entries[0], 3, &old)
+        is_changed_everywhere(&entries[0], 3, &old_digest)
     })
     .await;
     let new = statuses(&entries[0])[0]["catalogue_digest"].clone();
@@ -187,13 +189,13 @@
     .await;
 
     let ready = caller.get(entry.address, "/readyz").await;
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "x", 1, false)
         .await;
 
     assert_eq!(ready.status, 503);
-    assert_eq!(answered.outcome, "not-run");
-    assert_eq!(answered.json()["error"]["code"], "not_ready");
+    assert_eq!(response.outcome, "not-run");
+    assert_eq!(response.json()["error"]["code"], "not_ready");
     cluster.key_value.set_outage(Outage::None);
     until_ready(&entry).await;
 }
@@ -209,22 +211,27 @@
     let first = TemporaryFile::new(&base.replace("class = interactive", "class = batch"));
     let second = TemporaryFile::new(&base.replace("class = critical", "class = interactive"));
 
-    let (won, lost) = std::thread::scope(|scope| {
+    let (applied, conflicting) = std::thread::scope(|scope| {
         let first = scope.spawn(|| apply(&cluster, &first, &["--based-on", "0"]));
         let second = scope.spawn(|| apply(&cluster, &second, &["--based-on", "0"]));
-        let mut ran = [first.join().expect("runs"), second.join().expect("runs")];
-        ran.sort_by_key(|ran| ran.code);
-        let [won, lost] = ran;
-        (won, lost)
+        let mut outputs = [first.join().expect("runs"), second.join().expect("runs")];
+        outputs.sort_by_key(|output| output.code);
+        let [applied, conflicting] = outputs;
+        (applied, conflicting)
     });
 
-    assert_eq!(won.code, 0, "{}", won.stderr);
-    assert_eq!(lost.code, 2, "{}", lost.stderr);
+    assert_eq!(applied.code, 0, "{}", applied.stderr);
+    assert_eq!(conflicting.code, 2, "{}", conflicting.stderr);
     assert!(
-        lost.stderr
+        conflicting
+            .stderr
             .contains("not applied: the file is based on revision 0")
     );
-    assert!(lost.stdout.contains("+++ the file"), "{}", lost.stdout);
+    assert!(
+        conflicting.stdout.contains("+++ the file"),
+        "{}",
+        conflicting.stdout
+    );
     let in_force = get(&cluster);
     let both = in_force.contains("class = batch") && !in_force.contains("class = critical");
     assert!(!both, "{in_force}");
@@ -237,20 +244,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_whose_answer_was_lost_is_found_again() {
     let cluster = Cluster::start().await;
-    let changed = get(&cluster).replace("class = interactive", "class = batch");
+    let changed_file = get(&cluster).replace("class = interactive", "class = batch");
 
     cluster.key_value.lose_responses(1);
-    let ran = apply(
+    let output = apply(
         &cluster,
-        &TemporaryFile::new(&changed),
+        &TemporaryFile::new(&changed_file),
         &["--based-on", "0"],
     );
 
-    assert_eq!(ran.code, 0, "{}", ran.stderr);
+    assert_eq!(output.code, 0, "{}", output.stderr);
     assert!(
-        ran.stderr.contains("the answer to the write was lost"),
+        output.stderr.contains("the answer to the write was lost"),
         "{}",
-        ran.stderr
+        output.stderr
     );
     let versions = cluster
         .key_value
@@ -296,10 +303,10 @@
     let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
 
-    let more = catalogue()
+    let new_catalogue = catalogue()
         .replace("entry briefing-llm", "entry drafter")
         .replace("entries = briefing-llm", "entries = drafter, briefing-llm");
-    for section in &IniFile::parse(&more).expect("it is INI").sections {
+    for section in &IniFile::parse(&new_catalogue).expect("it is INI").sections {
         store_section(&cluster.key_value, section, 2);
     }
 
@@ -310,11 +317,11 @@
 fn check_names_the_line_the_setting_and_the_remedy() {
     let file = TemporaryFile::new("[entry]\nname = e\ndata_center = cairo-a\n");
 
-    let ran = berylhook(&["check", file.path()]);
+    let output = berylhook(&["check", file.path()]);
 
-    assert_eq!(ran.code, 1);
+    assert_eq!(output.code, 1);
     let expected = "line 3: unknown setting `data_center` in [entry]; did you mean `data_centre`?";
-    assert!(ran.stderr.contains(expected), "{}", ran.stderr);
+    assert!(output.stderr.contains(expected), "{}", output.stderr);
 }
 
 #[test]
--- a/crates/berylhook/tests/causes.rs
+++ b/crates/berylhook/tests/causes.rs
@@ -5,12 +5,12 @@
 use berylhook_test_support::binary;
 use serde_json::{Value, json};
 
-fn line(second: u32, kv: &Value) -> String {
+fn log_line(second: u32, kv: &Value) -> String {
     let timestamp = format!("2026-01-01 00:00:{second:02}.250000 +00:00");
     json!({"timestamp": timestamp, "text": "request ended", "kv": kv}).to_string()
 }
 
-fn end(outcome: &str, first_ms: u64, waited_ms: u64, longest_pause_ms: u64) -> Value {
+fn request_ended(outcome: &str, first_ms: u64, waited_ms: u64, longest_pause_ms: u64) -> Value {
     json!({
         "outcome": outcome, "first_ms": first_ms, "waited_ms": waited_ms,
         "longest_pause_ms": longest_pause_ms, "goal_ms": 400, "pause_goal_ms": 120,
@@ -18,12 +18,12 @@
 }
 
 /// Runs the command on a log; `by` names the file too, as tests run side by side.
-fn output(log: &str, by: &str) -> Output {
-    let name = format!("causes-{by}-{}.log", std::process::id());
+fn run_causes(log: &str, group_by: &str) -> Output {
+    let name = format!("causes-{group_by}-{}.log", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, log).expect("the log is written");
     let output = Command::new(binary("berylhook").expect("built"))
-        .args(["causes", "--format", "json", "--by", by])
+        .args(["causes", "--format", "json", "--by", group_by])
         .arg(&path)
         .output()
         .expect("it runs");
@@ -31,27 +31,27 @@
     output
 }
 
-fn causes(log: &str, by: &str) -> Value {
-    serde_json::from_slice(&output(log, by).stdout).expect("JSON")
+fn causes_json(log: &str, group_by: &str) -> Value {
+    serde_json::from_slice(&run_causes(log, group_by).stdout).expect("JSON")
 }
 
 #[test]
 fn each_request_is_counted_by_where_its_time_went() {
     let log = [
-        line(1, &end("streamed", 200, 0, 90)),
-        line(1, &end("streamed", 900, 700, 90)),
-        line(1, &end("streamed", 900, 10, 90)),
-        line(2, &end("streamed", 200, 0, 180)),
-        line(2, &end("streamed", 900, 700, 180)),
-        line(2, &end("no-place", 0, 160, 0)),
+        log_line(1, &request_ended("streamed", 200, 0, 90)),
+        log_line(1, &request_ended("streamed", 900, 700, 90)),
+        log_line(1, &request_ended("streamed", 900, 10, 90)),
+        log_line(2, &request_ended("streamed", 200, 0, 180)),
+        log_line(2, &request_ended("streamed", 900, 700, 180)),
+        log_line(2, &request_ended("no-place", 0, 160, 0)),
         json!({"timestamp": "2026-01-01 00:00:02", "text": "map changed", "kv": {}}).to_string(),
         "{\"timestamp\": \"2026-01".to_owned(),
     ];
 
-    let told = causes(&log.join("\n"), "second");
+    let causes = causes_json(&log.join("\n"), "second");
 
     assert_eq!(
-        told["by_second"],
+        causes["by_second"],
         json!({
             "2026-01-01 00:00:01": {
                 "in goal": 1, "late, waited here": 1, "late at the target": 1,
@@ -59,8 +59,8 @@
             "2026-01-01 00:00:02": {"paused": 1, "late, and paused": 1, "no-place": 1},
         })
     );
-    assert_eq!(told["all"]["in goal"], 1);
-    assert_eq!(told["unreadable_lines"], 1);
+    assert_eq!(causes["all"]["in goal"], 1);
+    assert_eq!(causes["unreadable_lines"], 1);
 }
 
 // Symptom: an empty table, and every line of a saved log named as unreadable. Cause:
@@ -68,30 +68,39 @@
 #[test]
 fn a_line_is_read_from_its_first_brace_on() {
     let log = [
-        format!("12.25 entry-a {}", line(1, &end("streamed", 200, 0, 90))),
-        format!("12.50 entry-b {}", line(1, &end("no-place", 0, 160, 0))),
-        format!("-3.75 entry-b {}", line(2, &end("streamed", 200, 0, 90))),
+        format!(
+            "12.25 entry-a {}",
+            log_line(1, &request_ended("streamed", 200, 0, 90))
+        ),
+        format!(
+            "12.50 entry-b {}",
+            log_line(1, &request_ended("no-place", 0, 160, 0))
+        ),
+        format!(
+            "-3.75 entry-b {}",
+            log_line(2, &request_ended("streamed", 200, 0, 90))
+        ),
     ];
 
-    let told = causes(&log.join("\n"), "vm");
+    let causes = causes_json(&log.join("\n"), "vm");
 
     assert_eq!(
-        told["by_vm"],
+        causes["by_vm"],
         json!({"entry-a": {"in goal": 1}, "entry-b": {"in goal": 1, "no-place": 1}})
     );
-    assert_eq!(told["unreadable_lines"], 0);
+    assert_eq!(causes["unreadable_lines"], 0);
 }
 
 #[test]
 fn requests_are_counted_by_the_target_that_they_were_sent_to() {
-    let mut sent = end("streamed", 900, 10, 90);
+    let mut sent = request_ended("streamed", 900, 10, 90);
     sent["last_target"] = json!("i-7f3a");
-    let log = [line(1, &sent), line(2, &sent)];
+    let log = [log_line(1, &sent), log_line(2, &sent)];
 
-    let told = causes(&log.join("\n"), "target");
+    let causes = causes_json(&log.join("\n"), "target");
 
     assert_eq!(
-        told["by_target"],
+        causes["by_target"],
         json!({"i-7f3a": {"late at the target": 2}})
     );
 }
@@ -100,7 +109,7 @@
 fn a_file_that_is_no_log_of_an_entry_is_an_error_with_a_remedy() {
     let log = vec!["GET / HTTP/1.1"; 20].join("\n");
 
-    let output = output(&log, "route");
+    let output = run_causes(&log, "route");
 
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
--- a/crates/berylhook/tests/common/load.rs
+++ b/crates/berylhook/tests/common/load.rs
@@ -8,38 +8,42 @@
 use super::poison::Fleet;
 
 /// Time between two requests of the load.
-const PAUSE: Duration = Duration::from_millis(25);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Sends requests at a steady rate, at each entry in turn and over each path in turn, and
 /// returns their answers.
-pub async fn send_steadily(fleet: &Fleet, paths: &[&str], lasting: Duration) -> Vec<CallResult> {
+pub async fn send_steadily(fleet: &Fleet, paths: &[&str], duration: Duration) -> Vec<CallResult> {
     let mut requests = FuturesUnordered::new();
-    let mut answers = Vec::new();
-    let mut ticks = tokio::time::interval(PAUSE);
-    let began = Instant::now();
-    let mut number = 0;
-    while began.elapsed() < lasting {
+    let mut responses = Vec::new();
+    let mut ticker = tokio::time::interval(REQUEST_INTERVAL);
+    let started_at = Instant::now();
+    let mut sent_count = 0;
+    while started_at.elapsed() < duration {
         tokio::select! {
-            _ = ticks.tick() => {
-                let path = paths[number / fleet.entries.len() % paths.len()];
-                let attempt = format!("steady-{number}");
-                requests.push(async move { fleet.send(number, path, &attempt, "hello").await });
-                number += 1;
+            _ = ticker.tick() => {
+                let path = paths[sent_count / fleet.entries.len() % paths.len()];
+                let attempt = format!("steady-{sent_count}");
+                requests.push(async move { fleet.send(sent_count, path, &attempt, "hello").await });
+                sent_count += 1;
             }
-            Some(answered) = requests.next() => answers.push(answered),
+            Some(response) = requests.next() => responses.push(response),
         }
     }
-    answers.extend(requests.collect::<Vec<_>>().await);
-    answers
+    responses.extend(requests.collect::<Vec<_>>().await);
+    responses
 }
 
 /// The largest number of these moments in any window of that length, from `from` on.
-pub fn most_in_window(moments: &[Instant], from: Instant, window: Duration) -> usize {
-    let mut counted: Vec<Instant> = moments.iter().copied().filter(|it| *it >= from).collect();
-    counted.sort_unstable();
+pub fn max_in_window(instants: &[Instant], from: Instant, window: Duration) -> usize {
+    let mut sorted: Vec<Instant> = instants
+        .iter()
+        .copied()
+        .filter(|instant| *instant >= from)
+        .collect();
+    sorted.sort_unstable();
     let in_window = |(index, last): (usize, &Instant)| {
-        let first = counted.partition_point(|it| *it + window <= *last);
+        let first = sorted.partition_point(|instant| *instant + window <= *last);
         index + 1 - first
     };
-    counted.iter().enumerate().map(in_window).max().unwrap_or(0)
+    sorted.iter().enumerate().map(in_window).max().unwrap_or(0)
 }
--- a/crates/berylhook/tests/common/mod.rs
+++ b/crates/berylhook/tests/common/mod.rs
@@ -18,14 +18,14 @@
 pub const ACCOUNT: &str = "paddle-desk";
 
 /// A fresh key.
-pub fn fresh_key() -> String {
+pub fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
 /// A fresh key of the given shard.
-pub fn fresh_key_of(shard: u32) -> String {
+pub fn new_key_in_shard(shard: u32) -> String {
     loop {
-        let key = fresh_key();
+        let key = new_key();
         if shard_of_key(&key) == shard {
             return key;
         }
@@ -38,38 +38,38 @@
 }
 
 /// The agent that the service names as home of a shard.
-pub fn home_of(key_value: &KeyValueStandIn, shard: u32) -> Option<String> {
+pub fn shard_home(key_value: &KeyValueStandIn, shard: u32) -> Option<String> {
     let value = key_value.value(&format!("berylhook/homes/guide-push/{shard:04}/home"))?;
     let value: serde_json::Value = serde_json::from_str(&value).ok()?;
     value["agent"].as_str().map(str::to_owned)
 }
 
 /// The first shard that `agent` is home to.
-pub fn a_shard_of(key_value: &KeyValueStandIn, agent: &str) -> Option<u32> {
-    (0..16).find(|shard| home_of(key_value, *shard).as_deref() == Some(agent))
+pub fn first_shard_of(key_value: &KeyValueStandIn, agent: &str) -> Option<u32> {
+    (0..16).find(|shard| shard_home(key_value, *shard).as_deref() == Some(agent))
 }
 
 /// Sends one attempt under `key`; the body is the key, so that the service's
 /// record names it.
-pub async fn attempt(
+pub async fn send_attempt(
     caller: &Caller,
     entry: SocketAddr,
     key: &str,
-    name: &str,
+    attempt_name: &str,
 ) -> (CallResult, Event) {
     let from = Instant::now();
-    let headers = [("idempotency-key", key), ("x-attempt", name)];
-    let answered = caller
+    let headers = [("idempotency-key", key), ("x-attempt", attempt_name)];
+    let response = caller
         .post(entry, "/guide-push/confirm", key, &headers)
         .await;
     let event = Event {
         key: key.to_owned(),
         operation: Operation::Attempt {
-            attempt: name.to_owned(),
-            reported: ReportedOutcome::of(&answered),
+            attempt: attempt_name.to_owned(),
+            reported: ReportedOutcome::of(&response),
         },
         from,
         to: Instant::now(),
     };
-    (answered, event)
+    (response, event)
 }
--- a/crates/berylhook/tests/common/poison.rs
+++ b/crates/berylhook/tests/common/poison.rs
@@ -6,13 +6,13 @@
 use berylhook_test_support::calls::{CallResult, Caller};
 use berylhook_test_support::{Behaviour, KeyValueStandIn, POISON_BODY, PlatformTarget};
 
-use super::entry::{Entry, KEY, configuration, route, start_entry, until_ready};
+use super::entry::{API_KEY, Entry, configuration, route, start_entry, until_ready};
 
 /// Targets that may end under one request before it is held back.
-pub const ENDS_ALLOWED: usize = 3;
+pub const MAX_EXITS: usize = 3;
 
 /// Time for the news of an end to reach all entries; the users allow three seconds.
-pub const NEWS: Duration = Duration::from_millis(800);
+pub const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
 /// Entries that know each other, before targets that end under poison.
 pub struct Fleet {
@@ -50,24 +50,29 @@
     }
 
     pub async fn start_entry(&mut self) {
-        let seeds: Vec<SocketAddr> = self.entries.iter().map(|entry| entry.peers).collect();
+        let seeds: Vec<SocketAddr> = self
+            .entries
+            .iter()
+            .map(|entry| entry.peer_address)
+            .collect();
         let entry = start_entry(&self.store, &seeds);
         until_ready(&entry).await;
         self.entries.push(entry);
     }
 
-    pub fn ended(&self) -> usize {
+    pub fn exited_count(&self) -> usize {
         let targets = self.targets.iter();
         targets.filter(|target| target.has_exited()).count()
     }
 
     /// Sends a request through one of the entries.
     pub async fn send(&self, entry: usize, path: &str, attempt: &str, body: &str) -> CallResult {
-        self.send_within(entry, path, attempt, body, 3_000).await
+        self.send_with_deadline(entry, path, attempt, body, 3_000)
+            .await
     }
 
     /// The same for a caller with that much time.
-    pub async fn send_within(
+    pub async fn send_with_deadline(
         &self,
         entry: usize,
         path: &str,
@@ -82,8 +87,10 @@
             ("berylhook-deadline-ms", deadline_ms.as_str()),
         ];
         let entry = &self.entries[entry % self.entries.len()];
-        let caller = Caller::new(KEY);
-        caller.post(entry.callers, path, body, &headers).await
+        let caller = Caller::new(API_KEY);
+        caller
+            .post(entry.caller_address, path, body, &headers)
+            .await
     }
 }
 
@@ -94,15 +101,15 @@
         fleet
             .send(0, "/unsafe/draft", &format!("early-{number}"), POISON_BODY)
             .await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
-    assert_eq!(fleet.ended(), 2);
+    assert_eq!(fleet.exited_count(), 2);
 }
 
 /// Puts the guilty request where it is refused.
 pub async fn put_on_hold(fleet: &Fleet) {
     put_on_trial(fleet).await;
     fleet.send(0, "/unsafe/draft", "early-2", POISON_BODY).await;
-    tokio::time::sleep(NEWS).await;
-    assert_eq!(fleet.ended(), ENDS_ALLOWED);
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    assert_eq!(fleet.exited_count(), MAX_EXITS);
 }
--- a/crates/berylhook/tests/entry.rs
+++ b/crates/berylhook/tests/entry.rs
@@ -12,7 +12,7 @@
 };
 use serde_json::Value;
 
-use crate::common::entry::{Entry, KEY, configuration, route, start_entry, until, until_ready};
+use crate::common::entry::{API_KEY, Entry, configuration, route, start_entry, until, until_ready};
 
 fn all_routes() -> Vec<Value> {
     vec![
@@ -43,8 +43,8 @@
         ("berylhook-deadline-ms", "3000"),
         ("berylhook-tenant", "somebody-else"),
     ];
-    Caller::new(KEY)
-        .post(entry.callers, path, "hello", &headers)
+    Caller::new(API_KEY)
+        .post(entry.caller_address, path, "hello", &headers)
         .await
 }
 
@@ -53,9 +53,9 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
-    let answered = post(&entry, "/unsafe/a?b=c").await;
+    let response = post(&entry, "/unsafe/a?b=c").await;
 
-    assert_eq!((answered.status, answered.is_complete), (200, true));
+    assert_eq!((response.status, response.is_complete), (200, true));
     let runs = target.runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].request, "POST /unsafe/a?b=c");
@@ -77,17 +77,21 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     let headers = [("host", "desk.example")];
-    let caller = Caller::new(KEY);
+    let caller = Caller::new(API_KEY);
 
-    let unknown = caller.post(entry.callers, "/nowhere/", "", &headers).await;
-    let stranger = Caller::new("no-key")
-        .post(entry.callers, "/safe/", "", &headers)
+    let unknown = caller
+        .post(entry.caller_address, "/nowhere/", "", &headers)
+        .await;
+    let wrong_key = Caller::new("no-key")
+        .post(entry.caller_address, "/safe/", "", &headers)
+        .await;
+    let large_body = "x".repeat(20_000);
+    let too_large = caller
+        .post(entry.caller_address, "/safe/", &large_body, &headers)
         .await;
-    let large = "x".repeat(20_000);
-    let too_large = caller.post(entry.callers, "/safe/", &large, &headers).await;
 
     assert_eq!(unknown.status, 404);
-    assert_eq!(stranger.status, 401);
+    assert_eq!(wrong_key.status, 401);
     assert_eq!(too_large.status, 413);
     assert!(target.runs().is_empty());
 }
@@ -111,10 +115,10 @@
             target.set_behaviour(behaviour);
         }
 
-        let answered = post(&entry, "/unsafe/").await;
+        let response = post(&entry, "/unsafe/").await;
 
-        assert_eq!(answered.status, 502, "{behaviour:?}");
-        assert_eq!(answered.retry_after, None);
+        assert_eq!(response.status, 502, "{behaviour:?}");
+        assert_eq!(response.retry_after, None);
         let after = targets[0].runs().len() + targets[1].runs().len();
         assert_eq!(after, before + 1, "{behaviour:?}");
     }
@@ -139,13 +143,13 @@
     let (_store, entry) = start(&[&target]).await;
 
     target.set_behaviour(Behaviour::RejectsWithoutReason);
-    let without_word = post(&entry, "/unsafe/").await;
+    let without_header = post(&entry, "/unsafe/").await;
     target.set_behaviour(Behaviour::RejectsAsNotExecuted);
-    let with_word = post(&entry, "/unsafe/").await;
+    let with_header = post(&entry, "/unsafe/").await;
 
-    assert_eq!(without_word.status, 502);
-    assert_eq!(with_word.status, 503);
-    assert!(with_word.retry_after.is_some());
+    assert_eq!(without_header.status, 502);
+    assert_eq!(with_header.status, 503);
+    assert!(with_header.retry_after.is_some());
 }
 
 #[tokio::test]
@@ -168,8 +172,8 @@
     }
 }
 
-fn ids(answered: &CallResult) -> Vec<u64> {
-    let lines = answered.body.lines();
+fn event_ids(response: &CallResult) -> Vec<u64> {
+    let lines = response.body.lines();
     lines
         .filter_map(|line| line.strip_prefix("id: ")?.parse().ok())
         .collect()
@@ -189,7 +193,7 @@
         target.set_behaviour(Behaviour::CutsStreamAfter(3));
     }
     let streaming = post(&entry, "/stream/");
-    let mending = async {
+    let restoring = async {
         until(async || targets.iter().any(|target| !target.runs().is_empty())).await;
         // The one that has not been asked yet answers the resumption whole.
         for target in targets.iter().filter(|target| target.runs().is_empty()) {
@@ -197,10 +201,13 @@
         }
     };
 
-    let (answered, ()) = tokio::join!(streaming, mending);
+    let (response, ()) = tokio::join!(streaming, restoring);
 
-    assert_eq!((answered.status, answered.is_complete), (200, true));
-    assert_eq!(ids(&answered), (1..=EVENTS_PER_STREAM).collect::<Vec<_>>());
+    assert_eq!((response.status, response.is_complete), (200, true));
+    assert_eq!(
+        event_ids(&response),
+        (1..=EVENTS_PER_STREAM).collect::<Vec<_>>()
+    );
     let resumed = targets.iter().flat_map(PlatformTarget::runs);
     let resumed_after: Vec<_> = resumed
         .filter_map(|run| run.header("last-event-id").map(str::to_owned))
@@ -214,11 +221,11 @@
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::CutsStreamAfter(3));
 
-    let answered = post(&entry, "/once/stream").await;
+    let response = post(&entry, "/once/stream").await;
 
-    assert_eq!(answered.status, 200);
-    assert!(!answered.is_complete);
-    assert_eq!(ids(&answered), [1, 2, 3]);
+    assert_eq!(response.status, 200);
+    assert!(!response.is_complete);
+    assert_eq!(event_ids(&response), [1, 2, 3]);
     assert_eq!(target.runs().len(), 1);
 }
 
@@ -231,17 +238,17 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
-    let left = tokio::time::timeout(Duration::from_millis(60), post(&entry, "/stream/")).await;
+    let outcome = tokio::time::timeout(Duration::from_millis(60), post(&entry, "/stream/")).await;
 
-    assert!(left.is_err(), "the caller left in mid-stream");
+    assert!(outcome.is_err(), "the caller left in mid-stream");
     tokio::time::sleep(Duration::from_millis(400)).await;
     let runs = target.runs();
     assert!(runs.iter().all(|run| !run.is_finished));
-    until(async || left_at_a_target(&entry)).await;
+    until(async || has_disconnect_line(&entry)).await;
 }
 
 /// Whether a line tells that the caller left and which target had its request.
-fn left_at_a_target(entry: &Entry) -> bool {
+fn has_disconnect_line(entry: &Entry) -> bool {
     let output = entry.daemon.output();
     let mut lines = output.lines().filter(|line| line.contains("caller-left"));
     lines.any(|line| line.contains("attempt-1") && line.contains("i-1"))
@@ -300,12 +307,15 @@
     let entry = start_entry(&store, &[]);
     until(async || post(&entry, "/safe/").await.status != 0).await;
 
-    let answered = post(&entry, "/safe/").await;
+    let response = post(&entry, "/safe/").await;
 
-    assert_eq!(answered.status, 503);
-    assert!(answered.retry_after.is_some());
+    assert_eq!(response.status, 503);
+    assert!(response.retry_after.is_some());
     assert_eq!(
-        Caller::new(KEY).get(entry.ready, "/-/readyz").await.status,
+        Caller::new(API_KEY)
+            .get(entry.readiness_address, "/-/readyz")
+            .await
+            .status,
         503
     );
 }
@@ -317,10 +327,10 @@
 #[tokio::test]
 async fn an_entry_that_knows_many_others_lives() {
     let target = PlatformTarget::start("i-1").await;
-    let (store, _open) = start(&[&target]).await;
-    let many: Vec<SocketAddr> = (0..200).map(|_| free_address()).collect();
+    let (store, _reachable) = start(&[&target]).await;
+    let peers: Vec<SocketAddr> = (0..200).map(|_| free_address()).collect();
 
-    let mut entry = start_entry(&store, &many);
+    let mut entry = start_entry(&store, &peers);
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
@@ -337,10 +347,10 @@
 #[tokio::test]
 async fn an_entry_that_the_store_shuts_out_learns_from_its_peers() {
     let target = PlatformTarget::start("i-1").await;
-    let (_store, open) = start(&[&target]).await;
-    let shut = KeyValueStandIn::start().await;
-    shut.set_outage(Outage::Refusing);
-    let entry = start_entry(&shut, &[open.peers]);
+    let (_store, reachable) = start(&[&target]).await;
+    let unavailable_store = KeyValueStandIn::start().await;
+    unavailable_store.set_outage(Outage::Refusing);
+    let entry = start_entry(&unavailable_store, &[reachable.peer_address]);
 
     until_ready(&entry).await;
 
@@ -368,14 +378,16 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, mut entry) = start(&[&target]).await;
 
-    let (answered, ()) = tokio::join!(post(&entry, "/stream/"), async {
+    let (response, ()) = tokio::join!(post(&entry, "/stream/"), async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         entry.daemon.signal(Signal::Terminate);
     });
-    let ready = Caller::new(KEY).get(entry.ready, "/-/readyz").await;
+    let ready = Caller::new(API_KEY)
+        .get(entry.readiness_address, "/-/readyz")
+        .await;
 
-    assert!(answered.is_complete);
-    assert_eq!(ids(&answered).len() as u64, EVENTS_PER_STREAM);
+    assert!(response.is_complete);
+    assert_eq!(event_ids(&response).len() as u64, EVENTS_PER_STREAM);
     assert_eq!(ready.status, 503);
     assert_eq!(entry.daemon.wait().expect("it ends by itself"), 0);
 }
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 const RANKS: usize = 4;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn configuration() -> Vec<u8> {
     json!({
@@ -95,12 +95,15 @@
 }
 
 /// Shifts the demand and waits until the favourite stands on most ranks.
-async fn shift(fleet: &Fleet, favourite: usize) {
-    fleet.group.set_hot_expert(favourite);
-    let expert = u16::try_from(favourite).expect("few experts");
-    let began = Instant::now();
+async fn shift_demand(fleet: &Fleet, hot_expert: usize) {
+    fleet.group.set_hot_expert(hot_expert);
+    let expert = u16::try_from(hot_expert).expect("few experts");
+    let started_at = Instant::now();
     while fleet.group.replicas_of(expert) < RANKS - 1 {
-        assert!(began.elapsed() < PATIENCE, "the map does not follow");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the map does not follow"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -113,11 +116,11 @@
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
 
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     fleet.store.set_outage(Outage::Refusing);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     fleet.store.set_outage(Outage::None);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -129,15 +132,15 @@
 async fn a_map_follows_the_demand_through_frozen_and_killed_leaders() {
     let fleet = start_fleet().await;
     let first = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let second = start_entry(&fleet, "entry-2");
 
     first.signal(Signal::Stop);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     first.signal(Signal::Continue);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
     second.signal(Signal::Kill);
-    shift(&fleet, 14).await;
+    shift_demand(&fleet, 14).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -150,18 +153,18 @@
     let fleet = start_fleet().await;
     let (peers_1, peers_2) = (free_address(), free_address());
     let first = start_sized_entry(&fleet, "entry-1", 0.5, peers_1, &peers_2.to_string());
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let second = start_sized_entry(&fleet, "entry-2", 0.5, peers_2, &peers_1.to_string());
     let third = start_sized_entry(&fleet, "entry-3", 0.5, free_address(), &peers_1.to_string());
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     fleet.store.set_outage(Outage::Refusing);
     first.signal(Signal::Terminate);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     second.signal(Signal::Terminate);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
     fleet.store.set_outage(Outage::None);
-    shift(&fleet, 14).await;
+    shift_demand(&fleet, 14).await;
 
     drop(third);
     assert_eq!(fleet.group.mixed_passes(), 0);
@@ -174,14 +177,14 @@
 async fn an_agent_that_starts_while_the_store_is_away_relays_for_the_leader() {
     let mut fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
     fleet.store.set_outage(Outage::Refusing);
     let store = fleet.store.address();
     fleet.agents.remove(0);
     let agent = start_agent(fleet.engines[0], fleet.agent_port, store);
     fleet.agents.push(agent);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -193,17 +196,17 @@
     let mut fleet = start_fleet().await;
     let copy = fleet.store.snapshot();
     let _first = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let _second = start_entry(&fleet, "entry-2");
 
     fleet.store.restore(&copy);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     fleet.store.restore(&copy);
     let store = fleet.store.address();
     fleet.agents.remove(0);
     let agent = start_agent(fleet.engines[0], fleet.agent_port, store);
     fleet.agents.push(agent);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -217,15 +220,15 @@
 async fn a_map_follows_the_demand_after_an_engine_has_started_again() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
     fleet.group.restart_engine(1);
-    shift(&fleet, 3).await;
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 3).await;
+    shift_demand(&fleet, 7).await;
     fleet.store.set_outage(Outage::Refusing);
     fleet.group.restart_engine(0);
-    shift(&fleet, 7).await;
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 7).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
@@ -239,25 +242,28 @@
     const SHIFTS: usize = 6;
     let fleet = start_fleet().await;
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
-    let hung = PlatformGroup::start("g-1", &engines).await;
-    hung.register(&fleet.store, "llm");
-    hung.set_copies_complete(false);
+    let stuck = PlatformGroup::start("g-1", &engines).await;
+    stuck.register(&fleet.store, "llm");
+    stuck.set_copies_complete(false);
     let store = fleet.store.address();
     let start = |engine: &SocketAddr| start_agent(*engine, fleet.agent_port, store);
     let _agents: Vec<Daemon> = engines.iter().map(start).collect();
     let _entry = start_entry(&fleet, "entry-1");
-    hung.set_hot_expert(5);
-    while hung.prepare_commands() == 0 {
+    stuck.set_hot_expert(5);
+    while stuck.prepare_commands() == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    let before = hung.prepare_commands();
-    for favourite in 1..=SHIFTS {
-        shift(&fleet, favourite).await;
+    let before = stuck.prepare_commands();
+    for hot_expert in 1..=SHIFTS {
+        shift_demand(&fleet, hot_expert).await;
     }
 
-    let rounds = (hung.prepare_commands() - before) / RANKS as u64;
-    assert!(rounds < SHIFTS as u64, "{rounds} tries of the other group");
+    let prepare_rounds = (stuck.prepare_commands() - before) / RANKS as u64;
+    assert!(
+        prepare_rounds < SHIFTS as u64,
+        "{prepare_rounds} tries of the other group"
+    );
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
@@ -289,12 +295,15 @@
 
     let _large = start_sized_entry(&fleet, "large", 0.5, large_peers, &small_peers.to_string());
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !leader(&fleet).await.starts_with("large ") {
-        assert!(began.elapsed() < PATIENCE, "the small one goes on leading");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the small one goes on leading"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
@@ -313,35 +322,41 @@
         &first_peers.to_string(),
     );
 
-    wait_for_line(&first, r#""members":2"#).await;
-    wait_for_line(&second, r#""members":2"#).await;
+    wait_for_sharing_line(&first, r#""members":2"#).await;
+    wait_for_sharing_line(&second, r#""members":2"#).await;
     second.signal(Signal::Terminate);
 
-    wait_for_line(&first, r#""members":1"#).await;
+    wait_for_sharing_line(&first, r#""members":1"#).await;
 }
 
 /// Waits until the newest line about who shares the targets holds this.
-async fn wait_for_line(entry: &Daemon, wanted: &str) {
-    let began = Instant::now();
+async fn wait_for_sharing_line(entry: &Daemon, expected: &str) {
+    let started_at = Instant::now();
     loop {
         let output = entry.output();
-        let mut shared = output.lines().filter(|line| line.contains("shared anew"));
-        if shared.next_back().is_some_and(|line| line.contains(wanted)) {
+        let mut sharing_lines = output.lines().filter(|line| line.contains("shared anew"));
+        if sharing_lines
+            .next_back()
+            .is_some_and(|line| line.contains(expected))
+        {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{wanted} is not logged");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "{expected} is not logged"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 /// The value of the leader's key, once there is one.
 async fn leader(fleet: &Fleet) -> String {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(leader) = fleet.store.value("berylhook/leader/llm") {
             return leader;
         }
-        assert!(began.elapsed() < PATIENCE, "nobody leads");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody leads");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -352,19 +367,19 @@
 async fn no_switch_holds_a_group_while_a_rank_leaves_orders_unanswered() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     // One more switch may follow the last holder.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let holds = fleet.group.pause_commands();
+    let pauses_before = fleet.group.pause_commands();
 
     fleet.group.drop_command_replies_of(Some(RANKS - 1));
     fleet.group.set_hot_expert(7);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let held_meanwhile = fleet.group.pause_commands() - holds;
+    let pauses_meanwhile = fleet.group.pause_commands() - pauses_before;
     fleet.group.drop_command_replies_of(None);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
 
-    assert_eq!(held_meanwhile, 0);
+    assert_eq!(pauses_meanwhile, 0);
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
@@ -378,13 +393,16 @@
     }
     let _entry = start_entry(&fleet, "entry-1");
 
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
-    let by_rank: Vec<u64> = (0..RANKS)
+    let pauses_by_rank: Vec<u64> = (0..RANKS)
         .map(|rank| fleet.group.pause_commands_of(rank))
         .collect();
-    let (least, others) = by_rank.split_last().expect("ranks");
-    assert!(*least > 0, "{by_rank:?}");
-    assert!(others.iter().all(|holds| *holds == 0), "{by_rank:?}");
+    let (least_loaded_pauses, others) = pauses_by_rank.split_last().expect("ranks");
+    assert!(*least_loaded_pauses > 0, "{pauses_by_rank:?}");
+    assert!(
+        others.iter().all(|pauses| *pauses == 0),
+        "{pauses_by_rank:?}"
+    );
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
--- a/crates/berylhook/tests/limited_targets.rs
+++ b/crates/berylhook/tests/limited_targets.rs
@@ -6,32 +6,38 @@
 
 use berylhook_test_support::PlatformTarget;
 
-use crate::common::load::{most_in_window, send_steadily};
+use crate::common::load::{max_in_window, send_steadily};
 use crate::common::poison::Fleet;
 
 /// The users allow half as much again as a target names in any span of this length, and
 /// five requests more.
 const WINDOW: Duration = Duration::from_secs(4);
 
-fn allowed(limit_per_s: usize) -> usize {
+fn max_allowed(limit_per_s: usize) -> usize {
     limit_per_s * 4 * 3 / 2 + 5
 }
 
 /// Time for all entries to hear of a limit; the users allow three seconds.
-const NEWS: Duration = Duration::from_millis(1_500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long each load lasts.
-const LASTING: Duration = Duration::from_millis(6_500);
+const LOAD_DURATION: Duration = Duration::from_millis(6_500);
 
 /// Whether the target got no more than the users allow for that limit, from the moment on
 /// at which all entries have heard of it.
-fn keeps_to(target: &PlatformTarget, limit_per_s: usize, named: Instant) -> Result<(), String> {
-    let most = most_in_window(&target.arrivals(), named + NEWS, WINDOW);
-    let allowed = allowed(limit_per_s);
-    if most <= allowed {
+fn check_limit(
+    target: &PlatformTarget,
+    limit_per_s: usize,
+    limit_set_at: Instant,
+) -> Result<(), String> {
+    let max_seen = max_in_window(&target.arrivals(), limit_set_at + PROPAGATION_TIME, WINDOW);
+    let allowed = max_allowed(limit_per_s);
+    if max_seen <= allowed {
         Ok(())
     } else {
-        Err(format!("{most} requests in a window, {allowed} allowed"))
+        Err(format!(
+            "{max_seen} requests in a window, {allowed} allowed"
+        ))
     }
 }
 
@@ -40,12 +46,12 @@
 async fn all_entries_together_keep_to_a_targets_limit() {
     let fleet = Fleet::start(3, 2).await;
     fleet.targets[0].set_limit(Some("2"));
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/safe/", "/stream/"], LASTING).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/safe/", "/stream/"], LOAD_DURATION).await;
 
-    assert_eq!(keeps_to(&fleet.targets[0], 2, named), Ok(()));
-    assert!(answers.iter().all(|answered| answered.status == 200));
+    assert_eq!(check_limit(&fleet.targets[0], 2, limit_set_at), Ok(()));
+    assert!(responses.iter().all(|response| response.status == 200));
 }
 
 // Guards against callers that wait, or are told nothing, where no target takes more.
@@ -55,19 +61,21 @@
     for target in &fleet.targets {
         target.set_limit(Some("2"));
     }
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/stream/"], LASTING).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/stream/"], LOAD_DURATION).await;
 
     for target in &fleet.targets {
-        assert_eq!(keeps_to(target, 2, named), Ok(()));
+        assert_eq!(check_limit(target, 2, limit_set_at), Ok(()));
     }
-    let (served, refused): (Vec<_>, Vec<_>) = answers.iter().partition(|it| it.status == 200);
+    let (served, refused): (Vec<_>, Vec<_>) = responses
+        .iter()
+        .partition(|response| response.status == 200);
     assert!(!served.is_empty());
     assert!(
         refused
             .iter()
-            .all(|it| it.status == 503 && it.retry_after.is_some())
+            .all(|response| response.status == 503 && response.retry_after.is_some())
     );
 }
 
@@ -79,12 +87,16 @@
     send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
     fleet.targets[0].set_limit(None);
     send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
-    let before = fleet.targets[0].arrivals().len();
+    let count_before = fleet.targets[0].arrivals().len();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
 
-    let got = fleet.targets[0].arrivals().len() - before;
-    assert!(got * 4 > answers.len(), "{got} of {}", answers.len());
+    let received_count = fleet.targets[0].arrivals().len() - count_before;
+    assert!(
+        received_count * 4 > responses.len(),
+        "{received_count} of {}",
+        responses.len()
+    );
 }
 
 // Guards against an entry that has just started and sends as if there were no limit, and
@@ -93,7 +105,7 @@
 async fn entries_that_come_and_go_keep_to_a_targets_limit() {
     let mut fleet = Fleet::start(2, 2).await;
     fleet.targets[0].set_limit(Some("2"));
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
     let paths = ["/unsafe/", "/stream/"];
     for _ in 0..3 {
         send_steadily(&fleet, &paths, Duration::from_millis(1_500)).await;
@@ -103,7 +115,10 @@
 
     send_steadily(&fleet, &paths, Duration::from_millis(1_500)).await;
 
-    assert_eq!(keeps_to(&fleet.targets[0], 2, named), Ok(()));
-    let used = fleet.targets[0].arrivals().len();
-    assert!(used >= 6, "{used} requests in six seconds");
+    assert_eq!(check_limit(&fleet.targets[0], 2, limit_set_at), Ok(()));
+    let received_count = fleet.targets[0].arrivals().len();
+    assert!(
+        received_count >= 6,
+        "{received_count} requests in six seconds"
+    );
 }
--- a/crates/berylhook/tests/limits.rs
+++ b/crates/berylhook/tests/limits.rs
@@ -36,7 +36,7 @@
 }
 
 /// Waits until the entries together may use most of the limit.
-async fn until_shared(entries: &[EntryProcess]) {
+async fn until_shares_granted(entries: &[EntryProcess]) {
     until("the shares have been given", || async {
         let usable: f64 = statuses(&entries[0].settings)
             .iter()
@@ -50,7 +50,7 @@
 
 /// Fills both entries with hanging requests until both refuse; gives how many
 /// were let in.
-async fn fill(engine: &Engine, entries: &[EntryProcess]) -> u32 {
+async fn count_admitted(engine: &Engine, entries: &[EntryProcess]) -> u32 {
     let runs_before = engine.runs().len();
     let mut refused_since = Instant::now();
     while refused_since.elapsed() < Duration::from_secs(3) {
@@ -78,15 +78,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_sum_over_entries_stays_within_the_limit_and_uses_most_of_it() {
     let (_cluster, engine, entries, _agent) = limited().await;
-    until_shared(&entries).await;
+    until_shares_granted(&entries).await;
     engine.set_stalled(true);
 
-    let let_in = fill(&engine, &entries).await;
+    let admitted = count_admitted(&engine, &entries).await;
 
-    assert!(let_in <= CONCURRENCY, "{let_in} at a time");
+    assert!(admitted <= CONCURRENCY, "{admitted} at a time");
     assert!(
-        let_in >= CONCURRENCY / 2,
-        "only {let_in} of {CONCURRENCY} are usable"
+        admitted >= CONCURRENCY / 2,
+        "only {admitted} of {CONCURRENCY} are usable"
     );
 }
 
@@ -98,34 +98,34 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_go_on_in_an_outage() {
     let (cluster, engine, entries, _agent) = limited().await;
-    until_shared(&entries).await;
+    until_shares_granted(&entries).await;
     until_serving(&entries[1], "briefing-llm").await;
 
     cluster.key_value.set_outage(Outage::Refusing);
     tokio::time::sleep(Duration::from_secs(7)).await;
     engine.set_stalled(true);
-    let with_home = fill(&engine, &entries).await;
+    let admitted = count_admitted(&engine, &entries).await;
 
-    assert!(with_home <= CONCURRENCY, "{with_home} at a time");
+    assert!(admitted <= CONCURRENCY, "{admitted} at a time");
     assert!(
-        with_home >= CONCURRENCY / 2,
-        "only {with_home} of {CONCURRENCY} are usable"
+        admitted >= CONCURRENCY / 2,
+        "only {admitted} of {CONCURRENCY} are usable"
     );
     entries[0].daemon.signal(Signal::Kill);
     engine.set_stalled(false);
-    let own_piece = 0.2 * f64::from(CONCURRENCY) / 2.0;
+    let static_share = 0.2 * f64::from(CONCURRENCY) / 2.0;
     until("the shares have ended", || async {
         let statuses = statuses(&entries[1].settings);
         let usable = statuses[0]["limits"][0]["usable"].as_f64();
-        usable.is_some_and(|usable| usable <= own_piece)
+        usable.is_some_and(|usable| usable <= static_share)
     })
     .await;
     until("the limited account is still served", || async {
         let caller = Caller::new(DESK_KEY);
-        let answered = caller
+        let response = caller
             .complete(entries[1].address, "briefing-llm", "x", 1, false)
             .await;
-        answered.status == 200
+        response.status == 200
     })
     .await;
 }
@@ -150,11 +150,11 @@
 
     let mut refused = None;
     for _ in 0..200 {
-        let answered = caller
+        let response = caller
             .complete(entry.address, "briefing-llm", "x", 1, false)
             .await;
-        if answered.status == 429 {
-            refused = Some(answered);
+        if response.status == 429 {
+            refused = Some(response);
             break;
         }
     }
--- a/crates/berylhook/tests/not_run.rs
+++ b/crates/berylhook/tests/not_run.rs
@@ -32,7 +32,7 @@
 
     linked.link.set_fault(Fault::FreezeOpen);
     let caller = Caller::new(DESK_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "late order", 3, false)
         .await;
     linked.link.set_fault(Fault::None);
@@ -42,8 +42,8 @@
     })
     .await;
 
-    assert_eq!(answered.outcome, "not-run", "{}", answered.body);
-    assert!(answered.retry_after.is_some());
+    assert_eq!(response.outcome, "not-run", "{}", response.body);
+    assert!(response.retry_after.is_some());
     assert_eq!(engine.runs().len(), runs_before);
 }
 
@@ -60,10 +60,10 @@
     let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     until("the service answers", || async {
-        let answered = caller
+        let response = caller
             .post(entry.address, "/guide-push", "warm-up", &[])
             .await;
-        answered.status == 200
+        response.status == 200
     })
     .await;
     let runs_before = service.runs().len();
@@ -83,9 +83,9 @@
     .await;
     agent.daemon.signal(Signal::Kill);
     agent.restart();
-    let answered = call.await.expect("the call ends");
+    let response = call.await.expect("the call ends");
 
-    assert_eq!(answered.outcome, "unknown", "{}", answered.body);
+    assert_eq!(response.outcome, "unknown", "{}", response.body);
     assert_eq!(service.runs().len(), runs_before + 1);
 }
 
@@ -99,14 +99,14 @@
     until_ready(&entry).await;
 
     let caller = Caller::new(DESK_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "anyone", 3, false)
         .await;
 
-    assert_eq!(answered.status, 503);
-    assert_eq!(answered.outcome, "not-run");
-    assert_eq!(answered.retry_after.as_deref(), Some("1"));
-    assert_eq!(answered.json()["error"]["code"], "no_live_target");
+    assert_eq!(response.status, 503);
+    assert_eq!(response.outcome, "not-run");
+    assert_eq!(response.retry_after.as_deref(), Some("1"));
+    assert_eq!(response.json()["error"]["code"], "no_live_target");
 }
 
 /// Symptom: a model request fails although another target was free.
@@ -137,9 +137,9 @@
     let _second = cluster.start_agent("target-2", "briefing-llm", healthy.server.address);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     agent.daemon.signal(Signal::Kill);
-    let answered = call.await.expect("the call ends");
+    let response = call.await.expect("the call ends");
 
-    assert_eq!(answered.outcome, "done", "{}", answered.body);
-    let text = answered.json()["choices"][0]["text"].clone();
+    assert_eq!(response.outcome, "done", "{}", response.body);
+    let text = response.json()["choices"][0]["text"].clone();
     assert_eq!(text, Engine::response_text("moved", 5));
 }
--- a/crates/berylhook/tests/once_history.rs
+++ b/crates/berylhook/tests/once_history.rs
@@ -16,7 +16,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use common::{attempt, fresh_key};
+use common::{new_key, send_attempt};
 
 const WORKERS: u64 = 6;
 const KEYS_PER_WORKER: usize = 40;
@@ -24,7 +24,7 @@
 const FAULTS: usize = 14;
 
 /// A cluster that faults are done to.
-struct Victim {
+struct FaultedCluster {
     cluster: Cluster,
     service: PlainService,
     agents: Vec<AgentProcess>,
@@ -32,7 +32,7 @@
     entries: Vec<EntryProcess>,
 }
 
-impl Victim {
+impl FaultedCluster {
     async fn start() -> Self {
         let cluster = Cluster::start().await;
         let service = PlainService::start().await;
@@ -63,37 +63,37 @@
     }
 
     /// Does one fault and undoes it.
-    async fn fault(&mut self, random: &mut StdRng) {
-        let which = random.random_range(0..self.agents.len());
-        let lasting = Duration::from_millis(random.random_range(50..2_800));
+    async fn inject_fault(&mut self, random: &mut StdRng) {
+        let index = random.random_range(0..self.agents.len());
+        let duration = Duration::from_millis(random.random_range(50..2_800));
         match random.random_range(0..8) {
             0 => {
-                self.agents[which].daemon.signal(Signal::Kill);
-                self.agents[which].restart();
+                self.agents[index].daemon.signal(Signal::Kill);
+                self.agents[index].restart();
             }
             1 => {
-                self.agents[which].daemon.signal(Signal::Stop);
-                tokio::time::sleep(lasting).await;
-                self.agents[which].daemon.signal(Signal::Continue);
+                self.agents[index].daemon.signal(Signal::Stop);
+                tokio::time::sleep(duration).await;
+                self.agents[index].daemon.signal(Signal::Continue);
             }
             2 => {
                 self.cluster.key_value.set_outage(Outage::Silent);
-                tokio::time::sleep(lasting).await;
+                tokio::time::sleep(duration).await;
                 self.cluster.key_value.set_outage(Outage::None);
             }
             3 => self.cluster.key_value.lose_responses(3),
             4 => {
-                self.links[which].set_fault(Fault::FreezeOpen);
-                tokio::time::sleep(lasting).await;
-                self.links[which].set_fault(Fault::None);
+                self.links[index].set_fault(Fault::FreezeOpen);
+                tokio::time::sleep(duration).await;
+                self.links[index].set_fault(Fault::None);
             }
             5 => {
-                self.links[which].set_fault(Fault::FreezeResponses);
-                tokio::time::sleep(lasting).await;
-                self.links[which].set_fault(Fault::None);
+                self.links[index].set_fault(Fault::FreezeResponses);
+                tokio::time::sleep(duration).await;
+                self.links[index].set_fault(Fault::None);
             }
             6 => {
-                let entry = which % self.entries.len();
+                let entry = index % self.entries.len();
                 self.entries[entry].daemon.signal(Signal::Kill);
                 self.entries[entry].restart();
             }
@@ -105,26 +105,26 @@
 
 /// What one worker saw.
 #[derive(Default)]
-struct Work {
+struct WorkerResult {
     events: Vec<Event>,
     /// Keys it was never told "done" of.
-    open_keys: Vec<String>,
+    unconfirmed_keys: Vec<String>,
 }
 
 /// Repeats each key, at random entries, until it is told "done".
-async fn work(seed: u64, entries: Vec<SocketAddr>) -> Work {
+async fn run_worker(seed: u64, entries: Vec<SocketAddr>) -> WorkerResult {
     let mut random = StdRng::seed_from_u64(seed);
     let caller = Caller::new(DESK_KEY);
-    let mut work = Work::default();
+    let mut result = WorkerResult::default();
     for number in 0..KEYS_PER_WORKER {
-        let key = fresh_key();
+        let key = new_key();
         let mut is_done = false;
         for repeat in 0..ATTEMPTS_PER_KEY {
             let entry = entries[random.random_range(0..entries.len())];
             let name = format!("{seed}.{number}.{repeat}");
-            let (answered, event) = attempt(&caller, entry, &key, &name).await;
-            work.events.push(event);
-            is_done = ReportedOutcome::of(&answered) == ReportedOutcome::Done;
+            let (response, event) = send_attempt(&caller, entry, &key, &name).await;
+            result.events.push(event);
+            is_done = ReportedOutcome::of(&response) == ReportedOutcome::Done;
             if is_done {
                 break;
             }
@@ -132,43 +132,43 @@
             tokio::time::sleep(pause).await;
         }
         if !is_done {
-            work.open_keys.push(key);
+            result.unconfirmed_keys.push(key);
         }
         // Spread over the faults instead of finishing before the first.
         let pause = Duration::from_millis(random.random_range(20..400));
         tokio::time::sleep(pause).await;
     }
-    work
+    result
 }
 
-async fn history_of(seed: u64) -> Recorder {
-    let mut victim = Victim::start().await;
-    let addresses: Vec<_> = victim.entries.iter().map(|entry| entry.address).collect();
+async fn record_history(seed: u64) -> Recorder {
+    let mut faulted = FaultedCluster::start().await;
+    let addresses: Vec<_> = faulted.entries.iter().map(|entry| entry.address).collect();
     let workers: Vec<_> = (0..WORKERS)
-        .map(|worker| tokio::spawn(work(seed * 100 + worker, addresses.clone())))
+        .map(|worker| tokio::spawn(run_worker(seed * 100 + worker, addresses.clone())))
         .collect();
     let mut random = StdRng::seed_from_u64(seed);
     for _ in 0..FAULTS {
-        victim.fault(&mut random).await;
+        faulted.inject_fault(&mut random).await;
     }
     let mut recorder = Recorder::default();
-    let mut open_keys = Vec::new();
+    let mut unconfirmed_keys = Vec::new();
     for worker in workers {
-        let work = worker.await.expect("the worker ends");
-        open_keys.extend(work.open_keys);
-        for event in work.events {
+        let result = worker.await.expect("the worker ends");
+        unconfirmed_keys.extend(result.unconfirmed_keys);
+        for event in result.events {
             recorder.push(event);
         }
     }
     // By now shards have changed hands, so these keys meet homes that were
     // not there when the keys were issued.
     let caller = Caller::new(DESK_KEY);
-    for (number, key) in open_keys.iter().enumerate() {
+    for (number, key) in unconfirmed_keys.iter().enumerate() {
         let name = format!("{seed}.late.{number}");
         let entry = addresses[number % addresses.len()];
-        recorder.push(attempt(&caller, entry, key, &name).await.1);
+        recorder.push(send_attempt(&caller, entry, key, &name).await.1);
     }
-    let runs = victim.service.runs();
+    let runs = faulted.service.runs();
     let keyed: Vec<_> = runs
         .into_iter()
         .filter(|run| !run.attempt.is_empty())
@@ -177,8 +177,8 @@
     recorder
 }
 
-async fn check(seed: u64) {
-    let recorder = history_of(seed).await;
+async fn check_seed(seed: u64) {
+    let recorder = record_history(seed).await;
 
     println!(
         "seed {seed}: done {}, not run {}, unknown {}",
@@ -192,15 +192,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_promises_hold_under_faults_of_seed_1() {
-    check(1).await;
+    check_seed(1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_promises_hold_under_faults_of_seed_2() {
-    check(2).await;
+    check_seed(2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_promises_hold_under_faults_of_seed_3() {
-    check(3).await;
+    check_seed(3).await;
 }
--- a/crates/berylhook/tests/path.rs
+++ b/crates/berylhook/tests/path.rs
@@ -13,13 +13,13 @@
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(DESK_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "river conditions", 12, false)
         .await;
 
-    assert_eq!(answered.status, 200, "{}", answered.body);
-    assert_eq!(answered.outcome, "done");
-    let text = answered.json()["choices"][0]["text"].clone();
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(response.outcome, "done");
+    let text = response.json()["choices"][0]["text"].clone();
     assert_eq!(text, Engine::response_text("river conditions", 12));
 }
 
@@ -32,15 +32,15 @@
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(CLAIMS_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "broken bag", 40, true)
         .await;
 
-    assert_eq!(answered.status, 200, "{}", answered.body);
-    assert!(answered.is_complete);
-    assert!(answered.body.ends_with("data: [DONE]\n\n"));
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert!(response.is_complete);
+    assert!(response.body.ends_with("data: [DONE]\n\n"));
     assert_eq!(
-        answered.streamed_text(),
+        response.streamed_text(),
         Engine::response_text("broken bag", 40)
     );
 }
@@ -53,10 +53,10 @@
     let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     berylhook_test_support::cluster::until("the service answers", || async {
-        let answered = caller
+        let response = caller
             .post(entry.address, "/guide-push/warm-up", "{}", &[])
             .await;
-        answered.status == 200
+        response.status == 200
     })
     .await;
     let runs_before = service.runs().len();
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -9,7 +9,7 @@
 use futures_util::future::join_all;
 
 use crate::common::entry::{start_entry, until, until_ready};
-use crate::common::poison::{ENDS_ALLOWED, Fleet, NEWS, put_on_hold, put_on_trial};
+use crate::common::poison::{Fleet, MAX_EXITS, PROPAGATION_TIME, put_on_hold, put_on_trial};
 
 // Eight targets of one service ended one after the other, each within half a second of
 // the moment at which the service could run again, and nobody was served in between. One
@@ -30,10 +30,14 @@
             fleet
                 .send(number, path, &format!("{path}-{number}"), POISON_BODY)
                 .await;
-            tokio::time::sleep(NEWS).await;
+            tokio::time::sleep(PROPAGATION_TIME).await;
         }
 
-        assert!(fleet.ended() <= ENDS_ALLOWED, "{path}: {}", fleet.ended());
+        assert!(
+            fleet.exited_count() <= MAX_EXITS,
+            "{path}: {}",
+            fleet.exited_count()
+        );
         assert_eq!(
             fleet.send(0, path, "another", "a draft").await.status,
             200,
@@ -68,7 +72,7 @@
 async fn copies_at_all_entries_run_one_after_the_other_once_a_target_has_ended() {
     let fleet = Fleet::start(4, 12).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let copies = (0..12).map(|number| {
         let fleet = &fleet;
@@ -79,44 +83,66 @@
                 .await
         }
     });
-    let answers = join_all(copies).await;
+    let responses = join_all(copies).await;
 
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}", fleet.ended());
-    let ran = answers.iter().filter(|answer| answer.status == 502).count();
-    let held = answers.iter().filter(|answer| answer.status == 503).count();
-    assert_eq!((ran, held), (fleet.ended() - 1, 12 - ran), "{answers:?}");
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}",
+        fleet.exited_count()
+    );
+    let sent = responses
+        .iter()
+        .filter(|response| response.status == 502)
+        .count();
+    let rejected = responses
+        .iter()
+        .filter(|response| response.status == 503)
+        .count();
+    assert_eq!(
+        (sent, rejected),
+        (fleet.exited_count() - 1, 12 - sent),
+        "{responses:?}"
+    );
 }
 
 #[tokio::test]
 async fn the_caller_is_told_that_it_did_not_run_and_when_coming_back_can_help() {
     let fleet = Fleet::start(2, 6).await;
-    let ran = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
+    let sent = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     put_on_hold_after_first(&fleet).await;
 
-    let began = std::time::Instant::now();
-    let held = fleet.send(1, "/unsafe/draft", "last", POISON_BODY).await;
+    let started_at = std::time::Instant::now();
+    let rejected = fleet.send(1, "/unsafe/draft", "last", POISON_BODY).await;
 
-    assert_eq!((ran.status, ran.retry_after), (502, None));
-    assert_eq!(held.status, 503);
-    assert!(held.body.contains("held-back"), "{}", held.body);
-    assert!(held.body.contains("it did not run"), "{}", held.body);
-    let back_s: f64 = held.retry_after.expect("a time").parse().expect("seconds");
-    assert!((200.0..=300.0).contains(&back_s), "{back_s}");
+    assert_eq!((sent.status, sent.retry_after), (502, None));
+    assert_eq!(rejected.status, 503);
+    assert!(rejected.body.contains("held-back"), "{}", rejected.body);
+    assert!(
+        rejected.body.contains("it did not run"),
+        "{}",
+        rejected.body
+    );
+    let retry_after_s: f64 = rejected
+        .retry_after
+        .expect("a time")
+        .parse()
+        .expect("seconds");
+    assert!((200.0..=300.0).contains(&retry_after_s), "{retry_after_s}");
     assert!(
-        began.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "it is told at once"
     );
 }
 
 async fn put_on_hold_after_first(fleet: &Fleet) {
     for number in 0..2 {
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
         fleet
             .send(0, "/unsafe/draft", &format!("more-{number}"), POISON_BODY)
             .await;
     }
-    tokio::time::sleep(NEWS).await;
-    assert_eq!(fleet.ended(), ENDS_ALLOWED);
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    assert_eq!(fleet.exited_count(), MAX_EXITS);
 }
 
 // What an entry knows must not end with its process: on a rolling restart the request
@@ -129,7 +155,7 @@
     fleet.start_entry().await;
     let later = fleet.send(1, "/unsafe/draft", "later", POISON_BODY).await;
 
-    assert_eq!((later.status, fleet.ended()), (503, ENDS_ALLOWED));
+    assert_eq!((later.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
 // The same with all entries gone at once, as after a loss of power: only the store is left.
@@ -142,21 +168,21 @@
     fleet.start_entry().await;
     let later = fleet.send(0, "/unsafe/draft", "later", POISON_BODY).await;
 
-    assert_eq!((later.status, fleet.ended()), (503, ENDS_ALLOWED));
+    assert_eq!((later.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
 // An entry that its peers cannot reach learns from the store.
 #[tokio::test]
 async fn an_entry_without_peers_learns_from_the_store() {
     let mut fleet = Fleet::start(1, 6).await;
-    let alone = start_entry(&fleet.store, &[]);
-    until_ready(&alone).await;
-    fleet.entries.push(alone);
+    let unpeered = start_entry(&fleet.store, &[]);
+    until_ready(&unpeered).await;
+    fleet.entries.push(unpeered);
 
     put_on_hold(&fleet).await;
     let there = fleet.send(1, "/unsafe/draft", "there", POISON_BODY).await;
 
-    assert_eq!((there.status, fleet.ended()), (503, ENDS_ALLOWED));
+    assert_eq!((there.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
 // While the store is away peers are the only way, and no lock can be had: a request on
@@ -165,9 +191,9 @@
 async fn without_the_store_peers_tell_and_a_request_on_trial_waits_for_the_store() {
     let fleet = Fleet::start(2, 6).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     fleet.store.set_outage(Outage::Refusing);
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let mut statuses = Vec::new();
     for number in 0..6 {
@@ -178,10 +204,10 @@
                 .await
                 .status,
         );
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
-    assert_eq!(fleet.ended(), 2, "{statuses:?}");
+    assert_eq!(fleet.exited_count(), 2, "{statuses:?}");
     assert_eq!(statuses[1..], [503; 5]);
     assert_eq!(
         fleet
@@ -199,8 +225,8 @@
     for target in &fleet.targets[1..] {
         target.register(&fleet.store, "push", "draining");
     }
-    tokio::time::sleep(NEWS).await;
-    let neighbours = (0..6).map(|number| {
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let concurrent = (0..6).map(|number| {
         let fleet = &fleet;
         async move {
             let body = format!("draft {number}");
@@ -209,19 +235,19 @@
                 .await
         }
     });
-    let guilty = async {
+    let poison = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
         fleet.send(0, "/unsafe/draft", "guilty", POISON_BODY).await
     };
-    let (cut, _) = tokio::join!(join_all(neighbours), guilty);
+    let (cut, _) = tokio::join!(join_all(concurrent), poison);
     assert!(
-        cut.iter().any(|answer| !answer.is_complete),
+        cut.iter().any(|response| !response.is_complete),
         "some were cut"
     );
     for target in &fleet.targets[1..] {
         target.register(&fleet.store, "push", "ready");
     }
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let again = (0..6).map(|number| {
         let fleet = &fleet;
@@ -239,7 +265,7 @@
     });
     let again = join_all(again).await;
 
-    let statuses: Vec<u16> = again.iter().map(|answer| answer.status).collect();
+    let statuses: Vec<u16> = again.iter().map(|response| response.status).collect();
     assert_eq!(statuses, [200; 6]);
 }
 
@@ -260,7 +286,7 @@
     };
 
     tokio::join!(cut, leaving);
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let output = fleet.entries[0].daemon.output();
     assert!(
@@ -282,7 +308,7 @@
             .send(0, "/unsafe/draft", &format!("lost-{number}"), "a draft")
             .await;
     }
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for target in &fleet.targets {
         target.set_behaviour(Behaviour::Responds);
     }
@@ -306,15 +332,15 @@
 #[tokio::test]
 async fn a_younger_target_at_the_address_proves_the_end_of_the_former() {
     let fleet = Fleet::start(1, 1).await;
-    let former = &fleet.targets[0];
-    former.set_behaviour(Behaviour::DropsResponses);
+    let previous = &fleet.targets[0];
+    previous.set_behaviour(Behaviour::DropsResponses);
     fleet.send(0, "/unsafe/draft", "lost", "a draft").await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
-    former.kill();
+    previous.kill();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let younger = PlatformTarget::start_at("i-younger", former.address()).await;
-    younger.register(&fleet.store, "push", "ready");
+    let successor = PlatformTarget::start_at("i-younger", previous.address()).await;
+    successor.register(&fleet.store, "push", "ready");
 
     until(async || {
         let output = fleet.entries[0].daemon.output();
@@ -335,11 +361,11 @@
 
     for number in 0..4 {
         let attempt = format!("mended-{number}");
-        let answered = fleet
+        let response = fleet
             .send(number, "/unsafe/draft", &attempt, POISON_BODY)
             .await;
-        assert_eq!(answered.status, 200, "{number}");
-        tokio::time::sleep(NEWS).await;
+        assert_eq!(response.status, 200, "{number}");
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
     let metrics = fleet.entries[1].daemon.output();
@@ -358,7 +384,7 @@
     for number in 0..2 {
         let attempt = format!("mended-{number}");
         fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY).await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
     fleet.entries.clear();
 
@@ -388,8 +414,8 @@
     }
 
     until(async || {
-        let answered = fleet.send(0, "/unsafe/draft", "next", POISON_BODY).await;
-        answered.status == 200
+        let response = fleet.send(0, "/unsafe/draft", "next", POISON_BODY).await;
+        response.status == 200
     })
     .await;
 }
@@ -411,11 +437,15 @@
                 .send(0, "/safe/draft", "other", &format!("a draft {other}"))
                 .await;
         }
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
     let log = fleet.entries[0].daemon.output();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
 // The same with nobody else about. A target that had ended under a request whose caller had
@@ -431,11 +461,15 @@
         let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON_BODY);
         // Once it is held back it is answered at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
     let log = fleet.entries[0].daemon.output();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
 // The entry gives a run up when its time is over, and nobody loses an answer either: a
@@ -446,11 +480,15 @@
     for number in 0..8 {
         let attempt = format!("late-{number}");
         fleet
-            .send_within(number, "/unsafe/draft", &attempt, POISON_BODY, 20)
+            .send_with_deadline(number, "/unsafe/draft", &attempt, POISON_BODY, 20)
             .await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
-    assert!(fleet.ended() > 0, "it reached none");
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}", fleet.ended());
+    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}",
+        fleet.exited_count()
+    );
 }
--- a/crates/berylhook/tests/poison_operators.rs
+++ b/crates/berylhook/tests/poison_operators.rs
@@ -7,7 +7,7 @@
 use berylhook_test_support::{Behaviour, POISON_BODY, binary};
 
 use crate::common::entry::until;
-use crate::common::poison::{ENDS_ALLOWED, Fleet, NEWS, put_on_hold};
+use crate::common::poison::{Fleet, MAX_EXITS, PROPAGATION_TIME, put_on_hold};
 
 /// Runs one of the operators' commands on what the fleet's store keeps.
 fn quarantine(fleet: &Fleet, command: &str, arguments: &[&str]) -> String {
@@ -40,15 +40,15 @@
         target.set_behaviour(Behaviour::Responds);
     }
     quarantine(&fleet, "lift", &[&digest]);
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     assert!(listed.contains("held"), "{listed}");
-    assert_eq!(listed.matches("i-").count(), ENDS_ALLOWED, "{listed}");
+    assert_eq!(listed.matches("i-").count(), MAX_EXITS, "{listed}");
     for entry in 0..2 {
-        let answered = fleet
+        let response = fleet
             .send(entry, "/unsafe/draft", "lifted", POISON_BODY)
             .await;
-        assert_eq!(answered.status, 200);
+        assert_eq!(response.status, 200);
     }
 }
 
@@ -56,14 +56,14 @@
 async fn operators_pin_a_request_before_it_ends_three_targets() {
     let fleet = Fleet::start(2, 4).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     quarantine(&fleet, "pin", &[&first_digest(&fleet)]);
-    tokio::time::sleep(NEWS).await;
-    let answered = fleet.send(1, "/unsafe/draft", "next", POISON_BODY).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let response = fleet.send(1, "/unsafe/draft", "next", POISON_BODY).await;
 
-    assert_eq!((answered.status, answered.retry_after), (503, None));
-    assert_eq!(fleet.ended(), 1);
+    assert_eq!((response.status, response.retry_after), (503, None));
+    assert_eq!(fleet.exited_count(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -108,6 +108,6 @@
     let causes = String::from_utf8_lossy(&output.stdout);
     let of_account = causes.lines().find(|line| line.contains(" of harbour"));
     let line = of_account.expect("the account is named");
-    assert_eq!(line.matches("ended i-").count(), ENDS_ALLOWED, "{line}");
+    assert_eq!(line.matches("ended i-").count(), MAX_EXITS, "{line}");
     assert!(line.contains("held back 1"), "{line}");
 }
--- a/crates/berylhook/tests/poison_own.rs
+++ b/crates/berylhook/tests/poison_own.rs
@@ -11,19 +11,19 @@
 use tokio::task::JoinHandle;
 
 /// Targets that may end under one request before it is held back.
-const ENDS_ALLOWED: usize = 3;
+const MAX_EXITS: usize = 3;
 
 /// Engines, each with an agent beside it.
 const ENGINES: usize = 8;
 
 /// Time between two looks at whether an engine has begun a run.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Time from the beginning of a run to the end of an engine that ends a while after it.
-const ENDS_AFTER: Duration = Duration::from_millis(150);
+const EXIT_DELAY: Duration = Duration::from_millis(150);
 
 /// Time for the news of an end to reach all entries.
-const NEWS: Duration = Duration::from_millis(800);
+const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
 /// What none of the engines survives.
 const POISON: &str = "what none survives";
@@ -31,9 +31,9 @@
 type Engines = Arc<Mutex<Vec<Option<Engine>>>>;
 
 /// Ends each engine that begins a run.
-async fn end_those_that_run(engines: Engines) {
+async fn stop_engines_on_run(engines: Engines) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         for engine in engines.lock().expect("no holder panics").iter_mut() {
             engine.take_if(|engine| !engine.runs().is_empty());
         }
@@ -41,15 +41,15 @@
 }
 
 /// The same a while after the run began.
-async fn end_a_while_after_they_run(engines: Engines) {
+async fn stop_engines_after_run_start(engines: Engines) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         for engine in engines.lock().expect("no holder panics").iter_mut() {
-            let ending = engine.take_if(|engine| !engine.runs().is_empty());
-            if ending.is_some() {
+            let stopper = engine.take_if(|engine| !engine.runs().is_empty());
+            if stopper.is_some() {
                 tokio::spawn(async move {
-                    tokio::time::sleep(ENDS_AFTER).await;
-                    drop(ending);
+                    tokio::time::sleep(EXIT_DELAY).await;
+                    drop(stopper);
                 });
             }
         }
@@ -62,12 +62,12 @@
     agents: Vec<AgentProcess>,
     entries: Vec<EntryProcess>,
     engines: Engines,
-    ending: JoinHandle<()>,
+    stopper: JoinHandle<()>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.ending.abort();
+        self.stopper.abort();
     }
 }
 
@@ -87,13 +87,13 @@
             engines.push(Some(engine));
         }
         let engines = Arc::new(Mutex::new(engines));
-        let ending = tokio::spawn(end_those_that_run(Arc::clone(&engines)));
+        let stopper = tokio::spawn(stop_engines_on_run(Arc::clone(&engines)));
         let mut fleet = Self {
             cluster,
             agents,
             entries: Vec::new(),
             engines,
-            ending,
+            stopper,
         };
         for _ in 0..entries {
             fleet.start_entry().await;
@@ -110,7 +110,7 @@
         self.entries.push(entry);
     }
 
-    fn ended(&self) -> usize {
+    fn exited_count(&self) -> usize {
         let engines = self.engines.lock().expect("no holder panics");
         engines.iter().filter(|engine| engine.is_none()).count()
     }
@@ -125,12 +125,12 @@
 
     /// Sends the guilty request until it is held back.
     async fn put_on_hold(&self) {
-        for number in 0..ENDS_ALLOWED {
+        for number in 0..MAX_EXITS {
             self.send(number, false).await;
-            tokio::time::sleep(NEWS).await;
+            tokio::time::sleep(PROPAGATION_TIME).await;
         }
-        assert!(self.ended() > 0, "it reached none");
-        assert!(self.ended() <= ENDS_ALLOWED, "{}", self.ended());
+        assert!(self.exited_count() > 0, "it reached none");
+        assert!(self.exited_count() <= MAX_EXITS, "{}", self.exited_count());
     }
 
     fn outputs(&self) -> String {
@@ -152,8 +152,12 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.ended() > 0, "it reached none");
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}", fleet.ended());
+    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}",
+        fleet.exited_count()
+    );
 }
 
 // What one entry has seen the other must know, or each lets three targets end.
@@ -166,9 +170,13 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "it reached none");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
 // What an entry knows must not end with its process.
@@ -176,14 +184,14 @@
 async fn what_is_held_outlasts_the_entries() {
     let mut fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
-    let ended = fleet.ended();
+    let ended = fleet.exited_count();
 
     fleet.entries.clear();
     fleet.start_entry().await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let later = fleet.send(0, false).await;
 
-    assert_eq!((later.status, fleet.ended()), (503, ended));
+    assert_eq!((later.status, fleet.exited_count()), (503, ended));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -203,19 +211,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_ends_after_its_caller_left_is_laid_to_the_request() {
     let fleet = Fleet::start(2).await;
-    fleet.ending.abort();
-    let ending = tokio::spawn(end_a_while_after_they_run(Arc::clone(&fleet.engines)));
+    fleet.stopper.abort();
+    let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
 
     for number in 0..ENGINES {
-        let sent = fleet.send(number, true);
-        let _ = tokio::time::timeout(Duration::from_millis(80), sent).await;
-        tokio::time::sleep(2 * NEWS).await;
+        let call = fleet.send(number, true);
+        let _ = tokio::time::timeout(Duration::from_millis(80), call).await;
+        tokio::time::sleep(2 * PROPAGATION_TIME).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "it reached none");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
 // The time of a request was over before its target ended: the agent told the end of the run
@@ -223,8 +235,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_ends_after_the_deadline_is_laid_to_the_request() {
     let fleet = Fleet::start(2).await;
-    fleet.ending.abort();
-    let ending = tokio::spawn(end_a_while_after_they_run(Arc::clone(&fleet.engines)));
+    fleet.stopper.abort();
+    let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
 
     for number in 0..ENGINES {
         let entry = &fleet.entries[number % fleet.entries.len()];
@@ -241,13 +253,17 @@
                 &headers,
             )
             .await;
-        tokio::time::sleep(2 * NEWS).await;
+        tokio::time::sleep(2 * PROPAGATION_TIME).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "it reached none");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
 // A caller that draws a new idempotency key for each repeat asks for a new run each time.
@@ -264,18 +280,22 @@
         services.push(Some(service));
     }
     let services = Arc::new(Mutex::new(services));
-    let ended = || {
+    let exited_count = || {
         let services = services.lock().expect("no holder panics");
         services.iter().filter(|service| service.is_none()).count()
     };
     let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let running = Arc::clone(&services);
-    let ending = tokio::spawn(async move {
+    let running_services = Arc::clone(&services);
+    let stopper = tokio::spawn(async move {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            for service in running.lock().expect("no holder panics").iter_mut() {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            for service in running_services
+                .lock()
+                .expect("no holder panics")
+                .iter_mut()
+            {
                 service.take_if(|service| !service.runs().is_empty());
             }
         }
@@ -286,20 +306,20 @@
         caller.post(entry.address, "/guide-push", POISON, &[]).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(ended() > 0, "it reached none");
-    assert!(ended() <= ENDS_ALLOWED, "{}", ended());
+    assert!(exited_count() > 0, "it reached none");
+    assert!(exited_count() <= MAX_EXITS, "{}", exited_count());
 }
 
 // A VM that goes as a whole, agent and target, is laid to nobody: it may have lost power.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vm_that_goes_with_its_agent_makes_no_suspects() {
     let mut fleet = Fleet::start(1).await;
-    fleet.ending.abort();
-    let sent = fleet.send(0, true);
+    fleet.stopper.abort();
+    let call = fleet.send(0, true);
     let engines = Arc::clone(&fleet.engines);
-    let running = async {
+    let kill_agents = async {
         until("an engine runs it", || async {
             let engines = engines.lock().expect("no holder panics");
             engines
@@ -312,9 +332,9 @@
             agent.daemon.signal(Signal::Kill);
         }
     };
-    tokio::join!(sent, running);
+    tokio::join!(call, kill_agents);
     fleet.agents.clear();
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let log = fleet.outputs();
     assert!(!log.contains("a target ended with a request"), "{log}");
--- a/crates/berylhook/tests/resting_own.rs
+++ b/crates/berylhook/tests/resting_own.rs
@@ -22,14 +22,20 @@
     service.set_backoff(Some("8"));
 
     let first = post().await;
-    let later = join_all((0..10).map(|_| post())).await;
+    let during_backoff = join_all((0..10).map(|_| post())).await;
 
     assert_eq!(first.status, 503);
     assert_eq!(service.refused_count(), 1);
-    assert!(later.iter().all(|answered| answered.outcome == "not-run"));
-    let told = later.iter().map(|answered| answered.retry_after.as_deref());
-    let told_s = told.map(|after| after.unwrap_or_default().parse().unwrap_or(0.0));
-    assert!(told_s.into_iter().all(|after_s: f64| after_s >= 2.0));
+    assert!(
+        during_backoff
+            .iter()
+            .all(|response| response.outcome == "not-run")
+    );
+    let retry_after = during_backoff
+        .iter()
+        .map(|response| response.retry_after.as_deref());
+    let retry_after_s = retry_after.map(|after| after.unwrap_or_default().parse().unwrap_or(0.0));
+    assert!(retry_after_s.into_iter().all(|after_s: f64| after_s >= 2.0));
 }
 
 // Guards against an agent whose target is left alone for good after one rest.
--- a/crates/berylhook/tests/restored.rs
+++ b/crates/berylhook/tests/restored.rs
@@ -6,31 +6,31 @@
 
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::cluster::{
-    Cluster, DESK_KEY, until as until_true, until_plain_service_ready,
+    Cluster, DESK_KEY, until as until_named, until_plain_service_ready,
 };
 use berylhook_test_support::{
     Fault, KeyValueStandIn, Link, POISON_BODY, PlainService, PlatformTarget, StoreSnapshot,
 };
 
-use crate::common::entry::{KEY, configuration, route, start_entry, until, until_ready};
-use crate::common::poison::{Fleet, NEWS, put_on_hold};
-use crate::common::{a_shard_of, attempt, fresh_key_of, home_of};
+use crate::common::entry::{API_KEY, configuration, route, start_entry, until, until_ready};
+use crate::common::poison::{Fleet, PROPAGATION_TIME, put_on_hold};
+use crate::common::{first_shard_of, new_key_in_shard, send_attempt, shard_home};
 
 /// Pauses between two watches, and the time of a read, with some to spare.
-const FOLLOWED: Duration = Duration::from_secs(1);
+const STORE_FOLLOW_TIME: Duration = Duration::from_secs(1);
 
-async fn is_served(callers: std::net::SocketAddr, path: &str, name: &str) -> u16 {
+async fn request_status(callers: std::net::SocketAddr, path: &str, name: &str) -> u16 {
     let headers = [
         ("host", "desk.example"),
         ("berylhook-attempt-id", name),
         ("berylhook-deadline-ms", "3000"),
     ];
-    let caller = Caller::new(KEY);
+    let caller = Caller::new(API_KEY);
     caller.post(callers, path, "hello", &headers).await.status
 }
 
 /// What a store has that was up some seconds ago.
-fn copy_with(store: &KeyValueStandIn, targets: &[&PlatformTarget]) -> StoreSnapshot {
+fn snapshot_with(store: &KeyValueStandIn, targets: &[&PlatformTarget]) -> StoreSnapshot {
     store.put_raw(
         "op/config",
         &configuration(1, &[route("old", "safe", 2, false)]),
@@ -45,13 +45,13 @@
 /// target that has left; and that hears no news afterwards.
 #[tokio::test]
 async fn an_entry_goes_back_with_nothing_and_follows_what_is_written_next() {
-    let (stays, leaves, comes) = (
+    let (staying, leaving, joining) = (
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
         PlatformTarget::start("i-3").await,
     );
     let store = KeyValueStandIn::start().await;
-    let copy = copy_with(&store, &[&stays, &leaves]);
+    let snapshot = snapshot_with(&store, &[&staying, &leaving]);
     let both = [
         route("old", "safe", 2, false),
         route("new", "safe", 2, false),
@@ -59,46 +59,48 @@
     store.put_raw("op/config", &configuration(2, &both));
     let entry = start_entry(&store, &[]);
     until_ready(&entry).await;
-    until(async || is_served(entry.callers, "/old/", "before").await == 200).await;
-    leaves.remove(&store);
+    until(async || request_status(entry.caller_address, "/old/", "before").await == 200).await;
+    leaving.remove(&store);
     until(async || entry.daemon.output().contains("Removed")).await;
 
-    store.restore(&copy);
-    tokio::time::sleep(FOLLOWED).await;
-    let ran_before = leaves.runs().len();
+    store.restore(&snapshot);
+    tokio::time::sleep(STORE_FOLLOW_TIME).await;
+    let runs_before = leaving.runs().len();
     let mut statuses = Vec::new();
     for number in 0..8 {
-        statuses.push(is_served(entry.callers, "/new/", &format!("after-{number}")).await);
+        statuses
+            .push(request_status(entry.caller_address, "/new/", &format!("after-{number}")).await);
     }
-    let ran_after = leaves.runs().len();
-    stays.remove(&store);
-    comes.register(&store, "push", "ready");
+    let runs_after = leaving.runs().len();
+    staying.remove(&store);
+    joining.register(&store, "push", "ready");
     until(async || {
-        !comes.runs().is_empty() || is_served(entry.callers, "/new/", "next").await == 0
+        !joining.runs().is_empty()
+            || request_status(entry.caller_address, "/new/", "next").await == 0
     })
     .await;
 
     assert_eq!(statuses, [200; 8]);
-    assert_eq!(ran_after, ran_before, "the target that has left");
+    assert_eq!(runs_after, runs_before, "the target that has left");
 }
 
 /// Guards against a guilty request that runs again: its hold is gone from the restored store.
 #[tokio::test]
 async fn a_hold_that_a_restore_has_lost_is_kept_again() {
     let fleet = Fleet::start(2, 6).await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     put_on_hold(&fleet).await;
-    let ended = fleet.ended();
+    let ended = fleet.exited_count();
 
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
     for target in fleet.targets.iter().filter(|target| !target.has_exited()) {
         target.register(&fleet.store, "push", "ready");
     }
     until(async || !fleet.store.keys("berylhook/quarantine/hold/").is_empty()).await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let again = fleet.send(1, "/unsafe/draft", "again", POISON_BODY).await;
 
-    assert_eq!((again.status, fleet.ended()), (503, ended));
+    assert_eq!((again.status, fleet.exited_count()), (503, ended));
 }
 
 /// Guards against a doubled confirmation: the claim of the home is not in the copy, another
@@ -107,35 +109,35 @@
 async fn a_key_runs_once_although_the_claim_of_its_home_is_lost() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
-    let copy = cluster.key_value.snapshot();
-    let cut = Link::start(cluster.key_value.address()).await;
-    let url = format!("http://{}", cut.address);
-    let former =
+    let snapshot = cluster.key_value.snapshot();
+    let store_link = Link::start(cluster.key_value.address()).await;
+    let url = format!("http://{}", store_link.address);
+    let previous =
         cluster.start_agent_with_key_value("push-1", "guide-push", service.server.address, &url);
     cluster
         .vms
-        .add("push-1", former.address, "cairo-a", "guide-push");
+        .add("push-1", previous.address, "cairo-a", "guide-push");
     let entry = cluster.start_entry("entry-1");
     until_plain_service_ready(&entry).await;
-    until_true("the first agent is home", || async {
-        a_shard_of(&cluster.key_value, "push-1").is_some()
+    until_named("the first agent is home", || async {
+        first_shard_of(&cluster.key_value, "push-1").is_some()
     })
     .await;
-    let shard = a_shard_of(&cluster.key_value, "push-1").expect("it has a shard");
+    let shard = first_shard_of(&cluster.key_value, "push-1").expect("it has a shard");
     let caller = Caller::new(DESK_KEY);
-    let key = fresh_key_of(shard);
-    let (first, _) = attempt(&caller, entry.address, &key, "a").await;
+    let key = new_key_in_shard(shard);
+    let (first, _) = send_attempt(&caller, entry.address, &key, "a").await;
 
-    cut.set_fault(Fault::FreezeAll);
-    cluster.key_value.restore(&copy);
+    store_link.set_fault(Fault::FreezeAll);
+    cluster.key_value.restore(&snapshot);
     let successor = cluster.start_agent("push-2", "guide-push", service.server.address);
-    until_true("the successor is home", || async {
-        home_of(&cluster.key_value, shard).as_deref() == Some("push-2")
+    until_named("the successor is home", || async {
+        shard_home(&cluster.key_value, shard).as_deref() == Some("push-2")
     })
     .await;
     let informed = cluster.start_entry("entry-2");
     until_plain_service_ready(&informed).await;
-    let (repeat, _) = attempt(&caller, informed.address, &key, "b").await;
+    let (repeat, _) = send_attempt(&caller, informed.address, &key, "b").await;
     drop(successor);
 
     let effects = service.runs().iter().filter(|run| run.body == key).count();
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -33,10 +33,10 @@
             tokio::spawn(async move {
                 let caller = Caller::new(DESK_KEY);
                 let prompt = format!("stream {number}");
-                let answered = caller
+                let response = caller
                     .complete(entry.address, "briefing-llm", &prompt, 60, true)
                     .await;
-                (prompt, answered)
+                (prompt, response)
             })
         })
         .collect();
@@ -49,9 +49,9 @@
     linked.link.set_fault(Fault::FreezeOpen);
 
     for stream in streams {
-        let (prompt, answered) = stream.await.expect("the stream ends");
-        assert!(answered.is_complete, "{}", answered.body);
-        assert_eq!(answered.streamed_text(), Engine::response_text(&prompt, 60));
+        let (prompt, response) = stream.await.expect("the stream ends");
+        assert!(response.is_complete, "{}", response.body);
+        assert_eq!(response.streamed_text(), Engine::response_text(&prompt, 60));
     }
     assert!(entry.daemon.output().contains("resumed at event"));
     until_serving(&entry, "briefing-llm").await;
@@ -73,18 +73,18 @@
 
     linked.link.set_fault(Fault::FreezeAll);
     let caller = Caller::new(DESK_KEY);
-    let sent = caller
+    let unacknowledged = caller
         .complete(entry.address, "briefing-llm", "into the hole", 5, false)
         .await;
-    let after = caller
+    let refused = caller
         .complete(entry.address, "briefing-llm", "later", 5, false)
         .await;
 
     // Nobody could be asked what became of the first; the second was never
     // sent.
-    assert_eq!(sent.outcome, "unknown", "{}", sent.body);
-    assert_eq!(after.outcome, "not-run", "{}", after.body);
-    assert!(after.retry_after.is_some());
+    assert_eq!(unacknowledged.outcome, "unknown", "{}", unacknowledged.body);
+    assert_eq!(refused.outcome, "not-run", "{}", refused.body);
+    assert!(refused.retry_after.is_some());
 }
 
 /// Symptom: a request that may be repeated fails although its target is
@@ -114,9 +114,9 @@
     .await;
 
     linked.link.set_fault(Fault::FreezeOpen);
-    let answered = call.await.expect("the call ends");
+    let response = call.await.expect("the call ends");
 
-    assert_eq!(answered.outcome, "done", "{}", answered.body);
-    let text = answered.json()["choices"][0]["text"].clone();
+    assert_eq!(response.outcome, "done", "{}", response.body);
+    let text = response.json()["choices"][0]["text"].clone();
     assert_eq!(text, Engine::response_text("again", 60));
 }
--- a/crates/berylhook/tests/whole_answers.rs
+++ b/crates/berylhook/tests/whole_answers.rs
@@ -19,11 +19,11 @@
 
 /// Told in the entry's log where an agent was not back in the time for which a
 /// stream waits for it.
-const NOT_BACK_IN_TIME: &str = "no connection to resume on";
+const RESUME_TIMEOUT_LINE: &str = "no connection to resume on";
 
 /// Deaths of an agent; on a busy machine its successor may take longer to start
 /// than a stream waits, but not each time.
-const DEATHS: usize = 6;
+const AGENT_KILLS: usize = 6;
 
 /// Symptom: a desk gets a briefing with a hole in it, or a doubled part.
 /// Sequence: the agent dies in the middle of a stream and is replaced; the
@@ -41,11 +41,11 @@
     let mut agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
     let entry = cluster.start_entry("entry-1");
 
-    for death in 1..=DEATHS {
+    for kill in 1..=AGENT_KILLS {
         until_serving(&entry, "briefing-llm").await;
-        let late_before = entry.daemon.output().matches(NOT_BACK_IN_TIME).count();
+        let timeouts_before = entry.daemon.output().matches(RESUME_TIMEOUT_LINE).count();
         let runs_before = engine.runs().len();
-        let prompt = format!("long briefing {death}");
+        let prompt = format!("long briefing {kill}");
         let call = tokio::spawn({
             let (prompt, address) = (prompt.clone(), entry.address);
             async move {
@@ -62,23 +62,23 @@
         tokio::time::sleep(SLOW_STEP * 40).await;
         agent.daemon.signal(Signal::Kill);
         agent.restart();
-        let answered = call.await.expect("the call ends");
+        let response = call.await.expect("the call ends");
 
         let expected = Engine::response_text(&prompt, 150);
         assert_eq!(engine.runs().len(), runs_before + 1);
-        if answered.is_complete {
-            assert_eq!(answered.streamed_text(), expected);
+        if response.is_complete {
+            assert_eq!(response.streamed_text(), expected);
             return;
         }
         let log = entry.daemon.output();
-        assert!(expected.starts_with(&answered.streamed_text()));
-        assert!(answered.body.contains("answer_lost"), "{}", answered.body);
+        assert!(expected.starts_with(&response.streamed_text()));
+        assert!(response.body.contains("answer_lost"), "{}", response.body);
         assert!(
-            log.matches(NOT_BACK_IN_TIME).count() > late_before,
+            log.matches(RESUME_TIMEOUT_LINE).count() > timeouts_before,
             "cut although the agent was back:\n{log}"
         );
     }
-    panic!("no agent of {DEATHS} was back in time");
+    panic!("no agent of {AGENT_KILLS} was back in time");
 }
 
 /// Symptom: a cut-off answer looks like a short but finished one.
@@ -97,17 +97,17 @@
 
     engine.cut_streams_after(Some(7));
     let caller = Caller::new(DESK_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "cut off", 30, true)
         .await;
 
-    assert_eq!(answered.status, 200);
-    assert!(!answered.is_complete, "{answered:?}");
+    assert_eq!(response.status, 200);
+    assert!(!response.is_complete, "{response:?}");
     assert_eq!(
-        answered.streamed_text(),
+        response.streamed_text(),
         Engine::response_text("cut off", 7)
     );
-    assert!(answered.body.contains("answer_lost"), "{}", answered.body);
+    assert!(response.body.contains("answer_lost"), "{}", response.body);
 }
 
 /// Symptom: one desk reads another desk's briefing.
@@ -130,24 +130,24 @@
             let caller = Caller::new(DESK_KEY);
             let address = entry.address;
             tokio::spawn(async move {
-                let mut wrong = Vec::new();
-                let mut whole = 0;
+                let mut mismatched = Vec::new();
+                let mut complete_count = 0;
                 for round in 0..6 {
                     let prompt = format!("caller {number} round {round}");
-                    let answered = caller
+                    let response = caller
                         .complete(address, "briefing-llm", &prompt, 60, true)
                         .await;
                     let expected = Engine::response_text(&prompt, 60);
-                    let text = answered.streamed_text();
-                    let is_right =
-                        text == expected || !answered.is_complete || answered.status != 200;
-                    if !is_right || !expected.starts_with(&text) {
-                        wrong.push((prompt, answered));
-                    } else if answered.is_complete && answered.status == 200 {
-                        whole += 1;
+                    let text = response.streamed_text();
+                    let is_acceptable =
+                        text == expected || !response.is_complete || response.status != 200;
+                    if !is_acceptable || !expected.starts_with(&text) {
+                        mismatched.push((prompt, response));
+                    } else if response.is_complete && response.status == 200 {
+                        complete_count += 1;
                     }
                 }
-                (wrong, whole)
+                (mismatched, complete_count)
             })
         })
         .collect();
@@ -162,14 +162,14 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         linked.link.set_fault(Fault::None);
     }
-    let mut wrong = Vec::new();
-    let mut whole = 0;
+    let mut mismatched = Vec::new();
+    let mut complete_count = 0;
     for caller in callers {
-        let (wrong_here, whole_here) = caller.await.expect("the caller ends");
-        wrong.extend(wrong_here);
-        whole += whole_here;
+        let (mismatched_here, complete_here) = caller.await.expect("the caller ends");
+        mismatched.extend(mismatched_here);
+        complete_count += complete_here;
     }
 
-    assert!(wrong.is_empty(), "{wrong:?}");
-    assert!(whole > 0, "no answer came through at all");
+    assert!(mismatched.is_empty(), "{mismatched:?}");
+    assert!(complete_count > 0, "no answer came through at all");
 }
