--- a/crates/berylhook/tests/common/entry.rs
+++ b/crates/berylhook/tests/common/entry.rs
@@ -1,4 +1,4 @@
-//! What the tests of the entry that speaks to targets itself share.
+//! Helpers for tests of `berylhook entry`, the entry that connects to targets directly.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 pub const API_KEY: &str = "n2ctnfzs";
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An entry's process and its addresses.
+/// A running entry process and the addresses on which it listens.
 pub struct Entry {
     pub daemon: Daemon,
     pub caller_address: SocketAddr,
@@ -18,7 +18,7 @@
     pub peer_address: SocketAddr,
 }
 
-/// Starts an entry that knows of the store and of some peers.
+/// Starts an entry that uses `store` and whose seed peers are `seeds`.
 pub fn start_entry(store: &KeyValueStandIn, seeds: &[SocketAddr]) -> Entry {
     let (caller_address, readiness_address, peer_address) =
         (free_address(), free_address(), free_address());
@@ -38,7 +38,7 @@
     }
 }
 
-/// A route of the only host.
+/// Returns a route below `/NAME/` on the test host.
 pub fn route(name: &str, route_type: &str, attempts: u32, resumable: bool) -> Value {
     json!({
         "name": name, "host": "desk.example", "prefix": format!("/{name}/"), "type": route_type,
@@ -47,7 +47,7 @@
     })
 }
 
-/// A configuration with these routes.
+/// Returns a configuration document with these routes.
 pub fn configuration(version: u64, routes: &[Value]) -> Vec<u8> {
     json!({
         "version": version,
@@ -75,11 +75,14 @@
     .await;
 }
 
-/// Waits until that holds.
+/// Polls `condition` until it holds; panics after [`TEST_TIMEOUT`].
 pub async fn until(condition: impl AsyncFn() -> bool) {
     let started_at = Instant::now();
     while !condition().await {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "waited too long");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the condition did not hold within {TEST_TIMEOUT:?}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/berylhook/tests/common/load.rs
+++ b/crates/berylhook/tests/common/load.rs
@@ -1,4 +1,5 @@
-//! A steady load on some entries, and how many requests reach a target in any window.
+//! A constant request rate over several entries, and the peak number of requests that a target
+//! receives in any window.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +8,11 @@
 
 use super::poison::Fleet;
 
-/// Time between two requests of the load.
+/// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Sends requests at a steady rate, at each entry in turn and over each path in turn, and
-/// returns their answers.
+/// Sends requests at a constant rate for `duration`, cycling through the entries and then through
+/// `paths`, and returns the responses.
 pub async fn send_steadily(fleet: &Fleet, paths: &[&str], duration: Duration) -> Vec<CallResult> {
     let mut requests = FuturesUnordered::new();
     let mut responses = Vec::new();
@@ -33,7 +34,8 @@
     responses
 }
 
-/// The largest number of these moments in any window of that length, from `from` on.
+/// Returns the largest number of `instants` at or after `from` that lie in any window of length
+/// `window`.
 pub fn max_in_window(instants: &[Instant], from: Instant, window: Duration) -> usize {
     let mut sorted: Vec<Instant> = instants
         .iter()
--- a/crates/berylhook/tests/common/mod.rs
+++ b/crates/berylhook/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! What the tests of calls that must not be repeated share, [`entry`], [`load`] and [`poison`].
+//! Helpers shared by the tests: at-most-once calls here, entries in [`entry`], constant load in
+//! [`load`], and targets that exit under a request in [`poison`].
 
-#![allow(dead_code)] // each test binary uses a part
+#![allow(dead_code)] // each test binary uses only some of the helpers
 
 pub mod entry;
 pub mod load;
@@ -17,12 +18,12 @@
 
 pub const ACCOUNT: &str = "paddle-desk";
 
-/// A fresh key.
+/// Returns a new idempotency key.
 pub fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// A fresh key of the given shard.
+/// Returns a new idempotency key that belongs to `shard`.
 pub fn new_key_in_shard(shard: u32) -> String {
     loop {
         let key = new_key();
@@ -37,20 +38,21 @@
     shard_of(key.scoped_to_account(ACCOUNT))
 }
 
-/// The agent that the service names as home of a shard.
+/// Returns the name of the agent that the key-value service records as home of `shard`, the agent
+/// that keeps the records of its keys.
 pub fn shard_home(key_value: &KeyValueStandIn, shard: u32) -> Option<String> {
     let value = key_value.value(&format!("berylhook/homes/guide-push/{shard:04}/home"))?;
     let value: serde_json::Value = serde_json::from_str(&value).ok()?;
     value["agent"].as_str().map(str::to_owned)
 }
 
-/// The first shard that `agent` is home to.
+/// Returns the lowest shard whose home is `agent`.
 pub fn first_shard_of(key_value: &KeyValueStandIn, agent: &str) -> Option<u32> {
     (0..16).find(|shard| shard_home(key_value, *shard).as_deref() == Some(agent))
 }
 
-/// Sends one attempt under `key`; the body is the key, so that the service's
-/// record names it.
+/// Sends one attempt under `key`. The body is the key, so that the runs recorded by the service can
+/// be matched to it.
 pub async fn send_attempt(
     caller: &Caller,
     entry: SocketAddr,
--- a/crates/berylhook/tests/common/poison.rs
+++ b/crates/berylhook/tests/common/poison.rs
@@ -1,4 +1,4 @@
-//! Entries before stand-in targets that end under one request.
+//! Entries with stand-in targets that exit when they receive a poison request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use super::entry::{API_KEY, Entry, configuration, route, start_entry, until_ready};
 
-/// Targets that may end under one request before it is held back.
+/// Targets that may exit under one request before the quarantine rejects it.
 pub const MAX_EXITS: usize = 3;
 
-/// Time for the news of an end to reach all entries; the users allow three seconds.
+/// Time for the report of a target exit to reach all entries; the requirement is three seconds.
 pub const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
-/// Entries that know each other, before targets that end under poison.
+/// Entries that are peers of each other, and targets that exit on a poison request.
 pub struct Fleet {
     pub store: KeyValueStandIn,
     pub entries: Vec<Entry>,
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    /// Entries that know each other, before targets that end under poison.
+    /// Starts the store, the targets and then the entries, each with the earlier entries as seeds.
     pub async fn start(entries: usize, targets: usize) -> Self {
         let store = KeyValueStandIn::start().await;
         let routes = [
@@ -65,13 +65,13 @@
         targets.filter(|target| target.has_exited()).count()
     }
 
-    /// Sends a request through one of the entries.
+    /// Sends a request through the entry with that index, modulo the number of entries.
     pub async fn send(&self, entry: usize, path: &str, attempt: &str, body: &str) -> CallResult {
         self.send_with_deadline(entry, path, attempt, body, 3_000)
             .await
     }
 
-    /// The same for a caller with that much time.
+    /// Like [`Self::send`], with the given deadline instead of 3 s.
     pub async fn send_with_deadline(
         &self,
         entry: usize,
@@ -94,8 +94,8 @@
     }
 }
 
-/// Sends the guilty request at one entry until two targets have ended, so that it is on
-/// trial everywhere.
+/// Sends the poison request through the first entry until two targets have exited, so that all
+/// entries run it only on trial.
 pub async fn put_on_trial(fleet: &Fleet) {
     for number in 0..2 {
         fleet
@@ -106,7 +106,7 @@
     assert_eq!(fleet.exited_count(), 2);
 }
 
-/// Puts the guilty request where it is refused.
+/// Sends the poison request until the quarantine rejects it.
 pub async fn put_on_hold(fleet: &Fleet) {
     put_on_trial(fleet).await;
     fleet.send(0, "/unsafe/draft", "early-2", POISON_BODY).await;
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -1,5 +1,5 @@
-//! Requests under which targets end, on real entries between callers, stand-in
-//! targets and the stand-in store.
+//! Poison requests, under which targets exit, with real entries between callers, stand-in targets
+//! and the stand-in store.
 
 mod common;
 
@@ -11,13 +11,14 @@
 use crate::common::entry::{start_entry, until, until_ready};
 use crate::common::poison::{Fleet, MAX_EXITS, PROPAGATION_TIME, put_on_hold, put_on_trial};
 
-// Eight targets of one service ended one after the other, each within half a second of
-// the moment at which the service could run again, and nobody was served in between. One
-// request had come back after each end, under a new attempt id and at any entry, and an
-// entry kept nothing of an attempt beyond its end. Of the last of them the log had
-// `result: streams` and 98 ms later `result: broke-off`, with all others in flight there.
+// Guards against a poison request that is repeated through different entries under new attempt ids.
+// An entry that keeps nothing about an attempt after its end does not recognise the repeat. Eight
+// targets of one service exited one after the other, each within half a second of the service being
+// able to run again, and nobody was served in between. The log of the last exit had
+// `result: streams` and 98 ms later `result: broke-off`, together with every other request in
+// flight at that target.
 #[tokio::test]
-async fn a_request_that_comes_again_at_any_entry_ends_three_targets_at_most() {
+async fn a_poison_request_repeated_at_any_entry_causes_at_most_three_exits() {
     for path in [
         "/unsafe/draft",
         "/once/stream",
@@ -46,9 +47,10 @@
     }
 }
 
-// The first lines that settled the case: the digest is the same for each of its attempts.
+// The digest in the log is the same for all attempts of a request, so that operators can recognise
+// repeats.
 #[tokio::test]
-async fn the_log_tells_that_a_request_has_come_again() {
+async fn the_log_shows_the_same_digest_for_each_attempt_of_a_request() {
     let fleet = Fleet::start(1, 3).await;
 
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
@@ -65,11 +67,11 @@
     assert_eq!(digest_of("first"), digest_of("second"));
 }
 
-// Three targets ended within 50 ms of each other, since three copies of the request had
-// waited for the service at three entries and all were let go when it was back. Each copy
-// was sent on what its own entry knew when it came, not when it was sent.
+// Guards against three targets that exit within 50 ms of each other. Copies of the request waited
+// at three entries for the service and were all sent when it was available again. Each entry had
+// checked the quarantine when its copy arrived, not when it sent it.
 #[tokio::test]
-async fn copies_at_all_entries_run_one_after_the_other_once_a_target_has_ended() {
+async fn copies_at_all_entries_run_one_at_a_time_after_a_target_exit() {
     let fleet = Fleet::start(4, 12).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -106,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn the_caller_is_told_that_it_did_not_run_and_when_coming_back_can_help() {
+async fn a_rejection_reports_not_run_and_when_a_retry_can_succeed() {
     let fleet = Fleet::start(2, 6).await;
     let sent = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     put_on_hold_after_first(&fleet).await;
@@ -124,16 +126,17 @@
     );
     let retry_after_s: f64 = rejected
         .retry_after
-        .expect("a time")
+        .expect("a Retry-After header")
         .parse()
         .expect("seconds");
     assert!((200.0..=300.0).contains(&retry_after_s), "{retry_after_s}");
     assert!(
         started_at.elapsed() < Duration::from_secs(1),
-        "it is told at once"
+        "the rejection is immediate"
     );
 }
 
+/// Sends the poison request, under which one target has exited, until the quarantine rejects it.
 async fn put_on_hold_after_first(fleet: &Fleet) {
     for number in 0..2 {
         tokio::time::sleep(PROPAGATION_TIME).await;
@@ -145,10 +148,10 @@
     assert_eq!(fleet.exited_count(), MAX_EXITS);
 }
 
-// What an entry knows must not end with its process: on a rolling restart the request
-// would end three targets more for each.
+// Guards against quarantine state that is lost with the entry's process: during a rolling restart,
+// three more targets per entry would exit under the request.
 #[tokio::test]
-async fn an_entry_that_starts_later_knows_what_is_held() {
+async fn a_new_entry_knows_held_requests() {
     let mut fleet = Fleet::start(1, 6).await;
     put_on_hold(&fleet).await;
 
@@ -158,9 +161,9 @@
     assert_eq!((later.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
-// The same with all entries gone at once, as after a loss of power: only the store is left.
+// All entries stop at once, as after a power loss, so that only the store has the hold.
 #[tokio::test]
-async fn what_is_held_outlasts_all_entries() {
+async fn holds_survive_the_loss_of_all_entries() {
     let mut fleet = Fleet::start(2, 6).await;
     put_on_hold(&fleet).await;
     fleet.entries.clear();
@@ -171,9 +174,9 @@
     assert_eq!((later.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
-// An entry that its peers cannot reach learns from the store.
+// An entry that no peer can reach reads holds from the store.
 #[tokio::test]
-async fn an_entry_without_peers_learns_from_the_store() {
+async fn an_entry_without_peers_reads_holds_from_the_store() {
     let mut fleet = Fleet::start(1, 6).await;
     let unpeered = start_entry(&fleet.store, &[]);
     until_ready(&unpeered).await;
@@ -185,10 +188,10 @@
     assert_eq!((there.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
-// While the store is away peers are the only way, and no lock can be had: a request on
-// trial does not run, whoever has it.
+// During a store outage entries learn of exits only from peers and cannot acquire the run lock, so
+// a request on trial must not run at any entry.
 #[tokio::test]
-async fn without_the_store_peers_tell_and_a_request_on_trial_waits_for_the_store() {
+async fn in_a_store_outage_peers_share_exits_and_no_request_on_trial_runs() {
     let fleet = Fleet::start(2, 6).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -218,9 +221,10 @@
     );
 }
 
-// Who was beside the guilty request goes on: a suspect is delayed, not refused.
+// Requests that shared a target with the poison request become suspects. They are delayed on
+// repeat, but not rejected.
 #[tokio::test]
-async fn requests_that_were_at_the_ended_target_are_served_when_they_come_again() {
+async fn suspects_from_an_exited_target_are_served_when_repeated() {
     let fleet = Fleet::start(2, 4).await;
     for target in &fleet.targets[1..] {
         target.register(&fleet.store, "push", "draining");
@@ -242,7 +246,7 @@
     let (cut, _) = tokio::join!(join_all(concurrent), poison);
     assert!(
         cut.iter().any(|response| !response.is_complete),
-        "some were cut"
+        "some streams were cut"
     );
     for target in &fleet.targets[1..] {
         target.register(&fleet.store, "push", "ready");
@@ -269,9 +273,9 @@
     assert_eq!(statuses, [200; 6]);
 }
 
-// A target that leaves as planned ends with whatever it had left; nobody is blamed.
+// A draining target may exit with requests in flight; these do not become suspects.
 #[tokio::test]
-async fn a_target_that_leaves_and_ends_makes_no_suspects() {
+async fn a_draining_target_that_exits_makes_no_suspects() {
     let fleet = Fleet::start(1, 2).await;
     let cut = fleet.send(0, "/once/stream", "near", "a draft");
     let leaving = async {
@@ -295,9 +299,9 @@
     );
 }
 
-// A reset connection is no end: the target still listens.
+// A reset connection is not an exit as long as the target still listens.
 #[tokio::test]
-async fn a_target_that_loses_answers_and_lives_makes_no_suspects() {
+async fn a_target_that_drops_responses_but_keeps_listening_makes_no_suspects() {
     let fleet = Fleet::start(1, 3).await;
     for target in &fleet.targets {
         target.set_behaviour(Behaviour::DropsResponses);
@@ -327,10 +331,10 @@
     );
 }
 
-// A supervisor may start a process again before anybody finds its address without one.
-// The younger target at the address is then what shows that the former has ended.
+// A supervisor may restart a process before any probe finds its address closed. The new incarnation
+// listed at the address is then the evidence that the previous one has exited.
 #[tokio::test]
-async fn a_younger_target_at_the_address_proves_the_end_of_the_former() {
+async fn a_new_incarnation_at_the_address_proves_the_exit_of_the_previous_one() {
     let fleet = Fleet::start(1, 1).await;
     let previous = &fleet.targets[0];
     previous.set_behaviour(Behaviour::DropsResponses);
@@ -349,10 +353,10 @@
     .await;
 }
 
-// An engine that was mended lets the request through again: one target outlives it, and
-// what was held against it is taken back.
+// After the engine is fixed, a target survives a run of the suspect request, and all entries clear
+// the suspicion.
 #[tokio::test]
-async fn a_suspect_that_a_target_outlives_is_cleared_everywhere() {
+async fn a_suspect_whose_run_a_target_survives_is_cleared_everywhere() {
     let fleet = Fleet::start(2, 4).await;
     put_on_trial(&fleet).await;
     for target in &fleet.targets {
@@ -372,10 +376,11 @@
     assert!(metrics.contains("suspicions learnt"));
 }
 
-// A soak found callers refused by an entry that had just started: it read in the store which
-// targets had ended with their request, and not that others had outlived it since.
+// Guards against a new entry that rejects requests that were cleared before it started. It read
+// from the store which targets had exited under the request, but not that other targets had since
+// survived runs of it.
 #[tokio::test]
-async fn an_entry_that_starts_later_knows_what_was_outlived_too() {
+async fn a_new_entry_knows_survived_runs() {
     let mut fleet = Fleet::start(1, 6).await;
     put_on_trial(&fleet).await;
     for target in &fleet.targets {
@@ -395,9 +400,9 @@
     assert!(!output.contains("a suspect runs alone"), "{output}");
 }
 
-// An entry that dies with a lock must not stop the request for good.
+// A run lock held by an entry that dies must not block the request for good.
 #[tokio::test]
-async fn a_lock_ends_with_the_entry_that_held_it() {
+async fn a_run_lock_expires_after_its_entry_dies() {
     let mut fleet = Fleet::start(2, 4).await;
     put_on_trial(&fleet).await;
     for target in &fleet.targets {
@@ -407,7 +412,7 @@
         Duration::from_millis(500),
         fleet.send(1, "/unsafe/draft", "stuck", POISON_BODY),
     );
-    assert!(stuck.await.is_err(), "it runs and hangs");
+    assert!(stuck.await.is_err(), "the request runs and hangs");
     fleet.entries.pop();
     for target in &fleet.targets {
         target.set_behaviour(Behaviour::Responds);
@@ -420,17 +425,17 @@
     .await;
 }
 
-// Targets went on ending although no send had lost an answer: the callers of the guilty
-// request left at once, and with them went the only trace of where it ran.
+// Guards against exits that are attributed to no request because the callers of the poison request
+// disconnect at once, so that no send loses a response and the entry forgets where the request ran.
 #[tokio::test]
-async fn a_target_that_ends_under_a_request_whose_caller_left_is_laid_to_it() {
+async fn an_exit_under_a_run_abandoned_by_its_caller_is_attributed_to_the_request() {
     let fleet = Fleet::start(1, 6).await;
     for number in 0..6 {
         let attempt = format!("left-{number}");
         let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
-        // Once it is held back it is answered at once.
+        // Once the quarantine holds the request, the entry rejects it at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
-        // Others come to the targets meanwhile.
+        // Other requests reach the targets before the repeat.
         tokio::time::sleep(Duration::from_millis(60)).await;
         for other in 0..12 {
             fleet
@@ -448,18 +453,17 @@
     );
 }
 
-// The same with nobody else about. A target that had ended under a request whose caller had
-// left was found only by the next request that came to it. Until then the request ran
-// again and ended another; the two ends were noticed 12 ms apart, in the lines
-// `"target":"i-4"` at .335 and `"target":"i-1"` at .347, taken for ones that came together,
-// and counted as one.
+// Guards against the same failure without other traffic. An exit under an abandoned run was
+// detected only by the next request sent to that target. Until then the poison request ran again
+// and another target exited. The two exits were detected 12 ms apart (`"target":"i-4"` at .335 and
+// `"target":"i-1"` at .347), taken for correlated exits, and counted as one.
 #[tokio::test]
-async fn a_target_that_ended_after_the_caller_left_is_found_before_the_request_comes_again() {
+async fn an_exit_under_an_abandoned_run_is_detected_before_the_request_is_repeated() {
     let fleet = Fleet::start(2, 8).await;
     for number in 0..8 {
         let attempt = format!("left-{number}");
         let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON_BODY);
-        // Once it is held back it is answered at once.
+        // Once the quarantine holds the request, the entry rejects it at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(PROPAGATION_TIME).await;
     }
@@ -472,10 +476,11 @@
     );
 }
 
-// The entry gives a run up when its time is over, and nobody loses an answer either: a
-// request with little time left ended one target each time it came.
+// Guards against exits that are attributed to no request because the entry abandons the run at its
+// deadline, so that no response is lost. One target exited for each attempt of a request with a
+// short deadline.
 #[tokio::test]
-async fn a_target_that_ends_under_a_run_that_was_given_up_is_laid_to_it() {
+async fn an_exit_under_a_run_abandoned_at_its_deadline_is_attributed_to_the_request() {
     let fleet = Fleet::start(2, 8).await;
     for number in 0..8 {
         let attempt = format!("late-{number}");
@@ -485,7 +490,7 @@
         tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
-    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     assert!(
         fleet.exited_count() <= MAX_EXITS,
         "{}",
--- a/crates/berylhook/tests/poison_operators.rs
+++ b/crates/berylhook/tests/poison_operators.rs
@@ -1,4 +1,5 @@
-//! What operators see of requests under which targets end, and what they can do.
+//! Operator commands for poison requests: listing, lifting and pinning holds, and finding the
+//! causes in logs.
 
 mod common;
 
@@ -9,28 +10,28 @@
 use crate::common::entry::until;
 use crate::common::poison::{Fleet, MAX_EXITS, PROPAGATION_TIME, put_on_hold};
 
-/// Runs one of the operators' commands on what the fleet's store keeps.
+/// Runs a `berylhook quarantine` command against the store of the fleet and returns its output.
 fn quarantine(fleet: &Fleet, command: &str, arguments: &[&str]) -> String {
-    let output = Command::new(binary("berylhook").expect("built"))
+    let output = Command::new(binary("berylhook").expect("the binary is built"))
         .args(["quarantine", command, "--key-value"])
         .arg(format!("http://{}", fleet.store.address()))
         .args(arguments)
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{error}");
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
-/// The digest that the operators' list gives first.
+/// Returns the first digest in the output of `quarantine list`.
 fn first_digest(fleet: &Fleet) -> String {
     let listed = quarantine(fleet, "list", &[]);
     let first = listed.split_whitespace().next();
-    first.expect("one is listed").to_owned()
+    first.expect("a hold is listed").to_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_see_what_is_held_and_lift_it() {
+async fn operators_list_and_lift_holds() {
     let fleet = Fleet::start(2, 6).await;
     put_on_hold(&fleet).await;
 
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_pin_a_request_before_it_ends_three_targets() {
+async fn operators_pin_a_request_before_it_causes_three_exits() {
     let fleet = Fleet::start(2, 4).await;
     fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
@@ -67,8 +68,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_no_digest_is_refused_with_the_remedy() {
-    let output = Command::new(binary("berylhook").expect("built"))
+async fn an_invalid_digest_is_refused_with_a_hint() {
+    let output = Command::new(binary("berylhook").expect("the binary is built"))
         .args([
             "quarantine",
             "lift",
@@ -77,7 +78,7 @@
             "i-1",
         ])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
 
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
@@ -85,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn the_logs_lead_from_a_request_to_its_digest_and_the_metrics_count_it() {
+async fn causes_by_digest_counts_the_exits_and_rejections_of_a_request() {
     let fleet = Fleet::start(1, 5).await;
     put_on_hold(&fleet).await;
     fleet
@@ -99,11 +100,11 @@
     })
     .await;
 
-    let output = Command::new(binary("berylhook").expect("built"))
+    let output = Command::new(binary("berylhook").expect("the binary is built"))
         .args(["causes", "--by", "digest"])
         .arg(&fleet.entries[0].daemon.log_path)
         .output()
-        .expect("it runs");
+        .expect("the command runs");
 
     let causes = String::from_utf8_lossy(&output.stdout);
     let of_account = causes.lines().find(|line| line.contains(" of harbour"));
--- a/crates/berylhook/tests/poison_own.rs
+++ b/crates/berylhook/tests/poison_own.rs
@@ -1,4 +1,5 @@
-//! Requests under which targets end, on the product's own daemons: entries and agents.
+//! Poison requests, under which targets exit, with real entries and agents in front of stand-in
+//! engines.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,27 +11,27 @@
 use berylhook_test_support::{Engine, EngineConfig, PlainService, Signal};
 use tokio::task::JoinHandle;
 
-/// Targets that may end under one request before it is held back.
+/// Targets that may exit under one request before the quarantine rejects it.
 const MAX_EXITS: usize = 3;
 
-/// Engines, each with an agent beside it.
+/// Number of engines, each with an agent of its own.
 const ENGINES: usize = 8;
 
-/// Time between two looks at whether an engine has begun a run.
+/// Time between two polls for engines that have begun a run.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time from the beginning of a run to the end of an engine that ends a while after it.
+/// Time from the beginning of a run to the exit of its engine, for engines that exit with a delay.
 const EXIT_DELAY: Duration = Duration::from_millis(150);
 
-/// Time for the news of an end to reach all entries.
+/// Time for the report of a target exit to reach all entries.
 const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
-/// What none of the engines survives.
+/// Prompt of the poison request.
 const POISON: &str = "what none survives";
 
 type Engines = Arc<Mutex<Vec<Option<Engine>>>>;
 
-/// Ends each engine that begins a run.
+/// Stops each engine as soon as it has begun a run.
 async fn stop_engines_on_run(engines: Engines) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -40,7 +41,7 @@
     }
 }
 
-/// The same a while after the run began.
+/// Stops each engine [`EXIT_DELAY`] after it has begun a run.
 async fn stop_engines_after_run_start(engines: Engines) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -56,7 +57,7 @@
     }
 }
 
-/// Engines that end under each run, their agents, and entries before them.
+/// Engines that exit under each run, their agents, and entries.
 struct Fleet {
     cluster: Cluster,
     agents: Vec<AgentProcess>,
@@ -98,7 +99,7 @@
         for _ in 0..entries {
             fleet.start_entry().await;
         }
-        // Links to all agents.
+        // Time for the entries to connect to all agents.
         tokio::time::sleep(Duration::from_secs(1)).await;
         fleet
     }
@@ -123,13 +124,13 @@
             .await
     }
 
-    /// Sends the guilty request until it is held back.
+    /// Sends the poison request until the quarantine rejects it.
     async fn put_on_hold(&self) {
         for number in 0..MAX_EXITS {
             self.send(number, false).await;
             tokio::time::sleep(PROPAGATION_TIME).await;
         }
-        assert!(self.exited_count() > 0, "it reached none");
+        assert!(self.exited_count() > 0, "the request reached no target");
         assert!(self.exited_count() <= MAX_EXITS, "{}", self.exited_count());
     }
 
@@ -139,12 +140,11 @@
     }
 }
 
-// The same cause as on the users' platform: an attempt that loses its answer is all that
-// knows what its request did. The entry sends a stream that may be repeated to one target
-// after the other by itself, and again when its caller comes again: seven of eight engines
-// ended.
+// Guards against a poison stream that the entry retries at one target after the other, and again
+// when its caller repeats it: seven of eight engines exited. Only the attempt that lost its
+// response knew what the request had caused.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_products_own_entry_lets_a_request_end_three_targets_at_most() {
+async fn a_repeated_poison_stream_causes_at_most_three_exits() {
     let fleet = Fleet::start(1).await;
 
     for _ in 0..ENGINES {
@@ -152,7 +152,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     assert!(
         fleet.exited_count() <= MAX_EXITS,
         "{}",
@@ -160,9 +160,9 @@
     );
 }
 
-// What one entry has seen the other must know, or each lets three targets end.
+// Entries must share the exits that they see; otherwise each entry lets three targets exit.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_again_at_another_entry_is_known_there() {
+async fn a_poison_request_repeated_at_another_entry_is_known_there() {
     let fleet = Fleet::start(3).await;
 
     for number in 0..2 * ENGINES {
@@ -170,7 +170,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
@@ -179,9 +179,9 @@
     );
 }
 
-// What an entry knows must not end with its process.
+// Quarantine state must outlive the process of the entry.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_held_outlasts_the_entries() {
+async fn holds_survive_the_loss_of_all_entries() {
     let mut fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
     let ended = fleet.exited_count();
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_caller_is_told_that_it_did_not_run_and_when_coming_back_can_help() {
+async fn a_rejection_reports_not_run_and_when_a_retry_can_succeed() {
     let fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
 
@@ -203,13 +203,18 @@
 
     assert_eq!((held.status, held.outcome.as_str()), (503, "not-run"));
     assert_eq!(held.json()["error"]["code"], "held_back", "{}", held.body);
-    let back_s: f64 = held.retry_after.expect("a time").parse().expect("seconds");
-    assert!((200.0..=300.0).contains(&back_s), "{back_s}");
+    let retry_after_s: f64 = held
+        .retry_after
+        .expect("a Retry-After header")
+        .parse()
+        .expect("seconds");
+    assert!((200.0..=300.0).contains(&retry_after_s), "{retry_after_s}");
 }
 
-// Callers that leave lose no answer, so nothing that a run shows reaches them.
+// Guards against exits that are attributed to no request because its caller has disconnected and so
+// loses no response.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_ends_after_its_caller_left_is_laid_to_the_request() {
+async fn an_exit_after_the_caller_disconnected_is_attributed_to_the_request() {
     let fleet = Fleet::start(2).await;
     fleet.stopper.abort();
     let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
@@ -221,7 +226,7 @@
     }
     stopper.abort();
 
-    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
@@ -230,10 +235,11 @@
     );
 }
 
-// The time of a request was over before its target ended: the agent told the end of the run
-// at once, and the entry did not listen any more when it told which target had ended.
+// Guards against a target exit after the deadline of its request. The agent reported the end of the
+// run at the deadline, and the entry no longer listened when the agent reported which target had
+// exited.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_ends_after_the_deadline_is_laid_to_the_request() {
+async fn an_exit_after_the_deadline_is_attributed_to_the_request() {
     let fleet = Fleet::start(2).await;
     fleet.stopper.abort();
     let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
@@ -257,7 +263,7 @@
     }
     stopper.abort();
 
-    assert!(fleet.exited_count() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
@@ -266,9 +272,10 @@
     );
 }
 
-// A caller that draws a new idempotency key for each repeat asks for a new run each time.
+// A new idempotency key makes each repeat a new run, but must not hide that the request is the
+// same.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_with_a_new_key_each_time_ends_three_targets_at_most() {
+async fn a_poison_request_with_a_new_key_each_time_causes_at_most_three_exits() {
     let cluster = Cluster::start().await;
     let mut services = Vec::new();
     let mut agents = Vec::new();
@@ -308,13 +315,14 @@
     }
     stopper.abort();
 
-    assert!(exited_count() > 0, "it reached none");
+    assert!(exited_count() > 0, "the request reached no target");
     assert!(exited_count() <= MAX_EXITS, "{}", exited_count());
 }
 
-// A VM that goes as a whole, agent and target, is laid to nobody: it may have lost power.
+// The loss of a whole VM, agent and target, is not attributed to a request: the VM may have lost
+// power.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_goes_with_its_agent_makes_no_suspects() {
+async fn the_loss_of_a_vm_with_its_agent_makes_no_suspects() {
     let mut fleet = Fleet::start(1).await;
     fleet.stopper.abort();
     let call = fleet.send(0, true);
--- a/crates/berylhook/tests/poison_turns.rs
+++ b/crates/berylhook/tests/poison_turns.rs
@@ -1,4 +1,4 @@
-//! Requests under which a target has ended, while they wait for their turn.
+//! Requests under which a target has exited, while they wait for the run lock.
 
 mod common;
 
@@ -9,14 +9,15 @@
 use crate::common::entry::{start_entry, until_ready};
 use crate::common::poison::{Fleet, MAX_EXITS, PROPAGATION_TIME};
 
-/// Time of the request's caller. Its turn comes when a fifth of that is left.
+/// Deadline of the request. The reply to its lock request arrives when a fifth of this is left.
 const DEADLINE_MS: u64 = 180;
 const TURN_DELAY: Duration = Duration::from_millis(144);
 
-// A target ended for nothing: the request had waited for its lock until its time was almost
-// over, was sent all the same, and its caller was told that it may have run.
+// Guards against a request that waits for the run lock until shortly before its deadline and is
+// sent all the same. The target exited for a result nobody could use, and the caller was told that
+// the request may have run.
 #[tokio::test]
-async fn a_request_whose_time_is_over_when_its_turn_comes_is_not_sent() {
+async fn a_request_whose_deadline_is_near_when_it_gets_the_lock_is_not_sent() {
     for path in ["/unsafe/draft", "/once/stream"] {
         let fleet = Fleet::start(1, 4).await;
         fleet.send(0, path, "first", POISON_BODY).await;
@@ -35,10 +36,11 @@
     }
 }
 
-// A fourth target ended: its entry was on trial while it still ran as a suspect elsewhere, at
-// a target that had not ended yet, and the two locks did not keep each other out.
+// Guards against a fourth target exit: one entry ran the request on trial while another ran it as a
+// suspect at a target that had not exited yet, because the two kinds of run used locks that did not
+// exclude each other.
 #[tokio::test]
-async fn a_run_on_trial_waits_for_a_run_of_the_same_request_under_suspicion() {
+async fn a_run_on_trial_waits_for_a_run_of_the_same_request_as_a_suspect() {
     for exit_delay_ms in [200, 400, 600] {
         let fleet = Fleet::start(2, 8).await;
         for target in &fleet.targets {
@@ -48,7 +50,7 @@
         for number in 0..8 {
             let attempt = format!("left-{number}");
             let sent = fleet.send(number, "/unsafe/draft", &attempt, POISON_BODY);
-            // Once it is held back it is answered at once.
+            // Once the quarantine holds the request, the entry rejects it at once.
             let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
             tokio::time::sleep(PROPAGATION_TIME).await;
         }
@@ -58,10 +60,10 @@
     }
 }
 
-// A fourth target ended: an entry that had heard of the first end only ran the request, since
-// the store was slow to tell whether it may.
+// Guards against a fourth target exit: an entry that had received only the first exit ran the
+// request without a lock because the store was slow to answer the lock request.
 #[tokio::test]
-async fn an_entry_that_hears_late_of_ends_does_not_run_the_request_without_a_lock() {
+async fn an_entry_that_receives_exits_late_does_not_run_the_request_without_a_lock() {
     let mut fleet = Fleet::start(1, 6).await;
     let unpeered = start_entry(&fleet.store, &[]);
     until_ready(&unpeered).await;
@@ -81,16 +83,16 @@
     assert_eq!((response.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
-// A fourth target ended: each address was taken by another incarnation at once, which passed
-// for the target that had ended under a request whose caller had left.
+// Guards against a fourth target exit: another incarnation listened at once at the address of each
+// target that had exited under an abandoned run, and was taken for that target.
 #[tokio::test]
-async fn an_end_is_noticed_although_another_incarnation_has_taken_the_address() {
+async fn an_exit_is_detected_although_another_incarnation_has_taken_the_address() {
     let fleet = Fleet::start(1, 6).await;
     let mut replacements: Vec<PlatformTarget> = Vec::new();
     for number in 0..6 {
         let attempt = format!("left-{number}");
         let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
-        // Once it is held back it is answered at once.
+        // Once the quarantine holds the request, the entry rejects it at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(Duration::from_millis(60)).await;
         let is_unreplaced_exit = |exited: &&PlatformTarget| {
@@ -118,10 +120,10 @@
     );
 }
 
-/// Time in which a target is looked at after a caller has left its run there.
+/// Time during which a target is probed after a caller has abandoned a run there.
 const PROBE_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Another incarnation listens at the address of a target that has ended.
+/// Starts another incarnation at the address of an exited target that has no replacement yet.
 async fn replace_exited_target(fleet: &Fleet, replacements: &mut Vec<PlatformTarget>) {
     let is_unreplaced_exit = |exited: &&PlatformTarget| {
         exited.has_exited()
@@ -136,16 +138,17 @@
     }
 }
 
-// A fourth target ended: each had ended under a request whose caller had left, another
-// incarnation listened at its address, and no request came there that it could have refused.
+// Guards against a fourth target exit: each target exited under an abandoned run, another
+// incarnation listened at its address, and no request reached that incarnation that it could have
+// refused, only probes.
 #[tokio::test]
-async fn an_end_is_noticed_although_only_a_look_comes_to_the_taken_address() {
+async fn an_exit_is_detected_although_only_probes_reach_the_taken_address() {
     let fleet = Fleet::start(1, 6).await;
     let mut replacements: Vec<PlatformTarget> = Vec::new();
     for number in 0..6 {
         let attempt = format!("left-{number}");
         let sent = fleet.send(0, "/unsafe/draft", &attempt, POISON_BODY);
-        // Once it is held back it is answered at once.
+        // Once the quarantine holds the request, the entry rejects it at once.
         let _ = tokio::time::timeout(Duration::from_millis(15), sent).await;
         tokio::time::sleep(Duration::from_millis(60)).await;
         replace_exited_target(&fleet, &mut replacements).await;
@@ -159,10 +162,10 @@
     );
 }
 
-// Guards against a fourth end where an answer is lost and another incarnation takes the
-// connections by which the target is looked at.
+// Guards against a fourth target exit when a response is lost and another incarnation accepts the
+// connections of the probes.
 #[tokio::test]
-async fn an_end_with_a_lost_answer_is_noticed_although_the_address_is_taken_at_once() {
+async fn an_exit_with_a_lost_response_is_detected_although_the_address_is_taken_at_once() {
     let fleet = Fleet::start(1, 6).await;
     for target in &fleet.targets {
         target.set_behaviour(Behaviour::IsReplacedOnPoison);
