--- a/crates/berylhook/tests/entry.rs
+++ b/crates/berylhook/tests/entry.rs
@@ -1,4 +1,4 @@
-//! The entry that speaks to targets itself, as a real process between callers,
+//! A real process of `berylhook entry`, which connects to targets directly, between callers,
 //! stand-in targets and the stand-in store.
 
 mod common;
@@ -23,8 +23,7 @@
     ]
 }
 
-/// A store with the configuration, targets listed in it, and an entry that
-/// knows them.
+/// Starts a store with the configuration and the targets, and an entry that is ready.
 async fn start(targets: &[&PlatformTarget]) -> (KeyValueStandIn, Entry) {
     let store = KeyValueStandIn::start().await;
     store.put_raw("op/config", &configuration(1, &all_routes()));
@@ -49,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_request_reaches_its_target_unchanged_but_for_what_the_entry_sets() {
+async fn a_request_reaches_its_target_unchanged_except_for_the_headers_of_the_entry() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
@@ -96,11 +95,11 @@
     assert!(target.runs().is_empty());
 }
 
-// Symptom: a guide's confirmation comes twice. Sequence: the target runs it and
-// its answer is lost, the entry sends it again or says that it did not run.
-// Cause: "no answer" was taken for "not run".
+// Guards against a confirmation that is sent twice: the target runs the request, its response is
+// lost, and the entry sends the request again or reports that it did not run, because it took a
+// missing response for "not run".
 #[tokio::test]
-async fn an_unsafe_request_whose_answer_is_lost_runs_once_and_promises_nothing() {
+async fn an_unsafe_request_whose_response_is_lost_runs_once_and_is_not_reported_as_not_run() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -125,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_without_the_targets_mark_is_not_passed_on() {
+async fn a_response_without_the_targets_seal_is_not_forwarded() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::RespondsWithoutSeal);
@@ -133,12 +132,11 @@
     assert_eq!(post(&entry, "/unsafe/").await.status, 502);
 }
 
-// Symptom: a caller is told that its request did not run, repeats it, and it
-// has run twice. Sequence: a target answers 503 without saying that it did not
-// run the request, the entry passes the status on. Cause: the status alone was
-// taken for the target's word.
+// Guards against a caller that is told "not run" and repeats a request that has run. A target
+// answers 503 without the header for "not executed"; the entry must not take the status alone for
+// that statement.
 #[tokio::test]
-async fn only_the_targets_own_word_makes_not_run() {
+async fn only_the_not_executed_header_of_a_target_makes_not_run() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
@@ -153,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_is_answered_by_another_target() {
+async fn a_safe_request_is_retried_at_another_target() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -179,11 +177,11 @@
         .collect()
 }
 
-// Symptom: a briefing stops in the middle, or a line of it comes twice.
-// Sequence: a target breaks off in the middle of an event, another goes on.
-// Cause: passing on parts of events, or resuming at the wrong one.
+// Guards against a stream that stops early or repeats an event: a target closes the connection in
+// the middle of an event and another target resumes the stream. Forwarding part of an event, or
+// resuming at the wrong event, causes both.
 #[tokio::test]
-async fn a_stream_that_breaks_off_goes_on_at_another_target() {
+async fn an_interrupted_stream_is_resumed_at_another_target() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -195,7 +193,7 @@
     let streaming = post(&entry, "/stream/");
     let restoring = async {
         until(async || targets.iter().any(|target| !target.runs().is_empty())).await;
-        // The one that has not been asked yet answers the resumption whole.
+        // The target that has no run yet serves the rest of the stream.
         for target in targets.iter().filter(|target| target.runs().is_empty()) {
             target.set_behaviour(Behaviour::Responds);
         }
@@ -216,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_is_cut_visibly() {
+async fn a_stream_that_must_not_be_resumed_ends_without_the_final_chunk() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::CutsStreamAfter(3));
@@ -229,25 +227,24 @@
     assert_eq!(target.runs().len(), 1);
 }
 
-// Symptom: targets go on with work that nobody waits for, and no log line tells
-// what became of the request. Sequence: a caller leaves while its request is at a
-// target. Cause: the connection to the target outlived the one to the caller; the
-// end of a request was logged by whoever answered it.
+// Guards against targets that continue runs whose caller has disconnected, and against requests
+// whose end is not logged. The connection to the target outlived the one to the caller, and only
+// the code that sent a response logged the end of a request.
 #[tokio::test]
-async fn when_a_caller_leaves_its_stream_ends_at_the_target_too() {
+async fn when_a_caller_disconnects_its_stream_is_cancelled_at_the_target() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
     let outcome = tokio::time::timeout(Duration::from_millis(60), post(&entry, "/stream/")).await;
 
-    assert!(outcome.is_err(), "the caller left in mid-stream");
+    assert!(outcome.is_err(), "the caller disconnects in mid-stream");
     tokio::time::sleep(Duration::from_millis(400)).await;
     let runs = target.runs();
     assert!(runs.iter().all(|run| !run.is_finished));
     until(async || has_disconnect_line(&entry)).await;
 }
 
-/// Whether a line tells that the caller left and which target had its request.
+/// Whether the log has a line that the caller disconnected, with the target of its request.
 fn has_disconnect_line(entry: &Entry) -> bool {
     let output = entry.daemon.output();
     let mut lines = output.lines().filter(|line| line.contains("caller-left"));
@@ -255,7 +252,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_target_gets_no_new_requests() {
+async fn a_draining_target_gets_no_new_requests() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -271,13 +268,12 @@
     assert!(targets[0].runs().is_empty());
 }
 
-// Symptom: a target that has left gets requests for two seconds more. Sequence:
-// the store is away and comes back, nothing changes for seconds, then a target
-// leaves. Cause: the entry learnt of the store's return from that very change,
-// since it was waiting in a long watch, and took the target for one whose entry
-// had lapsed during the outage.
+// Guards against a removed target that gets requests for two more seconds when it is removed long
+// after a store outage. The entry was waiting in a long watch, so that it noticed the recovery of
+// the store only with that removal, and took the target for one whose entry in the store had
+// expired during the outage.
 #[tokio::test]
-async fn a_target_that_leaves_long_after_an_outage_is_gone_at_once() {
+async fn a_target_removed_long_after_a_store_outage_gets_no_requests_at_once() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -297,11 +293,10 @@
     assert!(targets[0].runs().is_empty());
 }
 
-// Symptom: a new entry says 404 or 401 to callers that are in their right.
-// Sequence: it starts while the store is away. Cause: not knowing was taken for
-// knowing that there is no such route.
+// Guards against an entry that starts during a store outage and answers 404 or 401 to valid
+// requests because it takes a missing configuration for an empty one.
 #[tokio::test]
-async fn an_entry_that_knows_no_configuration_promises_not_run_and_says_when_to_return() {
+async fn an_entry_without_a_configuration_reports_not_run_with_retry_after() {
     let store = KeyValueStandIn::start().await;
     store.set_outage(Outage::Refusing);
     let entry = start_entry(&store, &[]);
@@ -320,12 +315,11 @@
     );
 }
 
-// Symptom: on a fleet of many entries they end by themselves, most of them within
-// a minute. Sequence: an entry that knows more than some twenty others asks them in
-// random order. Cause: the order was made by sorting with keys drawn anew at each
-// comparison, which the standard library answers with a panic.
+// Guards against entries that exit by themselves, most of them within a minute, in a fleet of more
+// than some twenty. The random order in which an entry contacts its peers was made by sorting with
+// keys drawn anew at each comparison, which makes the standard library panic.
 #[tokio::test]
-async fn an_entry_that_knows_many_others_lives() {
+async fn an_entry_with_many_peers_keeps_running() {
     let target = PlatformTarget::start("i-1").await;
     let (store, _reachable) = start(&[&target]).await;
     let peers: Vec<SocketAddr> = (0..200).map(|_| free_address()).collect();
@@ -334,18 +328,17 @@
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
-    // A build for tests outlives the panic of a task, the one that runs does not.
+    // A test build survives the panic of a task, a release build aborts, so the log is checked too.
     let output = entry.daemon.output();
     assert!(!output.contains("panicked"), "{output}");
     assert!(!entry.daemon.has_exited(), "{output}");
     assert_eq!(post(&entry, "/safe/").await.status, 200);
 }
 
-// Symptom: one entry still serves a key that was taken away. Sequence: the
-// store shuts one entry out and serves the others, the configuration changes.
-// Cause: the store was the only way to learn of it.
+// Guards against an entry that serves an outdated configuration, for example a revoked key, because
+// it cannot reach the store while other entries can: it must get the configuration from its peers.
 #[tokio::test]
-async fn an_entry_that_the_store_shuts_out_learns_from_its_peers() {
+async fn an_entry_cut_off_from_the_store_gets_the_configuration_from_its_peers() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, reachable) = start(&[&target]).await;
     let unavailable_store = KeyValueStandIn::start().await;
@@ -358,7 +351,7 @@
 }
 
 #[tokio::test]
-async fn an_older_configuration_never_comes_back() {
+async fn an_older_configuration_is_never_applied() {
     let target = PlatformTarget::start("i-1").await;
     let (store, entry) = start(&[&target]).await;
     store.put_raw("op/config", &configuration(5, &all_routes()[..1]));
@@ -371,10 +364,9 @@
     assert_eq!(post(&entry, "/safe/").await.status, 200);
 }
 
-// Symptom: a planned stop cuts answers off. Sequence: the entry is asked to
-// stop while a stream runs. Cause: ending before the work in hand was done.
+// Guards against a planned stop that cuts running streams: the entry must drain before it exits.
 #[tokio::test]
-async fn a_planned_stop_lets_streams_end_and_sends_new_callers_elsewhere() {
+async fn a_planned_stop_drains_streams_and_withdraws_readiness() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, mut entry) = start(&[&target]).await;
 
@@ -389,11 +381,11 @@
     assert!(response.is_complete);
     assert_eq!(event_ids(&response).len() as u64, EVENTS_PER_STREAM);
     assert_eq!(ready.status, 503);
-    assert_eq!(entry.daemon.wait().expect("it ends by itself"), 0);
+    assert_eq!(entry.daemon.wait().expect("the entry exits by itself"), 0);
 }
 
 #[tokio::test]
-async fn a_reload_ends_nothing() {
+async fn a_reload_signal_does_not_stop_the_entry() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, mut entry) = start(&[&target]).await;
 
@@ -405,7 +397,7 @@
 }
 
 #[tokio::test]
-async fn metrics_and_logs_tell_what_became_of_a_request() {
+async fn the_log_has_the_outcome_of_a_request() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::DropsResponses);
--- a/crates/berylhook/tests/limited_targets.rs
+++ b/crates/berylhook/tests/limited_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that name a limit on what they take from all entries together.
+//! Targets that announce a rate limit for the requests of all entries together.
 
 mod common;
 
@@ -9,22 +9,22 @@
 use crate::common::load::{max_in_window, send_steadily};
 use crate::common::poison::Fleet;
 
-/// The users allow half as much again as a target names in any span of this length, and
-/// five requests more.
+/// The requirement allows one and a half times the announced limit in any span of this length, and
+/// five more requests.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn max_allowed(limit_per_s: usize) -> usize {
     limit_per_s * 4 * 3 / 2 + 5
 }
 
-/// Time for all entries to hear of a limit; the users allow three seconds.
+/// Time for all entries to receive a limit; the requirement is three seconds.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long each load lasts.
+/// Duration of the load in tests that check one limit.
 const LOAD_DURATION: Duration = Duration::from_millis(6_500);
 
-/// Whether the target got no more than the users allow for that limit, from the moment on
-/// at which all entries have heard of it.
+/// Returns an error if the target received more than [`max_allowed`] requests in any window,
+/// counted from the moment at which all entries have received the limit.
 fn check_limit(
     target: &PlatformTarget,
     limit_per_s: usize,
@@ -41,7 +41,7 @@
     }
 }
 
-// Guards against entries that send a target more than it takes from all of them together.
+// Guards against entries that each keep to the limit of a target but together exceed it.
 #[tokio::test]
 async fn all_entries_together_keep_to_a_targets_limit() {
     let fleet = Fleet::start(3, 2).await;
@@ -54,9 +54,10 @@
     assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against callers that wait, or are told nothing, where no target takes more.
+// Guards against callers that wait, or get no `Retry-After` header, when all targets are at their
+// limit.
 #[tokio::test]
-async fn callers_are_told_when_to_come_back_where_all_targets_are_at_their_limit() {
+async fn callers_get_retry_after_when_all_targets_are_at_their_limit() {
     let fleet = Fleet::start(2, 2).await;
     for target in &fleet.targets {
         target.set_limit(Some("2"));
@@ -79,9 +80,9 @@
     );
 }
 
-// Guards against a target that gets less than it takes for good, once it has named a limit.
+// Guards against a target that stays limited after it has stopped announcing a limit.
 #[tokio::test]
-async fn a_target_that_names_no_limit_any_more_is_used_in_full_again() {
+async fn a_target_that_no_longer_announces_a_limit_is_used_in_full_again() {
     let fleet = Fleet::start(3, 2).await;
     fleet.targets[0].set_limit(Some("2"));
     send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
@@ -99,10 +100,10 @@
     );
 }
 
-// Guards against an entry that has just started and sends as if there were no limit, and
-// against permits that nobody gives out once their home has ended.
+// Guards against an entry that has just started and sends as if there were no limit, and against
+// permits that no entry grants after their home, the entry that allocates the limit, has exited.
 #[tokio::test]
-async fn entries_that_come_and_go_keep_to_a_targets_limit() {
+async fn entries_that_start_and_stop_keep_to_a_targets_limit() {
     let mut fleet = Fleet::start(2, 2).await;
     fleet.targets[0].set_limit(Some("2"));
     let limit_set_at = Instant::now();
--- a/crates/berylhook/tests/readiness.rs
+++ b/crates/berylhook/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When an entry says that it is ready.
+//! The conditions under which an entry reports that it is ready.
 
 mod common;
 
@@ -12,11 +12,11 @@
 use crate::common::entry::{API_KEY, Entry, configuration, start_entry, until, until_ready};
 use crate::common::poison::{Fleet, MAX_EXITS, put_on_hold};
 
-/// Entries that start at once: more than there are processors, so that their threads
-/// begin in any order.
+/// Entries started at once: more than there are processors, so that their threads start in any
+/// order.
 const ENTRIES: usize = 24;
 
-/// Waits until the entry is ready, without a pause, and opens a connection as a caller.
+/// Polls until the entry is ready and at once opens a connection as a caller.
 async fn connect_once_ready(entry: &Entry) -> std::io::Result<TcpStream> {
     let caller = Caller::new(API_KEY);
     while caller
@@ -30,9 +30,9 @@
     TcpStream::connect(entry.caller_address).await
 }
 
-// Callers were sent to an entry that did not listen for them yet.
+// Guards against an entry that reports ready before it listens for callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_is_ready_takes_connections_of_callers() {
+async fn a_ready_entry_accepts_connections_of_callers() {
     let store = KeyValueStandIn::start().await;
     store.put_raw("op/config", &configuration(1, &[]));
 
@@ -48,13 +48,14 @@
     }
 }
 
-/// Longer than any one call to the store may take.
+/// Longer than the timeout of any single call to the store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Entries that know each other's addresses have asked each other in this time.
+/// Time in which entries that have each other as seeds exchange their state.
 const PEER_EXCHANGE_TIME: Duration = Duration::from_millis(500);
 
-/// A fleet without entries whose store does not tell yet that it keeps a hold.
+/// Returns a fleet without entries, whose store has a hold but does not answer reads of quarantine
+/// keys yet.
 async fn fleet_with_unread_hold() -> Fleet {
     let mut fleet = Fleet::start(1, 6).await;
     put_on_hold(&fleet).await;
@@ -75,10 +76,10 @@
     until(async || entry.daemon.output().contains("configuration in force")).await;
 }
 
-// A fourth target ended under a request that was held back: an entry that had just started
-// served callers before it had read what is held.
+// Guards against a fourth target exit under a held request: an entry that had just started served
+// callers before it had read the holds from the store.
 #[tokio::test]
-async fn an_entry_is_not_ready_before_it_has_read_what_is_held() {
+async fn an_entry_is_not_ready_before_it_has_read_the_holds() {
     let mut fleet = fleet_with_unread_hold().await;
 
     let later = start_entry(&fleet.store, &[]);
@@ -93,10 +94,10 @@
     assert_eq!((response.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
-// The same for callers that come although the entry is not ready: they are refused, and told
-// when to come back.
+// Callers that connect although the entry is not ready are refused with a `Retry-After` header, so
+// that a held request cannot make a fourth target exit this way either.
 #[tokio::test]
-async fn an_entry_that_has_not_read_what_is_held_refuses_callers() {
+async fn an_entry_that_has_not_read_the_holds_refuses_callers() {
     let mut fleet = fleet_with_unread_hold().await;
 
     let later = start_entry(&fleet.store, &[]);
@@ -108,9 +109,10 @@
     assert_eq!(response.retry_after.as_deref(), Some("1.000"));
 }
 
-// Two entries that have just started agree on knowing nothing, and took that for knowledge.
+// Guards against two entries that have just started and take their equal, empty quarantine state
+// for a complete one.
 #[tokio::test]
-async fn two_entries_that_have_read_nothing_do_not_inform_each_other() {
+async fn two_entries_without_quarantine_state_do_not_make_each_other_ready() {
     let mut fleet = fleet_with_unread_hold().await;
 
     let first = start_entry(&fleet.store, &[]);
@@ -131,9 +133,9 @@
     assert_eq!((statuses, fleet.exited_count()), (vec![503; 2], MAX_EXITS));
 }
 
-// An entry that starts while the store is away serves on what a peer knows.
+// An entry that starts during a store outage takes the holds from a peer.
 #[tokio::test]
-async fn an_entry_that_starts_while_the_store_is_away_learns_from_a_peer() {
+async fn an_entry_that_starts_in_a_store_outage_gets_the_holds_from_a_peer() {
     for outage in [Outage::Refusing, Outage::Silent] {
         let mut fleet = Fleet::start(1, 6).await;
         put_on_hold(&fleet).await;
@@ -147,9 +149,10 @@
     }
 }
 
-// Readiness is not lost with the store: an entry that nobody can inform serves in the end.
+// Readiness must not depend on the store for good: an entry that neither the store nor a peer can
+// inform becomes ready after a timeout.
 #[tokio::test]
-async fn an_entry_whose_reads_are_not_answered_is_ready_after_a_while() {
+async fn an_entry_whose_store_reads_are_not_answered_becomes_ready_after_a_timeout() {
     let store = KeyValueStandIn::start().await;
     store.put_raw("op/config", &configuration(1, &[]));
     store.hold_reads_of("berylhook/quarantine/");
--- a/crates/berylhook/tests/resting_own.rs
+++ b/crates/berylhook/tests/resting_own.rs
@@ -1,13 +1,14 @@
-//! The product's own daemons before a target that asks for rest.
+//! Agents whose target asks for backoff, with real entries and agents.
 
 use berylhook_test_support::PlainService;
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::cluster::{Cluster, DESK_KEY, until};
 use futures_util::future::join_all;
 
-// Guards against an agent that sends its target requests in a rest that it asked for.
+// Guards against an agent that sends requests to its target during a backoff that the target has
+// asked for.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_leaves_a_target_alone_that_asks_for_rest() {
+async fn an_agent_sends_nothing_to_a_target_in_backoff() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -38,9 +39,9 @@
     assert!(retry_after_s.into_iter().all(|after_s: f64| after_s >= 2.0));
 }
 
-// Guards against an agent whose target is left alone for good after one rest.
+// Guards against an agent that sends its target nothing more after one backoff.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_sends_on_after_the_rest() {
+async fn an_agent_sends_again_after_the_backoff() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
--- a/crates/berylhook/tests/resting_targets.rs
+++ b/crates/berylhook/tests/resting_targets.rs
@@ -1,5 +1,5 @@
-//! Targets that refuse requests of an entry and ask it for rest, and targets that say that they
-//! leave.
+//! Targets that refuse requests of an entry and ask for backoff, and targets that announce that
+//! they are leaving.
 
 mod common;
 
@@ -13,14 +13,15 @@
 use crate::common::load::send_steadily;
 use crate::common::poison::Fleet;
 
-/// What is on its way when a target asks for rest is on nobody's account.
+/// Requests that arrive this soon after a target has asked for backoff were already in flight and
+/// do not count.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// Requests that the users allow in the rest of the time.
+/// Requests that the requirement allows during the remaining backoff.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
-/// Requests that came to a target that asked for rest with its first answer, within that
-/// rest.
+/// Counts the requests that reached a target during `backoff`, for a target that asked for it with
+/// its first response.
 fn requests_in_backoff(target: &PlatformTarget, backoff: Duration) -> usize {
     let arrivals = target.arrivals();
     let Some(backoff_start) = arrivals.first().copied() else {
@@ -32,10 +33,10 @@
     arrivals.iter().filter(is_in_backoff).count()
 }
 
-// Guards against a target that refused a request and is sent the next one at once, since
-// nothing runs there.
+// Guards against a target that has refused a request and gets the next one at once because it has
+// no load.
 #[tokio::test]
-async fn a_target_that_asks_for_rest_gets_it() {
+async fn a_target_that_asks_for_backoff_gets_no_requests() {
     let fleet = Fleet::start(1, 2).await;
     fleet.targets[0].set_backoff(Some("3"));
     let paths = ["/unsafe/", "/safe/", "/stream/", "/once/stream"];
@@ -45,14 +46,14 @@
     let received_count = requests_in_backoff(&fleet.targets[0], Duration::from_secs(3));
     assert!(
         received_count <= MAX_REQUESTS_IN_BACKOFF,
-        "{received_count} requests in three seconds of rest"
+        "{received_count} requests in three seconds of backoff"
     );
     assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against callers that wait for targets of which none takes a request for seconds.
+// Guards against callers that wait although no target accepts a request for seconds.
 #[tokio::test]
-async fn callers_are_told_when_to_come_back_where_all_targets_rest() {
+async fn callers_get_retry_after_when_all_targets_are_in_backoff() {
     let fleet = Fleet::start(1, 2).await;
     for target in &fleet.targets {
         target.set_backoff(Some("3"));
@@ -65,7 +66,7 @@
         let received_count = requests_in_backoff(target, Duration::from_secs(3));
         assert!(
             received_count <= MAX_REQUESTS_IN_BACKOFF,
-            "{received_count} requests in three seconds of rest"
+            "{received_count} requests in three seconds of backoff"
         );
     }
     for response in &responses {
@@ -73,23 +74,20 @@
         let retry_after_s: f64 = retry_after.parse().unwrap_or_default();
         assert_eq!(response.status, 503);
         assert_eq!(response.json()["error"], "withheld");
-        assert!(
-            retry_after_s >= 0.9,
-            "told to come back after {retry_after} s"
-        );
+        assert!(retry_after_s >= 0.9, "Retry-After is {retry_after} s");
     }
 }
 
-// Guards against all callers that waited for the end of a rest coming at once.
+// Guards against all waiting callers being sent to a target at once when its backoff ends.
 #[tokio::test]
-async fn the_end_of_a_rest_is_tried_by_one_request() {
+async fn one_trial_request_is_sent_at_the_end_of_a_backoff() {
     let fleet = Fleet::start(1, 2).await;
     fleet.targets[0].set_backoff(Some("1"));
 
     let responses = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(5)).await;
 
     let arrivals = fleet.targets[0].arrivals();
-    let first = arrivals.first().copied().expect("it was tried");
+    let first = arrivals.first().copied().expect("the target got a request");
     let trial_count = arrivals
         .iter()
         .filter(|arrival| **arrival >= first + IN_FLIGHT_GRACE)
@@ -101,9 +99,9 @@
     assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against a target that is left alone for good once it has asked for rest.
+// Guards against a target that gets no requests for good after it has asked for backoff.
 #[tokio::test]
-async fn a_target_is_used_in_full_again_after_its_rest() {
+async fn a_target_is_used_in_full_again_after_its_backoff() {
     let fleet = Fleet::start(1, 2).await;
     fleet.targets[0].set_backoff(Some("0.5"));
     send_steadily(&fleet, &["/unsafe/"], Duration::from_millis(500)).await;
@@ -121,7 +119,7 @@
     );
 }
 
-/// The users' configuration, with targets that are model engines.
+/// Returns a configuration whose targets are model engines.
 fn engine_configuration() -> Vec<u8> {
     let routes = [route("stream", "streaming", 3, true)];
     let document = configuration(2, &routes);
@@ -133,9 +131,9 @@
     document.to_string().into_bytes()
 }
 
-// Guards against one engine's wish for rest that is taken for the loss of its whole group.
+// Guards against the backoff of one engine being taken for the loss of its whole group.
 #[tokio::test]
-async fn streams_go_on_at_the_other_engines_while_one_rests() {
+async fn streams_continue_at_the_other_engines_while_one_is_in_backoff() {
     let mut fleet = Fleet::start(0, 3).await;
     fleet.store.put_raw("op/config", &engine_configuration());
     fleet.targets[0].set_backoff(Some("3"));
@@ -146,17 +144,17 @@
     let received_count = requests_in_backoff(&fleet.targets[0], Duration::from_secs(3));
     assert!(
         received_count <= MAX_REQUESTS_IN_BACKOFF,
-        "{received_count} requests in three seconds of rest"
+        "{received_count} requests in three seconds of backoff"
     );
     let output = fleet.entries[0].daemon.output();
     assert!(!output.contains("a group refuses requests"));
     assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against a target that says in its answers that it leaves, and is sent requests
-// until the list of targets says so too.
+// Guards against a target that announces in its responses that it is leaving and gets requests
+// until the target list says so too.
 #[tokio::test]
-async fn a_target_that_says_that_it_leaves_gets_nothing_more() {
+async fn a_target_that_announces_leaving_gets_no_more_requests() {
     let fleet = Fleet::start(1, 2).await;
     fleet.store.set_outage(Outage::Silent);
     fleet.targets[0].announce_leaving();
@@ -165,7 +163,7 @@
     let responses = send_steadily(&fleet, &paths, Duration::from_secs(2)).await;
 
     let arrivals = fleet.targets[0].arrivals();
-    let announced_at = arrivals.first().copied().expect("it was tried");
+    let announced_at = arrivals.first().copied().expect("the target got a request");
     let later = arrivals
         .iter()
         .filter(|arrival| **arrival >= announced_at + IN_FLIGHT_GRACE);
@@ -173,9 +171,9 @@
     assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against a stream that broke off and goes on at a target that rests.
+// Guards against an interrupted stream that is resumed at a target in backoff.
 #[tokio::test]
-async fn a_stream_that_breaks_off_goes_on_at_a_target_that_does_not_rest() {
+async fn an_interrupted_stream_is_not_resumed_at_a_target_in_backoff() {
     let fleet = Fleet::start(1, 3).await;
     fleet.targets[0].set_backoff(Some("3"));
     fleet.targets[1].set_behaviour(Behaviour::CutsStreamAfter(2));
@@ -186,7 +184,7 @@
     let received_count = requests_in_backoff(&fleet.targets[0], Duration::from_secs(3));
     assert!(
         received_count <= MAX_REQUESTS_IN_BACKOFF,
-        "{received_count} requests in three seconds of rest"
+        "{received_count} requests in three seconds of backoff"
     );
     assert!(
         responses
--- a/crates/berylhook/tests/restored.rs
+++ b/crates/berylhook/tests/restored.rs
@@ -1,4 +1,4 @@
-//! Real entries and agents while the store comes back from an older copy.
+//! Entries and agents while the store is restored from an older snapshot.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use crate::common::poison::{Fleet, PROPAGATION_TIME, put_on_hold};
 use crate::common::{first_shard_of, new_key_in_shard, send_attempt, shard_home};
 
-/// Pauses between two watches, and the time of a read, with some to spare.
+/// Longer than the pause between two watches and the time of a read together.
 const STORE_FOLLOW_TIME: Duration = Duration::from_secs(1);
 
 async fn request_status(callers: std::net::SocketAddr, path: &str, name: &str) -> u16 {
@@ -29,7 +29,7 @@
     caller.post(callers, path, "hello", &headers).await.status
 }
 
-/// What a store has that was up some seconds ago.
+/// Stores the old configuration and `targets`, and returns a snapshot of the store.
 fn snapshot_with(store: &KeyValueStandIn, targets: &[&PlatformTarget]) -> StoreSnapshot {
     store.put_raw(
         "op/config",
@@ -41,10 +41,10 @@
     store.snapshot()
 }
 
-/// Guards against an entry that goes back with the store: to an older configuration, to a
-/// target that has left; and that hears no news afterwards.
+/// Guards against an entry that returns with the store to an older configuration or to a target
+/// that has been removed, and against one that receives no updates after the restore.
 #[tokio::test]
-async fn an_entry_goes_back_with_nothing_and_follows_what_is_written_next() {
+async fn an_entry_reverts_nothing_on_a_restore_and_applies_later_writes() {
     let (staying, leaving, joining) = (
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -81,12 +81,12 @@
     .await;
 
     assert_eq!(statuses, [200; 8]);
-    assert_eq!(runs_after, runs_before, "the target that has left");
+    assert_eq!(runs_after, runs_before, "requests to the removed target");
 }
 
-/// Guards against a guilty request that runs again: its hold is gone from the restored store.
+/// Guards against a held request that runs again because the restored store lacks its hold.
 #[tokio::test]
-async fn a_hold_that_a_restore_has_lost_is_kept_again() {
+async fn a_hold_lost_in_a_restore_is_stored_again() {
     let fleet = Fleet::start(2, 6).await;
     let snapshot = fleet.store.snapshot();
     put_on_hold(&fleet).await;
@@ -103,10 +103,11 @@
     assert_eq!((again.status, fleet.exited_count()), (503, ended));
 }
 
-/// Guards against a doubled confirmation: the claim of the home is not in the copy, another
-/// agent becomes home, and the first one, which hears of nothing, still runs keys.
+/// Guards against a confirmation that is sent twice: the snapshot lacks the claim by which an agent
+/// became home of a shard (the process that owns the shard's keys), another agent becomes home, and
+/// the first one, cut off from the store, still runs keys.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_although_the_claim_of_its_home_is_lost() {
+async fn a_key_runs_once_although_a_restore_loses_the_claim_of_its_home() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let snapshot = cluster.key_value.snapshot();
@@ -123,7 +124,7 @@
         first_shard_of(&cluster.key_value, "push-1").is_some()
     })
     .await;
-    let shard = first_shard_of(&cluster.key_value, "push-1").expect("it has a shard");
+    let shard = first_shard_of(&cluster.key_value, "push-1").expect("the first agent has a shard");
     let caller = Caller::new(DESK_KEY);
     let key = new_key_in_shard(shard);
     let (first, _) = send_attempt(&caller, entry.address, &key, "a").await;
