--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -1,5 +1,4 @@
-//! A group's map follows the demand: real entries and agents, stand-in store and
-//! group.
+//! A group's expert map follows the demand: real entries and agents, stand-in store and group.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -45,7 +44,7 @@
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
     let group = PlatformGroup::start("g-0", &engines).await;
     group.register(&store, "llm");
-    // One port for the agents of all VMs; each VM has an IP number of its own.
+    // All agents use one port; each stand-in VM has its own IP address.
     let agent_port = 7_340;
     let agents = engines
         .iter()
@@ -73,8 +72,8 @@
     start_sized_entry(fleet, name, 0.5, free_address(), "")
 }
 
-/// An entry with that part of a processor, which answers its peers at `peers`
-/// and begins with these seeds.
+/// Starts an entry that has `processor_share` of a processor, answers its peers at `peers` and has
+/// these seeds.
 fn start_sized_entry(
     fleet: &Fleet,
     name: &str,
@@ -94,7 +93,7 @@
     Daemon::start("berylhook", &["entry"], &settings).expect("the entry starts")
 }
 
-/// Shifts the demand and waits until the favourite stands on most ranks.
+/// Shifts the demand to `hot_expert` and waits until it has replicas on all ranks but one.
 async fn shift_demand(fleet: &Fleet, hot_expert: usize) {
     fleet.group.set_hot_expert(hot_expert);
     let expert = u16::try_from(hot_expert).expect("few experts");
@@ -102,17 +101,16 @@
     while fleet.group.replicas_of(expert) < RANKS - 1 {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "the map does not follow"
+            "the map does not follow the demand"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// Symptom: passes take several times as long as they should for as long as the
-// store is down. Sequence: demand shifts in an outage. Cause: a switch needed
-// the store.
+// Guards against passes that take several times as long as they should for the whole of a store
+// outage, because the demand shifts and a switch of the map needs the store.
 #[tokio::test]
-async fn a_map_follows_the_demand_also_while_the_store_is_down() {
+async fn a_map_follows_the_demand_during_a_store_outage() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
 
@@ -125,9 +123,9 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: a pass with two maps, or a group held for ever, after a leader is
-// lost. Sequence: the leader is frozen or killed at any moment, another takes
-// over, the frozen one wakes. Cause: two leaders that both give orders.
+// Guards against a pass with two maps, or a group that stays paused, after its leader is lost. The
+// leader is frozen or killed, another entry takes over, and the frozen one resumes, so that two
+// leaders send commands.
 #[tokio::test]
 async fn a_map_follows_the_demand_through_frozen_and_killed_leaders() {
     let fleet = start_fleet().await;
@@ -145,11 +143,11 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: for seconds after a planned stop passes take twice as long and more.
-// Sequence: the store is away, the platform stops the leader, demand shifts.
-// Cause: nobody can be elected without the store, and a stopped leader left.
+// Guards against passes that take more than twice as long for seconds after a planned stop of the
+// leader during a store outage. No entry can be elected without the store, so the leader has to
+// hand its leadership over before it stops.
 #[tokio::test]
-async fn a_leader_that_stops_while_the_store_is_away_is_succeeded() {
+async fn a_leader_that_stops_during_a_store_outage_has_a_successor() {
     let fleet = start_fleet().await;
     let (peers_1, peers_2) = (free_address(), free_address());
     let first = start_sized_entry(&fleet, "entry-1", 0.5, peers_1, &peers_2.to_string());
@@ -170,11 +168,11 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: for as long as the store is away passes take twice as long and more.
-// Sequence: an agent starts anew meanwhile, demand shifts. Cause: it relayed no
-// order before it had read the store, and a change needs every rank.
+// Guards against passes that take more than twice as long for the whole of a store outage after an
+// agent has restarted. A switch needs every rank, and an agent that has not read the store must
+// still relay commands.
 #[tokio::test]
-async fn an_agent_that_starts_while_the_store_is_away_relays_for_the_leader() {
+async fn an_agent_that_starts_during_a_store_outage_relays_for_the_leader() {
     let mut fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
     shift_demand(&fleet, 3).await;
@@ -189,8 +187,8 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-/// Guards against a group without a leader, or with two, after the store was restored from a
-/// copy that lacks the election.
+/// Guards against a group without a leader, or with two, after the store has been restored from a
+/// snapshot that lacks the election.
 #[tokio::test]
 async fn a_map_follows_the_demand_after_the_store_was_restored() {
     let mut fleet = start_fleet().await;
@@ -211,13 +209,12 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: passes take twice as long and more for as long as a group lives after
-// one of its engines has started again. Sequence: an engine starts anew under its
-// id; the group forms anew with its first map; demand stays or shifts. Cause: what
-// was known of the former incarnation, its map, its counts, a hold that was
-// ordered, was taken for the new one's.
+// Guards against passes that take more than twice as long for the rest of a group's life after an
+// engine has restarted under its id and the group has formed again with its first map. State of the
+// previous incarnation, such as its map, its counts or a pause that was commanded, must not be
+// taken for that of the new one, whether the demand stays or shifts.
 #[tokio::test]
-async fn a_map_follows_the_demand_after_an_engine_has_started_again() {
+async fn a_map_follows_the_demand_after_an_engine_restart() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
     shift_demand(&fleet, 3).await;
@@ -233,12 +230,11 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: all groups of a service run with maps that are seconds old. Sequence:
-// one group's copies do not end, demand shifts in another. Cause: the leader went
-// through its groups one after the other, so each change of one waited until the
-// other's was given up.
+// Guards against maps that are seconds old in all groups of a service because the copies of one
+// group never complete. A leader that served its groups one after the other delayed each switch
+// until the one of the stuck group had timed out.
 #[tokio::test]
-async fn a_group_that_hangs_delays_no_other() {
+async fn a_stuck_group_does_not_delay_other_groups() {
     const SHIFTS: usize = 6;
     let fleet = start_fleet().await;
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
@@ -262,16 +258,15 @@
     let prepare_rounds = (stuck.prepare_commands() - before) / RANKS as u64;
     assert!(
         prepare_rounds < SHIFTS as u64,
-        "{prepare_rounds} tries of the other group"
+        "{prepare_rounds} switches begun in the stuck group"
     );
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: on a fleet of unequal VMs changes of maps take twice as long after
-// some elections as after others. Sequence: all entries stand at once, and one
-// with a sixth of a processor wins. Cause: whoever asked the store first led.
+// Guards against an entry with a sixth of a processor that becomes leader because it reached the
+// store first: switches of maps then take twice as long. All entries start at once.
 #[tokio::test]
-async fn of_unequal_entries_a_larger_one_leads() {
+async fn the_entry_with_more_cpu_is_elected() {
     let fleet = start_fleet().await;
     let large_peers = free_address();
     let seeds = large_peers.to_string();
@@ -283,11 +278,11 @@
     assert!(leader(&fleet).await.starts_with("large "));
 }
 
-// Symptom: after a loss of power the entry with the narrowest link leads a large group
-// for the rest of the day. Sequence: all entries start together and stand before they
-// have met; a small one is first. Cause: who leads was settled once, at the election.
+// Guards against the smallest entry leading a large group for the rest of the day after a power
+// loss. All entries start at once, a small one is elected before it knows its peers, and the
+// decision must not be final.
 #[tokio::test]
-async fn a_small_leader_makes_room_for_a_larger_entry_that_it_meets() {
+async fn a_small_leader_hands_over_to_a_larger_peer() {
     let fleet = start_fleet().await;
     let (small_peers, large_peers) = (free_address(), free_address());
     let _small = start_sized_entry(&fleet, "small", 0.18, small_peers, "");
@@ -299,7 +294,7 @@
     while !leader(&fleet).await.starts_with("large ") {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "the small one goes on leading"
+            "the smaller entry still leads"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -307,10 +302,10 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: entries crowd some targets while others are idle. Cause: an entry did not
-// know that others share its targets, or went on counting one that had stopped.
+// Guards against entries that overload some targets while others are idle, because an entry does
+// not know that others share its targets, or still counts one that has stopped.
 #[tokio::test]
-async fn entries_know_who_shares_the_targets_with_them() {
+async fn entries_track_how_many_entries_share_the_targets() {
     let fleet = start_fleet().await;
     let (first_peers, second_peers) = (free_address(), free_address());
     let first = start_sized_entry(&fleet, "first", 0.5, first_peers, "");
@@ -329,7 +324,7 @@
     wait_for_sharing_line(&first, r#""members":1"#).await;
 }
 
-/// Waits until the newest line about who shares the targets holds this.
+/// Waits until the newest log line about sharing the targets contains `expected`.
 async fn wait_for_sharing_line(entry: &Daemon, expected: &str) {
     let started_at = Instant::now();
     loop {
@@ -349,26 +344,26 @@
     }
 }
 
-/// The value of the leader's key, once there is one.
+/// Waits until there is a leader and returns the value of its key.
 async fn leader(fleet: &Fleet) -> String {
     let started_at = Instant::now();
     loop {
         if let Some(leader) = fleet.store.value("berylhook/leader/llm") {
             return leader;
         }
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody leads");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "no leader is elected");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// A group stood still for seconds: a switch had begun to hold it while its ranks left orders
-// unanswered, and each order had to be given several times.
+// Guards against a group that is paused for seconds: a switch paused it while one rank left
+// commands unanswered, so that each command had to be sent several times.
 #[tokio::test]
-async fn no_switch_holds_a_group_while_a_rank_leaves_orders_unanswered() {
+async fn no_switch_pauses_a_group_while_a_rank_leaves_commands_unanswered() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
     shift_demand(&fleet, 3).await;
-    // One more switch may follow the last holder.
+    // One more switch may follow after the hot expert has its last replica.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let pauses_before = fleet.group.pause_commands();
 
@@ -383,10 +378,10 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against requests that wait for seconds at the rank that holds, since its VM froze, and
-// go on there after their callers have left.
+// Guards against requests that wait for seconds at the rank that pauses the group because its VM
+// has frozen, and still run there after their callers have disconnected.
 #[tokio::test]
-async fn the_rank_with_the_least_work_holds() {
+async fn the_rank_with_the_least_work_gets_the_pause_command() {
     let fleet = start_fleet().await;
     for rank in 0..RANKS - 1 {
         fleet.group.set_queued(rank, 3);
--- a/crates/berylhook/tests/leaving.rs
+++ b/crates/berylhook/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Targets that leave get no new work, and planned stops cut nothing off.
+//! Targets that are leaving get no new requests, and planned stops interrupt no response.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn stream(entry: std::net::SocketAddr, prompt: &str) -> tokio::task::JoinHandle<CallResult> {
+fn start_stream(entry: std::net::SocketAddr, prompt: &str) -> tokio::task::JoinHandle<CallResult> {
     let prompt = prompt.to_owned();
     tokio::spawn(async move {
         let caller = Caller::new(DESK_KEY);
@@ -25,12 +25,11 @@
     })
 }
 
-/// Symptom: a target that is about to go keeps getting requests.
-/// Sequence: the platform's list marks it as leaving; its agent has not been
-/// told anything.
-/// Cause: the agent's word goes before the list, but either is enough.
+/// Guards against a target that the platform's VM list marks as leaving and that still gets
+/// requests. Its agent has received no signal: what an agent says takes precedence over the list,
+/// but either is sufficient.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_marked_as_leaving_gets_no_new_work_and_finishes_what_it_has() {
+async fn a_target_marked_as_leaving_gets_no_new_requests_and_finishes_its_streams() {
     let cluster = Cluster::start().await;
     let leaving = Engine::start(slow_engine()).await;
     let staying = Engine::start(EngineConfig::default()).await;
@@ -38,7 +37,7 @@
     let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = leaving.runs().len();
-    let in_flight = stream(entry.address, "in flight");
+    let in_flight = start_stream(entry.address, "in flight");
     until("the stream has begun", || async {
         leaving.runs().len() > runs_before
     })
@@ -46,7 +45,7 @@
     let _second = cluster.start_agent("target-2", "briefing-llm", staying.server.address);
 
     cluster.vms.mark_leaving("target-1");
-    until("the mark has arrived", || async {
+    until("the entry has received the mark", || async {
         entry
             .daemon
             .output()
@@ -71,10 +70,8 @@
     );
 }
 
-/// Symptom: a rolling update of the agents cuts streams off.
-/// Sequence: an agent is told to stop in the middle of a stream.
-/// Cause: it must refuse new orders at once and end only when the last
-/// answer has.
+/// Guards against a rolling update of the agents that interrupts streams: an agent that is told to
+/// stop refuses new commands at once, and exits only after the last response has ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_is_told_to_stop_finishes_its_streams() {
     let cluster = Cluster::start().await;
@@ -83,14 +80,14 @@
     let entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
-    let in_flight = stream(entry.address, "in flight");
+    let in_flight = start_stream(entry.address, "in flight");
     until("the stream has begun", || async {
         engine.runs().len() > runs_before
     })
     .await;
 
     agent.daemon.signal(Signal::Terminate);
-    until("the agent has been told", || async {
+    until("the agent has received the signal", || async {
         agent.daemon.output().contains("told to stop")
     })
     .await;
@@ -99,7 +96,7 @@
         .complete(entry.address, "briefing-llm", "too late", 1, false)
         .await;
     let in_flight = in_flight.await.expect("the stream ends");
-    let code = agent.daemon.wait().expect("it ends by itself");
+    let code = agent.daemon.wait().expect("the process exits by itself");
 
     assert_eq!(refused.outcome, "not-run", "{}", refused.body);
     assert!(in_flight.is_complete);
@@ -111,13 +108,11 @@
     assert_eq!(code, 0);
 }
 
-/// Symptom: a rolling update of the entries cuts streams off, or refuses
-/// requests that the balancer still sends.
-/// Sequence: an entry is told to stop in the middle of a stream; a new
-/// request arrives before the balancer has noticed.
-/// Cause: readiness goes off first, the listener stays, then it drains.
+/// Guards against a rolling update of the entries that interrupts streams, or refuses requests that
+/// arrive before the load balancer in front has noticed. An entry that is told to stop first
+/// reports that it is not ready, keeps its listener open, and then drains.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_is_told_to_stop_serves_on_until_it_has_drained() {
+async fn an_entry_that_is_told_to_stop_serves_until_it_has_drained() {
     let mut cluster = Cluster::start().await;
     cluster.entry_settings = "drain_delay_ms = 1000\n".to_owned();
     let engine = Engine::start(slow_engine()).await;
@@ -125,7 +120,7 @@
     let mut entry = cluster.start_entry("entry-1");
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
-    let in_flight = stream(entry.address, "in flight");
+    let in_flight = start_stream(entry.address, "in flight");
     until("the stream has begun", || async {
         engine.runs().len() > runs_before
     })
@@ -133,7 +128,7 @@
     let caller = Caller::new(DESK_KEY);
 
     entry.daemon.signal(Signal::Terminate);
-    until("it is no longer ready", || async {
+    until("the entry is no longer ready", || async {
         caller.get(entry.address, "/readyz").await.status == 503
     })
     .await;
@@ -141,7 +136,7 @@
         .complete(entry.address, "briefing-llm", "late", 2, false)
         .await;
     let in_flight = in_flight.await.expect("the stream ends");
-    let code = entry.daemon.wait().expect("it ends by itself");
+    let code = entry.daemon.wait().expect("the process exits by itself");
 
     assert_eq!(late.outcome, "done", "{}", late.body);
     assert!(in_flight.is_complete);
@@ -152,12 +147,10 @@
     assert_eq!(code, 0);
 }
 
-/// Symptom: a stop that an operator has bounded never ends.
-/// Sequence: the entry is told to stop while an answer hangs.
-/// Cause: only a bound that the operator sets may cut an answer, and then it
-/// must.
+/// Guards against a stop that never completes because a response hangs, although the operator has
+/// set a bound. Only such a bound may interrupt a response, and then it must.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bounded_drain_ends_although_an_answer_hangs() {
+async fn a_bounded_drain_completes_although_a_response_hangs() {
     let mut cluster = Cluster::start().await;
     cluster.entry_settings = "drain_delay_ms = 0\ndrain_bound_ms = 300\n".to_owned();
     let engine = Engine::start(slow_engine()).await;
@@ -166,14 +159,14 @@
     until_serving(&entry, "briefing-llm").await;
     let runs_before = engine.runs().len();
     engine.set_stalled(true);
-    let hanging = stream(entry.address, "hangs");
+    let hanging = start_stream(entry.address, "hangs");
     until("the stream has begun", || async {
         engine.runs().len() > runs_before
     })
     .await;
 
     entry.daemon.signal(Signal::Terminate);
-    let code = entry.daemon.wait().expect("it ends by itself");
+    let code = entry.daemon.wait().expect("the process exits by itself");
     let hanging = hanging.await.expect("the call ends");
 
     assert_eq!(code, 0);
--- a/crates/berylhook/tests/limits.rs
+++ b/crates/berylhook/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits hold over all entries as a sum, and a refusal comes at once.
+//! Limits apply to the sum over all entries, and requests over a limit are refused at once.
 
 use std::time::{Duration, Instant};
 
@@ -11,9 +11,9 @@
 
 const CONCURRENCY: u32 = 10;
 
-/// A cluster of two entries whose desk account may have ten requests at a
-/// time, over an engine that never ends any.
-async fn limited() -> (
+/// Starts two entries whose desk account may have ten concurrent requests, and an engine with its
+/// agent.
+async fn start_limited_cluster() -> (
     Cluster,
     Engine,
     Vec<EntryProcess>,
@@ -35,9 +35,9 @@
     (cluster, engine, entries, agent)
 }
 
-/// Waits until the entries together may use most of the limit.
+/// Waits until the entries together may use 90 % of the limit.
 async fn until_shares_granted(entries: &[EntryProcess]) {
-    until("the shares have been given", || async {
+    until("the shares are granted", || async {
         let usable: f64 = statuses(&entries[0].settings)
             .iter()
             .flat_map(|status| status["limits"].as_array().cloned().unwrap_or_default())
@@ -48,8 +48,8 @@
     .await;
 }
 
-/// Fills both entries with hanging requests until both refuse; gives how many
-/// were let in.
+/// Sends hanging requests to all entries until they have refused all for three seconds; returns the
+/// number admitted.
 async fn count_admitted(engine: &Engine, entries: &[EntryProcess]) -> u32 {
     let runs_before = engine.runs().len();
     let mut refused_since = Instant::now();
@@ -71,33 +71,30 @@
     u32::try_from(engine.runs().len() - runs_before).expect("few runs")
 }
 
-/// Symptom: an account gets its limit once from every entry.
-/// Sequence: callers flood two entries at once.
-/// Cause: each entry knows only its own requests; the shares it may use add
-/// up to the limit.
+/// Guards against an account that gets its limit once per entry when callers flood two entries.
+/// Each entry knows only its own requests, so the shares of the entries must add up to the limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_sum_over_entries_stays_within_the_limit_and_uses_most_of_it() {
-    let (_cluster, engine, entries, _agent) = limited().await;
+    let (_cluster, engine, entries, _agent) = start_limited_cluster().await;
     until_shares_granted(&entries).await;
     engine.set_stalled(true);
 
     let admitted = count_admitted(&engine, &entries).await;
 
-    assert!(admitted <= CONCURRENCY, "{admitted} at a time");
+    assert!(admitted <= CONCURRENCY, "{admitted} concurrent requests");
     assert!(
         admitted >= CONCURRENCY / 2,
-        "only {admitted} of {CONCURRENCY} are usable"
+        "only {admitted} of {CONCURRENCY} admitted"
     );
 }
 
-/// Symptom: in an outage every limited account is refused, or none is.
-/// Sequence: the key-value service is down for longer than the home's lease;
-/// then the home itself dies.
-/// Cause: while all entries keep asking one home, no other can be there; and
-/// when it is gone, each entry has its piece of the static part left.
+/// Guards against an outage of the key-value service, longer than the lease of the limit's home, in
+/// which every limited account is refused or none is. The home is the entry that allocates the
+/// shares: as long as all entries renew with it, no other can take its place, and when it dies as
+/// well, each entry still has its part of the static share.
 #[tokio::test(flavor = "multi_thread")]
-async fn limits_go_on_in_an_outage() {
-    let (cluster, engine, entries, _agent) = limited().await;
+async fn limits_apply_during_an_outage() {
+    let (cluster, engine, entries, _agent) = start_limited_cluster().await;
     until_shares_granted(&entries).await;
     until_serving(&entries[1], "briefing-llm").await;
 
@@ -106,15 +103,15 @@
     engine.set_stalled(true);
     let admitted = count_admitted(&engine, &entries).await;
 
-    assert!(admitted <= CONCURRENCY, "{admitted} at a time");
+    assert!(admitted <= CONCURRENCY, "{admitted} concurrent requests");
     assert!(
         admitted >= CONCURRENCY / 2,
-        "only {admitted} of {CONCURRENCY} are usable"
+        "only {admitted} of {CONCURRENCY} admitted"
     );
     entries[0].daemon.signal(Signal::Kill);
     engine.set_stalled(false);
     let static_share = 0.2 * f64::from(CONCURRENCY) / 2.0;
-    until("the shares have ended", || async {
+    until("the shares have expired", || async {
         let statuses = statuses(&entries[1].settings);
         let usable = statuses[0]["limits"][0]["usable"].as_f64();
         usable.is_some_and(|usable| usable <= static_share)
@@ -130,12 +127,10 @@
     .await;
 }
 
-/// Symptom: a caller that is over its limit waits and does not know for how
-/// long.
-/// Sequence: an account sends more than its rate.
-/// Cause: the refusal is final, comes at once and says when to come back.
+/// Guards against a caller over its rate limit that waits without knowing for how long: the refusal
+/// is final, immediate and has a `Retry-After` header.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_over_the_rate_is_refused_with_when_to_come_back() {
+async fn a_request_over_the_rate_is_refused_with_retry_after() {
     let cluster = Cluster::start().await;
     let limited = catalogue().replace(
         "[account paddle-desk]\n",
@@ -165,13 +160,11 @@
     assert!(refused.retry_after.is_some());
 }
 
-/// Symptom: a caller waits for an answer that comes too late to be of use.
-/// Sequence: the only target has a long queue; a request with little time
-/// arrives.
-/// Cause: work that cannot begin before its deadline is refused at once, with
-/// when to come back.
+/// Guards against a caller that waits for a response that comes after its deadline. The only target
+/// has a long queue, so a request that cannot start before its deadline is refused at once, with a
+/// `Retry-After` header.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_cannot_begin_in_time_is_refused_at_once() {
+async fn a_request_that_cannot_start_before_its_deadline_is_refused_at_once() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig {
         slots: 1,
--- a/crates/berylhook/tests/path.rs
+++ b/crates/berylhook/tests/path.rs
@@ -1,11 +1,11 @@
-//! The whole path with the real binaries: caller, entry, agent, engine.
+//! Requests through all real binaries: caller, entry, agent, engine.
 
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::cluster::{CLAIMS_KEY, Cluster, DESK_KEY, until_serving};
 use berylhook_test_support::{Engine, EngineConfig, PlainService};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_request_is_answered_whole() {
+async fn a_model_request_gets_a_complete_response() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_passed_on_whole() {
+async fn a_stream_is_forwarded_completely() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_must_not_be_repeated_runs_once_and_repeats_its_answer() {
+async fn a_repeated_at_most_once_call_runs_once_and_gets_the_same_response() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent without a reset.
+//! Connections that stop carrying data without a reset.
 
 use std::time::Duration;
 
@@ -13,13 +13,12 @@
     }
 }
 
-/// Symptom: requests hang for minutes although the target is healthy.
-/// Sequence: the connection between entry and agent is forgotten by something
-/// in between; nothing is reset; new connections work.
-/// Cause: only heartbeats inside the connection show it. A fresh connection
-/// is dialled, streams are resumed over it, and fresh requests use it.
+/// Guards against requests that hang for minutes although the target is healthy. A device between
+/// entry and agent drops the state of their connection: nothing is reset, and new connections work.
+/// Only heartbeats on the connection reveal this; the entry then reconnects, resumes streams and
+/// sends new requests over the new connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_continue_over_a_fresh_connection_when_the_old_one_is_dead() {
+async fn streams_continue_over_a_new_connection_when_the_old_one_is_dead() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
@@ -57,12 +56,11 @@
     until_serving(&entry, "briefing-llm").await;
 }
 
-/// Symptom: callers wait for a target that nothing can reach.
-/// Sequence: no connection to the agent carries anything, old or new.
-/// Cause: the requests in flight must be settled: what was never answered is
-/// told so, and nothing waits for the link to come back.
+/// Guards against callers that wait for an agent to which neither old nor new connections carry
+/// data. Requests in flight must be resolved: each without a response gets its outcome, and none
+/// waits for the link to recover.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_to_an_unreachable_agent_are_settled() {
+async fn requests_to_an_unreachable_agent_are_resolved() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
@@ -80,20 +78,18 @@
         .complete(entry.address, "briefing-llm", "later", 5, false)
         .await;
 
-    // Nobody could be asked what became of the first; the second was never
-    // sent.
+    // The agent could not be queried for the outcome of the first request; the
+    // second was never sent.
     assert_eq!(unacknowledged.outcome, "unknown", "{}", unacknowledged.body);
     assert_eq!(refused.outcome, "not-run", "{}", refused.body);
     assert!(refused.retry_after.is_some());
 }
 
-/// Symptom: a request that may be repeated fails although its target is
-/// healthy.
-/// Sequence: the only target's connection goes silent before the answer.
-/// Cause: the target counted as failed for this request, and there is no
-/// other; over a fresh connection it can run again.
+/// Guards against the failure of a repeatable request whose only, healthy target became unreachable
+/// before the response because its connection went silent. The target counted as failed for this
+/// request; over a new connection the request can run there again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_runs_again_over_a_fresh_connection() {
+async fn a_repeatable_request_is_retried_over_a_new_connection() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
