--- a/crates/berylhook/tests/at_most_once.rs
+++ b/crates/berylhook/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! A call that must not be repeated runs at most once, whatever dies, wakes
-//! or is cut off.
+//! A call that must not be repeated runs at most once, whichever processes die, freeze or are cut
+//! off.
 
 mod common;
 
@@ -11,17 +11,17 @@
 
 use common::{first_shard_of, new_key, new_key_in_shard, send_attempt, shard_home};
 
+/// Counts the runs under `key`: callers send the key as the body.
 fn run_count(service: &PlainService, key: &str) -> usize {
     service.runs().iter().filter(|run| run.body == key).count()
 }
 
-/// Symptom: two canoes are assigned to one party.
-/// Sequence: the entry dies while the call runs; the caller repeats it under
-/// the same key at another entry.
-/// Cause: no entry may keep the record, since entries die; the key's home
-/// beside the target does, and the repeat waits there for the first run.
+/// Guards against two canoes assigned to one party. An entry dies while the call runs, and the
+/// caller repeats the call under the same key at another entry. Entries may die, so the record of
+/// the key is kept by its home, an agent beside the target, and the repeat waits there for the
+/// first run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_at_another_entry_gets_the_first_runs_answer() {
+async fn a_repeat_at_another_entry_gets_the_response_of_the_first_run() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -56,15 +56,13 @@
     assert_eq!(run_count(&service, &key), 1);
 }
 
-/// Symptom: a letter goes out twice after a network cut.
-/// Sequence: the home is cut off from the key-value service; its lease ends
-/// and another agent becomes home; an entry that still believes in the former
-/// home sends it a fresh key, and the caller repeats at an entry that knows
-/// only the new one.
-/// Cause: nobody can tell the former home, so its right to start must end on
-/// its own clock before the service lets a successor in.
+/// Guards against a letter that is sent twice after a network partition. The home of a shard is cut
+/// off from the key-value service, its lease expires and another agent becomes home. An entry that
+/// still routes to the previous home sends it a new key, and the caller repeats the key at an entry
+/// that knows only the new home. The previous home cannot be notified, so its permission to start
+/// runs must expire on its own clock before the service admits a successor.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_former_home_that_is_cut_off_starts_nothing() {
+async fn a_previous_home_that_is_cut_off_starts_no_run() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let store_link = Link::start(cluster.key_value.address()).await;
@@ -85,7 +83,8 @@
         first_shard_of(&cluster.key_value, "push-2").is_some()
     })
     .await;
-    let shard = first_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
+    let shard =
+        first_shard_of(&cluster.key_value, "push-1").expect("the previous home has a shard");
     let caller = Caller::new(DESK_KEY);
     let (warm_up, _) = send_attempt(
         &caller,
@@ -115,14 +114,13 @@
     assert_eq!(run_count(&service, &key), 1);
 }
 
-/// Symptom: a confirmation is sent again after its keeper died.
-/// Sequence: the home runs the call and is frozen before it can answer; its
-/// lease ends, a successor takes the shard over with no records; the caller
-/// repeats the key; then the former home wakes.
-/// Cause: the successor cannot know the key, but it knows that the key was
-/// issued before its own time: such a key is answered "unknown".
+/// Guards against a confirmation that is sent twice after its home dies. The home runs the call and
+/// is frozen before it responds, its lease expires, and a successor takes the shard over without
+/// records. The caller repeats the key, and then the previous home resumes. The successor cannot
+/// know the key, but knows that it was issued before its own term: for such a key it reports
+/// "unknown".
 #[tokio::test(flavor = "multi_thread")]
-async fn a_successor_runs_no_key_from_before_its_time() {
+async fn a_successor_runs_no_key_issued_before_its_term() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let previous = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -133,7 +131,8 @@
         first_shard_of(&cluster.key_value, "push-2").is_some()
     })
     .await;
-    let shard = first_shard_of(&cluster.key_value, "push-1").expect("the former home has a shard");
+    let shard =
+        first_shard_of(&cluster.key_value, "push-1").expect("the previous home has a shard");
     let caller = Caller::new(DESK_KEY);
     let key = new_key_in_shard(shard);
 
@@ -163,13 +162,11 @@
     assert_eq!(run_count(&service, &key), 1);
 }
 
-/// Symptom: during an outage callers are told nothing, or too much.
-/// Sequence: the key-value service is down for longer than the home's lease.
-/// Cause: a home that cannot renew cannot tell an outage from a cut in which
-/// it was replaced. It refuses fresh keys as not run, and still tells what it
-/// has on record.
+/// Guards against wrong reports during an outage of the key-value service that is longer than the
+/// home's lease. A home that cannot renew its lease cannot tell an outage from a partition in which
+/// it was replaced. It refuses new keys as not run, and still answers keys that it has on record.
 #[tokio::test(flavor = "multi_thread")]
-async fn in_a_long_outage_fresh_keys_are_refused_and_known_ones_answered() {
+async fn in_a_long_outage_new_keys_are_refused_and_recorded_ones_answered() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -200,13 +197,12 @@
     assert_eq!(run_count(&service, &recorded_key), 1);
 }
 
-/// Symptom: a rolling restart refuses calls, or runs some again.
-/// Sequence: the home is told to stop while calls keep coming; its shards go
-/// to another agent; keys from before the move are repeated after it.
-/// Cause: a planned move hands the records over, so the next home needs no
-/// floor above the keys of the former one.
+/// Guards against a rolling restart that refuses calls or runs some twice. The home is told to stop
+/// while calls keep coming, its shards move to another agent, and keys from before the move are
+/// repeated after it. A planned move hands the records over, so the next home needs no low-water
+/// mark above the keys of the previous one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_move_refuses_nothing_and_forgets_nothing() {
+async fn a_planned_move_refuses_no_call_and_loses_no_record() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let mut stopping = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -230,7 +226,7 @@
         outcomes.push(response.outcome);
         keys.push(key);
     }
-    let exit_code = stopping.daemon.wait().expect("it ends by itself");
+    let exit_code = stopping.daemon.wait().expect("the agent exits by itself");
     let mut repeats = Vec::new();
     for key in &keys {
         let (response, _) = send_attempt(&caller, entry.address, key, "b").await;
@@ -249,10 +245,9 @@
     assert!(keys.iter().all(|key| run_count(&service, key) == 1));
 }
 
-/// Symptom: one key used for two different requests gets the wrong answer.
-/// Sequence: a caller reuses a key by mistake.
-/// Cause: answering from the record would give the second request the first
-/// one's answer; running it would break the key's promise.
+/// Guards against a response to the wrong request when a caller uses one key for two different
+/// requests. The record would give the second request the response of the first, and running it
+/// would break the at-most-once guarantee of the key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_reused_for_another_request_is_refused() {
     let cluster = Cluster::start().await;
@@ -277,20 +272,19 @@
     assert_eq!(reused.json()["error"]["code"], "idempotency_key_reused");
 }
 
-/// Symptom: a sixteenth of all calls is refused until an agent is restarted.
-/// Sequence: an agent's claim on a shard takes effect, its answer is lost, and
-/// an outage keeps the agent from reading it back; afterwards the service
-/// names it as home under a lease that it renews.
-/// Cause: a claim in doubt that is neither used nor ended.
+/// Guards against a sixteenth of all calls being refused until an agent restarts. An agent's claim
+/// on a shard takes effect, but the response is lost and an outage keeps the agent from reading the
+/// claim back. Afterwards the service names the agent as home under a lease that it renews, so it
+/// must not leave the claim unresolved, neither used nor released.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_answer_was_lost_in_an_outage_is_used_afterwards() {
+async fn a_claim_whose_response_was_lost_in_an_outage_is_used_afterwards() {
     const SHARD: u32 = 3;
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     cluster.key_value.fail_after_write_of("/0003/home");
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
     let entry = cluster.start_entry("entry-1");
-    until("the claim is in doubt", || async {
+    until("the outcome of the claim is unknown", || async {
         cluster.key_value.outage() == Outage::Refusing
     })
     .await;
--- a/crates/berylhook/tests/catalogue.rs
+++ b/crates/berylhook/tests/catalogue.rs
@@ -1,5 +1,5 @@
-//! An accepted change is in force everywhere and never reverts; everything
-//! else never gets into force.
+//! A catalogue change that is accepted comes into force in every process and is never reverted;
+//! nothing else comes into force.
 
 use berylhook_operator::IniFile;
 use berylhook_test_support::calls::Caller;
@@ -28,7 +28,7 @@
     command::statuses(&entry.settings)
 }
 
-/// Whether all `count` entries have the same, and not `old`, in force.
+/// Whether all `count` entries have the same catalogue in force, and not the one with `old_digest`.
 fn is_changed_everywhere(entry: &EntryProcess, count: usize, old_digest: &Value) -> bool {
     let statuses = statuses(entry);
     let same = |status: &Value| status["catalogue_digest"] == statuses[0]["catalogue_digest"];
@@ -37,13 +37,11 @@
         && statuses[0]["catalogue_digest"] != *old_digest
 }
 
-/// Symptom: some processes serve by the old catalogue for ever.
-/// Sequence: the watches stay open but tell nothing more; an operator's
-/// change is accepted.
-/// Cause: a watch can go silent without an error, so readers compare
-/// revisions too, and entries that are no readers compare digests.
+/// Guards against processes that keep an old catalogue because their watches stay open but deliver
+/// no more events. A watch can stop without an error, so processes that read the store also compare
+/// revisions, and the other entries compare digests with their peers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_reaches_every_entry_although_the_watches_are_silent() {
+async fn a_change_reaches_every_entry_although_watches_deliver_nothing() {
     let cluster = Cluster::start().await;
     let entries =
         ["entry-1", "entry-2", "entry-3", "entry-4"].map(|name| cluster.start_entry(name));
@@ -71,13 +69,12 @@
     .await;
 }
 
-/// Symptom: a broken value takes a service down.
-/// Sequence: a value is written past the tools with a higher version; then a
-/// process is born that has only the service to ask.
-/// Cause: if only the newest value were kept, the broken one would hide the
-/// last accepted one from whoever starts later.
+/// Guards against an invalid value that takes a service down: it is written without the operator
+/// commands, under a higher version, and then a process starts that has only the store to read
+/// from. If only the newest value were stored, the invalid one would hide the last accepted one
+/// from processes that start later.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_invalid_newer_value_hides_nothing_from_a_process_born_later() {
+async fn an_invalid_newer_value_does_not_hide_the_valid_one_from_a_new_process() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
@@ -111,11 +108,9 @@
     assert!(get(&cluster).contains("class = interactive"));
 }
 
-/// Symptom: a restarted process serves by an old catalogue, or by none.
-/// Sequence: a change is accepted; the key-value service goes down; an entry
-/// is replaced and has no disk.
-/// Cause: it must learn the newest versions from the others, and from enough
-/// of them, before it takes requests.
+/// Guards against an entry that serves an old catalogue, or none, after it is replaced without its
+/// disk during an outage of the key-value service. Before it accepts requests it must get the
+/// newest versions from its peers, and from enough of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_diskless_restart_in_an_outage_reverts_nothing() {
     let cluster = Cluster::start().await;
@@ -153,10 +148,9 @@
     );
 }
 
-/// Symptom: after a data centre's entries were all replaced in an outage,
-/// nothing is served until the service is back.
-/// Sequence: the service is down and every entry restarts at once.
-/// Cause: then only the agents still know the catalogue.
+/// Guards against a data centre that serves nothing for the rest of an outage of the key-value
+/// service because all its entries restarted at once: then only the agents still have the
+/// catalogue.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_all_restart_in_an_outage_get_the_catalogue_from_agents() {
     let cluster = Cluster::start().await;
@@ -172,18 +166,16 @@
     until_serving(&entry, "briefing-llm").await;
 }
 
-/// Symptom: a process that knows nothing takes requests and refuses them all
-/// as unknown models.
-/// Sequence: it starts while it can reach neither the service nor any peer.
-/// Cause: "nothing is in the catalogue" and "the catalogue is not known" must
-/// not look alike.
+/// Guards against a process that accepts requests and refuses them all as unknown models, because
+/// it started while it could reach neither the service nor a peer. An unknown catalogue must be
+/// distinct from an empty one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_that_reaches_neither_service_nor_peers_is_not_ready() {
     let cluster = Cluster::start().await;
     cluster.key_value.set_outage(Outage::Refusing);
     let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
-    until("it is alive", || async {
+    until("the entry is alive", || async {
         caller.get(entry.address, "/healthz").await.status == 200
     })
     .await;
@@ -200,12 +192,11 @@
     until_ready(&entry).await;
 }
 
-/// Symptom: one operator's change silently undoes another's.
-/// Sequence: two operators read the same revision and both apply.
-/// Cause: an apply that does not name what it is based on overwrites what it
-/// has never seen.
+/// Guards against a change that silently undoes another: two operators read the same revision and
+/// both apply a file. An apply that did not name its base revision would overwrite changes that the
+/// operator has not seen.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_is_shown_the_difference() {
+async fn of_two_concurrent_applies_one_is_refused_with_a_diff() {
     let cluster = Cluster::start().await;
     let base = get(&cluster);
     let first = TemporaryFile::new(&base.replace("class = interactive", "class = batch"));
@@ -214,7 +205,10 @@
     let (applied, conflicting) = std::thread::scope(|scope| {
         let first = scope.spawn(|| apply(&cluster, &first, &["--based-on", "0"]));
         let second = scope.spawn(|| apply(&cluster, &second, &["--based-on", "0"]));
-        let mut outputs = [first.join().expect("runs"), second.join().expect("runs")];
+        let mut outputs = [
+            first.join().expect("the command runs"),
+            second.join().expect("the command runs"),
+        ];
         outputs.sort_by_key(|output| output.code);
         let [applied, conflicting] = outputs;
         (applied, conflicting)
@@ -237,12 +231,11 @@
     assert!(!both, "{in_force}");
 }
 
-/// Symptom: an operator is told that a change failed, applies again, and the
-/// change is there twice.
-/// Sequence: the write takes effect and its answer is lost.
-/// Cause: the writer cannot tell, so the change's id is looked for.
+/// Guards against a change that is applied twice because its write takes effect, the response is
+/// lost, and the operator sees a failure. The command cannot know the outcome, so it looks for the
+/// id of the change in the store.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_whose_answer_was_lost_is_found_again() {
+async fn a_change_whose_response_was_lost_is_found_in_the_store() {
     let cluster = Cluster::start().await;
     let changed_file = get(&cluster).replace("class = interactive", "class = batch");
 
@@ -265,11 +258,10 @@
     assert_eq!(versions.len(), 2, "{versions:?}");
 }
 
-/// Symptom: a mistyped file removes a customer.
-/// Sequence: a file that lacks an item is applied.
-/// Cause: a missing section may be a mistake, so removing is asked for.
+/// Guards against a mistyped file that removes a client account. A missing section may be a
+/// mistake, so removal needs an explicit flag.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_file_that_lacks_an_item_removes_it_only_when_told_to() {
+async fn a_file_that_lacks_an_item_removes_it_only_with_the_remove_flag() {
     let cluster = Cluster::start().await;
     let base = get(&cluster);
     let without = base
@@ -292,11 +284,10 @@
     assert!(!get(&cluster).contains("kingston-claims"));
 }
 
-/// Symptom: a model stays unknown until an entry is restarted.
-/// Sequence: an entry runs; a section is added by a later version.
-/// Cause: changes are told to running processes, agents included.
+/// Guards against a model that stays unknown until an entry restarts: when a later version adds a
+/// section, running processes, including agents, must receive it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_entry_is_served_without_a_restart() {
+async fn a_new_catalogue_entry_is_served_without_a_restart() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "drafter", engine.server.address);
@@ -306,7 +297,10 @@
     let new_catalogue = catalogue()
         .replace("entry briefing-llm", "entry drafter")
         .replace("entries = briefing-llm", "entries = drafter, briefing-llm");
-    for section in &IniFile::parse(&new_catalogue).expect("it is INI").sections {
+    for section in &IniFile::parse(&new_catalogue)
+        .expect("the catalogue is INI")
+        .sections
+    {
         store_section(&cluster.key_value, section, 2);
     }
 
@@ -314,7 +308,7 @@
 }
 
 #[test]
-fn check_names_the_line_the_setting_and_the_remedy() {
+fn check_reports_the_line_the_setting_and_a_suggestion() {
     let file = TemporaryFile::new("[entry]\nname = e\ndata_center = cairo-a\n");
 
     let output = berylhook(&["check", file.path()]);
@@ -325,10 +319,11 @@
 }
 
 #[test]
-fn serve_refuses_settings_that_do_not_check() {
-    let mut daemon = Daemon::start("berylhook", &["serve"], "[entry]\n").expect("it starts");
+fn serve_refuses_invalid_settings() {
+    let mut daemon =
+        Daemon::start("berylhook", &["serve"], "[entry]\n").expect("the process starts");
 
-    let code = daemon.wait().expect("it ends by itself");
+    let code = daemon.wait().expect("the process exits by itself");
 
     assert_eq!(code, 1);
     let expected = "line 1: [entry] lacks `name`; add a line `name = ...`";
--- a/crates/berylhook/tests/causes.rs
+++ b/crates/berylhook/tests/causes.rs
@@ -1,4 +1,4 @@
-//! `berylhook causes` tells from the logs of entries why requests were late.
+//! `berylhook causes` reports from the logs of entries why requests were late.
 
 use std::process::{Command, Output};
 
@@ -17,26 +17,27 @@
     })
 }
 
-/// Runs the command on a log; `by` names the file too, as tests run side by side.
+/// Runs the command on a log. `group_by` is also part of the name of the file, because tests run
+/// concurrently.
 fn run_causes(log: &str, group_by: &str) -> Output {
     let name = format!("causes-{group_by}-{}.log", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, log).expect("the log is written");
-    let output = Command::new(binary("berylhook").expect("built"))
+    let output = Command::new(binary("berylhook").expect("the binary is built"))
         .args(["causes", "--format", "json", "--by", group_by])
         .arg(&path)
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     std::fs::remove_file(&path).expect("the log is removed");
     output
 }
 
 fn causes_json(log: &str, group_by: &str) -> Value {
-    serde_json::from_slice(&run_causes(log, group_by).stdout).expect("JSON")
+    serde_json::from_slice(&run_causes(log, group_by).stdout).expect("the output is JSON")
 }
 
 #[test]
-fn each_request_is_counted_by_where_its_time_went() {
+fn each_request_is_counted_by_the_cause_of_its_delay() {
     let log = [
         log_line(1, &request_ended("streamed", 200, 0, 90)),
         log_line(1, &request_ended("streamed", 900, 700, 90)),
@@ -63,10 +64,10 @@
     assert_eq!(causes["unreadable_lines"], 1);
 }
 
-// Symptom: an empty table, and every line of a saved log named as unreadable. Cause:
-// collectors write the time and the VM's name before each line.
+// Guards against an empty table and a report that every line is unreadable: log collectors write
+// the time and the name of the VM before each line.
 #[test]
-fn a_line_is_read_from_its_first_brace_on() {
+fn a_prefix_before_the_json_of_a_line_is_ignored() {
     let log = [
         format!(
             "12.25 entry-a {}",
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn requests_are_counted_by_the_target_that_they_were_sent_to() {
+fn requests_are_counted_by_their_last_target() {
     let mut sent = request_ended("streamed", 900, 10, 90);
     sent["last_target"] = json!("i-7f3a");
     let log = [log_line(1, &sent), log_line(2, &sent)];
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_log_of_an_entry_is_an_error_with_a_remedy() {
+fn a_file_that_is_not_an_entry_log_is_an_error_with_a_hint() {
     let log = vec!["GET / HTTP/1.1"; 20].join("\n");
 
     let output = run_causes(&log, "route");
@@ -118,11 +119,11 @@
 }
 
 #[test]
-fn a_log_that_is_not_there_is_named() {
-    let output = Command::new(binary("berylhook").expect("built"))
+fn the_error_for_a_missing_log_has_its_path() {
+    let output = Command::new(binary("berylhook").expect("the binary is built"))
         .args(["causes", "/no/such/log"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
 
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
--- a/crates/berylhook/tests/not_run.rs
+++ b/crates/berylhook/tests/not_run.rs
@@ -1,5 +1,5 @@
-//! "Not run" is true: what callers are told when orders are lost, late or
-//! sent to a process that is gone.
+//! A caller is told "not run" only if its request did not run, also when commands are lost, late or
+//! sent to a process that has exited.
 
 use std::time::Duration;
 
@@ -9,16 +9,14 @@
 };
 use berylhook_test_support::{Engine, EngineConfig, Fault, PlainService, Signal};
 
-/// Symptom: a caller is told "not run", sends again, and the request runs
-/// twice.
-/// Sequence: the order leaves the entry; the connection stops carrying
-/// anything; the entry gives it up, reconnects and revokes; the caller is
-/// told "not run"; then the held-back order arrives at the agent after all.
-/// Cause: an agent that forgets a revoke starts the late order.
+/// Guards against a caller that is told "not run", repeats the request and so has it run twice. The
+/// command leaves the entry and its connection freezes. The entry abandons the connection,
+/// reconnects and revokes the command, and the caller is told "not run". Then the delayed command
+/// reaches the agent, which must remember the revoke and not start it.
 ///
-/// Retries are off, so that the caller is told of this attempt.
+/// Retries are off, so that the caller gets the outcome of this attempt.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_arrives_after_its_revoke_does_not_start() {
+async fn a_command_that_arrives_after_its_revoke_does_not_start() {
     let cluster = Cluster::start().await;
     let no_retries = catalogue().replace("resume = yes", "resume = yes\nretry_percent = 0");
     store_catalogue(&cluster.key_value, &no_retries);
@@ -36,7 +34,7 @@
         .complete(entry.address, "briefing-llm", "late order", 3, false)
         .await;
     linked.link.set_fault(Fault::None);
-    until("the late order has been decided", || async {
+    until("the late command is refused or runs", || async {
         linked.agent.daemon.output().contains("refused: revoked")
             || engine.runs().len() > runs_before
     })
@@ -47,13 +45,12 @@
     assert_eq!(engine.runs().len(), runs_before);
 }
 
-/// Symptom: a caller is told "not run" of a request that ran.
-/// Sequence: the order reaches the agent and starts; the agent dies and is
-/// replaced under the same name; the entry asks the new one to revoke.
-/// Cause: the new incarnation has no record of the order, and "no record"
-/// taken for "will not run" would be false.
+/// Guards against a caller that is told "not run" about a request that ran. The command reaches the
+/// agent and starts, then the agent dies and is replaced under the same name, and the entry sends
+/// the new one a revoke. The new incarnation has no record of the command, and "no record" must not
+/// be taken for "will not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_agent_does_not_answer_for_its_former_self() {
+async fn a_restarted_agent_does_not_answer_for_its_previous_incarnation() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let mut agent = cluster.start_agent("push-1", "guide-push", service.server.address);
@@ -89,11 +86,10 @@
     assert_eq!(service.runs().len(), runs_before + 1);
 }
 
-/// Symptom: a request that can go nowhere waits until the caller gives up.
-/// Sequence: no agent of the entry is connected.
-/// Cause: waiting for one would hide from the caller that it can come back.
+/// Guards against a request that waits until its caller gives up because no agent is connected. The
+/// caller must learn at once that the request did not run and when to retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn with_no_live_target_the_refusal_is_not_run_and_says_when_to_come_back() {
+async fn with_no_live_target_the_refusal_is_not_run_with_retry_after() {
     let cluster = Cluster::start().await;
     let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
@@ -109,10 +105,9 @@
     assert_eq!(response.json()["error"]["code"], "no_live_target");
 }
 
-/// Symptom: a model request fails although another target was free.
-/// Sequence: the target it was sent to dies before the first byte.
-/// Cause: a request that may be repeated and has shown nothing to its caller
-/// can run again elsewhere.
+/// Guards against a model request that fails although another target is free, because its target
+/// dies before the first byte. A repeatable request of which the caller has received nothing can
+/// run again elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeatable_request_moves_to_another_target_before_its_first_byte() {
     let cluster = Cluster::start().await;
@@ -129,7 +124,7 @@
             .complete(entry.address, "briefing-llm", "moved", 5, false)
             .await
     });
-    until("the stuck target has it", || async {
+    until("the stalled target has the request", || async {
         stuck.runs().len() > runs_before
     })
     .await;
--- a/crates/berylhook/tests/once_history.rs
+++ b/crates/berylhook/tests/once_history.rs
@@ -1,6 +1,5 @@
-//! Histories of concurrent calls under random faults with fixed seeds. The
-//! verdict does not depend on timing: whatever the faults hit, every history
-//! must keep the promises.
+//! Histories of concurrent at-most-once calls under random faults with fixed seeds. The checks do
+//! not depend on timing: every history must satisfy the guarantees, whatever the faults hit.
 
 mod common;
 
@@ -23,7 +22,7 @@
 const ATTEMPTS_PER_KEY: usize = 4;
 const FAULTS: usize = 14;
 
-/// A cluster that faults are done to.
+/// A cluster into which faults are injected.
 struct FaultedCluster {
     cluster: Cluster,
     service: PlainService,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Does one fault and undoes it.
+    /// Injects one random fault and ends it again.
     async fn inject_fault(&mut self, random: &mut StdRng) {
         let index = random.random_range(0..self.agents.len());
         let duration = Duration::from_millis(random.random_range(50..2_800));
@@ -103,15 +102,16 @@
     }
 }
 
-/// What one worker saw.
+/// Attempts that one worker made.
 #[derive(Default)]
 struct WorkerResult {
     events: Vec<Event>,
-    /// Keys it was never told "done" of.
+    /// Keys of which no attempt was reported as done.
     unconfirmed_keys: Vec<String>,
 }
 
-/// Repeats each key, at random entries, until it is told "done".
+/// Sends each key, at random entries, until an attempt is reported as done or [`ATTEMPTS_PER_KEY`]
+/// is reached.
 async fn run_worker(seed: u64, entries: Vec<SocketAddr>) -> WorkerResult {
     let mut random = StdRng::seed_from_u64(seed);
     let caller = Caller::new(DESK_KEY);
@@ -134,7 +134,7 @@
         if !is_done {
             result.unconfirmed_keys.push(key);
         }
-        // Spread over the faults instead of finishing before the first.
+        // Pauses spread the keys over all faults; without them the worker ends before the first.
         let pause = Duration::from_millis(random.random_range(20..400));
         tokio::time::sleep(pause).await;
     }
@@ -160,8 +160,8 @@
             recorder.push(event);
         }
     }
-    // By now shards have changed hands, so these keys meet homes that were
-    // not there when the keys were issued.
+    // By now shards have moved, so these keys reach agents that were not their home when the
+    // keys were issued.
     let caller = Caller::new(DESK_KEY);
     for (number, key) in unconfirmed_keys.iter().enumerate() {
         let name = format!("{seed}.late.{number}");
@@ -191,16 +191,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_promises_hold_under_faults_of_seed_1() {
+async fn at_most_once_holds_under_faults_of_seed_1() {
     check_seed(1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_promises_hold_under_faults_of_seed_2() {
+async fn at_most_once_holds_under_faults_of_seed_2() {
     check_seed(2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_promises_hold_under_faults_of_seed_3() {
+async fn at_most_once_holds_under_faults_of_seed_3() {
     check_seed(3).await;
 }
--- a/crates/berylhook/tests/whole_answers.rs
+++ b/crates/berylhook/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers to the right caller, while targets and agents fail.
+//! Each caller gets the complete response to its own request, while targets and agents fail.
 
 use std::time::Duration;
 
@@ -17,23 +17,19 @@
     }
 }
 
-/// Told in the entry's log where an agent was not back in the time for which a
-/// stream waits for it.
+/// Logged by the entry when an agent did not return in the time for which a stream waits for it.
 const RESUME_TIMEOUT_LINE: &str = "no connection to resume on";
 
-/// Deaths of an agent; on a busy machine its successor may take longer to start
-/// than a stream waits, but not each time.
+/// How often the agent is killed. On a busy machine its successor may sometimes take longer to
+/// start than a stream waits, but not each time.
 const AGENT_KILLS: usize = 6;
 
-/// Symptom: a desk gets a briefing with a hole in it, or a doubled part.
-/// Sequence: the agent dies in the middle of a stream and is replaced; the
-/// engine has gone on generating.
-/// Cause: the stream must continue at the first event the caller lacks, and
-/// at the same target.
+/// Guards against a stream with a gap or a repeated part: the agent dies in the middle of a stream
+/// and is replaced while the engine keeps generating. The stream must continue at the same target,
+/// with the first event that the caller has not received.
 ///
-/// A stream waits 1.9 s for the agent. Where the successor is not connected by
-/// then, the promise is another one: the answer is cut visibly, behind genuine
-/// events.
+/// A stream waits 1.9 s for the agent. If the successor is not connected by then, the response must
+/// end visibly incomplete, after valid events only.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_the_death_of_its_agent() {
     let cluster = Cluster::start().await;
@@ -75,18 +71,17 @@
         assert!(response.body.contains("answer_lost"), "{}", response.body);
         assert!(
             log.matches(RESUME_TIMEOUT_LINE).count() > timeouts_before,
-            "cut although the agent was back:\n{log}"
+            "interrupted although the agent was back:\n{log}"
         );
     }
-    panic!("no agent of {AGENT_KILLS} was back in time");
+    panic!("none of {AGENT_KILLS} restarted agents was back in time");
 }
 
-/// Symptom: a cut-off answer looks like a short but finished one.
-/// Sequence: the engine closes its connection in the middle of a stream, and
-/// its streams cannot be resumed.
-/// Cause: only a missing end of the chunked body tells every HTTP client.
+/// Guards against an interrupted response that looks short but complete: the engine closes its
+/// connection in the middle of a stream that cannot be resumed. Only a chunked body without its
+/// final chunk shows this to every HTTP client.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_cannot_be_resumed_is_cut_visibly() {
+async fn a_stream_that_cannot_be_resumed_ends_without_the_final_chunk() {
     let cluster = Cluster::start().await;
     let no_resume = catalogue().replace("resume = yes\n", "");
     store_catalogue(&cluster.key_value, &no_resume);
@@ -110,13 +105,12 @@
     assert!(response.body.contains("answer_lost"), "{}", response.body);
 }
 
-/// Symptom: one desk reads another desk's briefing.
-/// Sequence: many callers stream at once while connections are frozen, cut
-/// and released again, so that frames of given-up connections arrive late.
-/// Cause: frames are matched by an id that no restart and no reconnect
-/// reuses; whatever matches nothing is dropped.
+/// Guards against a caller that receives the response of another. Many callers stream while
+/// connections are frozen, cut and released again, so that frames of abandoned connections arrive
+/// late. Frames are matched by an id that no restart and no reconnect reuses, and frames that match
+/// no request are dropped.
 #[tokio::test(flavor = "multi_thread")]
-async fn every_caller_gets_its_own_answer_or_a_visible_failure() {
+async fn every_caller_gets_its_own_response_or_a_visible_failure() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let linked = cluster
@@ -171,5 +165,5 @@
     }
 
     assert!(mismatched.is_empty(), "{mismatched:?}");
-    assert!(complete_count > 0, "no answer came through at all");
+    assert!(complete_count > 0, "no caller got a complete response");
 }
