--- a/crates/berylhook/tests/at_most_once.rs
+++ b/crates/berylhook/tests/at_most_once.rs
@@ -177,7 +177,7 @@
     let (first, _) = send_attempt(&caller, entry.address, &recorded_key, "a").await;
 
     cluster.key_value.set_outage(Outage::Refusing);
-    until("fresh keys are refused", || async {
+    until("new keys are refused", || async {
         let (response, _) = send_attempt(&caller, entry.address, &new_key(), "probe").await;
         response.outcome == "not-run"
     })
--- a/crates/berylhook/tests/common/entry.rs
+++ b/crates/berylhook/tests/common/entry.rs
@@ -7,6 +7,7 @@
 use berylhook_test_support::{Daemon, KeyValueStandIn, free_address};
 use serde_json::{Value, json};
 
+/// API key of the only client account in [`configuration`].
 pub const API_KEY: &str = "n2ctnfzs";
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
--- a/crates/berylhook/tests/entry.rs
+++ b/crates/berylhook/tests/entry.rs
@@ -133,8 +133,8 @@
 }
 
 // Guards against a caller that is told "not run" and repeats a request that has run. A target
-// answers 503 without the header for "not executed"; the entry must not take the status alone for
-// that statement.
+// answers 503 without the `berylhook-not-executed` header; the entry must not take the status alone
+// as proof that the request did not run.
 #[tokio::test]
 async fn only_the_not_executed_header_of_a_target_makes_not_run() {
     let target = PlatformTarget::start("i-1").await;
@@ -273,7 +273,7 @@
 // the store only with that removal, and took the target for one whose entry in the store had
 // expired during the outage.
 #[tokio::test]
-async fn a_target_removed_long_after_a_store_outage_gets_no_requests_at_once() {
+async fn a_target_removed_long_after_a_store_outage_is_dropped_at_once() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -93,10 +93,10 @@
     Daemon::start("berylhook", &["entry"], &settings).expect("the entry starts")
 }
 
-/// Shifts the demand to `hot_expert` and waits until it has replicas on all ranks but one.
+/// Shifts the demand to `hot_expert` and waits until it has replicas on at least all ranks but one.
 async fn shift_demand(fleet: &Fleet, hot_expert: usize) {
     fleet.group.set_hot_expert(hot_expert);
-    let expert = u16::try_from(hot_expert).expect("few experts");
+    let expert = u16::try_from(hot_expert).expect("the index fits into 16 bits");
     let started_at = Instant::now();
     while fleet.group.replicas_of(expert) < RANKS - 1 {
         assert!(
@@ -143,7 +143,7 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take more than twice as long for seconds after a planned stop of the
+// Guards against passes that take at least twice as long for seconds after a planned stop of the
 // leader during a store outage. No entry can be elected without the store, so the leader has to
 // hand its leadership over before it stops.
 #[tokio::test]
@@ -168,9 +168,9 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take more than twice as long for the whole of a store outage after an
-// agent has restarted. A switch needs every rank, and an agent that has not read the store must
-// still relay commands.
+// Guards against passes that take at least twice as long for the whole of a store outage after an
+// agent has restarted. A switch needs every rank, so an agent must relay commands even before it
+// has read the store.
 #[tokio::test]
 async fn an_agent_that_starts_during_a_store_outage_relays_for_the_leader() {
     let mut fleet = start_fleet().await;
@@ -192,14 +192,14 @@
 #[tokio::test]
 async fn a_map_follows_the_demand_after_the_store_was_restored() {
     let mut fleet = start_fleet().await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     let _first = start_entry(&fleet, "entry-1");
     shift_demand(&fleet, 3).await;
     let _second = start_entry(&fleet, "entry-2");
 
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
     shift_demand(&fleet, 7).await;
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
     let store = fleet.store.address();
     fleet.agents.remove(0);
     let agent = start_agent(fleet.engines[0], fleet.agent_port, store);
@@ -209,7 +209,7 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take more than twice as long for the rest of a group's life after an
+// Guards against passes that take at least twice as long for the rest of a group's life after an
 // engine has restarted under its id and the group has formed again with its first map. State of the
 // previous incarnation, such as its map, its counts or a pause that was commanded, must not be
 // taken for that of the new one, whether the demand stays or shifts.
@@ -250,12 +250,12 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    let before = stuck.prepare_commands();
+    let commands_before = stuck.prepare_commands();
     for hot_expert in 1..=SHIFTS {
         shift_demand(&fleet, hot_expert).await;
     }
 
-    let prepare_rounds = (stuck.prepare_commands() - before) / RANKS as u64;
+    let prepare_rounds = (stuck.prepare_commands() - commands_before) / RANKS as u64;
     assert!(
         prepare_rounds < SHIFTS as u64,
         "{prepare_rounds} switches begun in the stuck group"
@@ -393,7 +393,7 @@
     let pauses_by_rank: Vec<u64> = (0..RANKS)
         .map(|rank| fleet.group.pause_commands_of(rank))
         .collect();
-    let (least_loaded_pauses, others) = pauses_by_rank.split_last().expect("ranks");
+    let (least_loaded_pauses, others) = pauses_by_rank.split_last().expect("the group has ranks");
     assert!(*least_loaded_pauses > 0, "{pauses_by_rank:?}");
     assert!(
         others.iter().all(|pauses| *pauses == 0),
--- a/crates/berylhook/tests/limits.rs
+++ b/crates/berylhook/tests/limits.rs
@@ -21,8 +21,8 @@
 ) {
     let cluster = Cluster::start().await;
     let limits = format!("[account paddle-desk]\nconcurrency = {CONCURRENCY}\n");
-    let limited = catalogue().replace("[account paddle-desk]\n", &limits);
-    store_catalogue(&cluster.key_value, &limited);
+    let limited_catalogue = catalogue().replace("[account paddle-desk]\n", &limits);
+    store_catalogue(&cluster.key_value, &limited_catalogue);
     let engine = Engine::start(EngineConfig::default()).await;
     let agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
     let entries = vec![
@@ -68,7 +68,7 @@
             }
         }
     }
-    u32::try_from(engine.runs().len() - runs_before).expect("few runs")
+    u32::try_from(engine.runs().len() - runs_before).expect("the count fits into 32 bits")
 }
 
 /// Guards against an account that gets its limit once per entry when callers flood two entries.
@@ -132,11 +132,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_over_the_rate_is_refused_with_retry_after() {
     let cluster = Cluster::start().await;
-    let limited = catalogue().replace(
+    let limited_catalogue = catalogue().replace(
         "[account paddle-desk]\n",
         "[account paddle-desk]\nrequests_per_second = 2\n",
     );
-    store_catalogue(&cluster.key_value, &limited);
+    store_catalogue(&cluster.key_value, &limited_catalogue);
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
     let entry = cluster.start_entry("entry-1");
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -67,9 +67,9 @@
     assert_eq!(digest_of("first"), digest_of("second"));
 }
 
-// Guards against three targets that exit within 50 ms of each other. Copies of the request waited
-// at three entries for the service and were all sent when it was available again. Each entry had
-// checked the quarantine when its copy arrived, not when it sent it.
+// Guards against three targets that exit within 50 ms of each other. Three copies of the request
+// waited at three entries for the service and were all sent when it was available again. Each entry
+// had checked the quarantine when its copy arrived, not when it sent it.
 #[tokio::test]
 async fn copies_at_all_entries_run_one_at_a_time_after_a_target_exit() {
     let fleet = Fleet::start(4, 12).await;
@@ -183,9 +183,9 @@
     fleet.entries.push(unpeered);
 
     put_on_hold(&fleet).await;
-    let there = fleet.send(1, "/unsafe/draft", "there", POISON_BODY).await;
+    let response = fleet.send(1, "/unsafe/draft", "there", POISON_BODY).await;
 
-    assert_eq!((there.status, fleet.exited_count()), (503, MAX_EXITS));
+    assert_eq!((response.status, fleet.exited_count()), (503, MAX_EXITS));
 }
 
 // During a store outage entries learn of exits only from peers and cannot acquire the run lock, so
@@ -230,7 +230,7 @@
         target.register(&fleet.store, "push", "draining");
     }
     tokio::time::sleep(PROPAGATION_TIME).await;
-    let concurrent = (0..6).map(|number| {
+    let concurrent_requests = (0..6).map(|number| {
         let fleet = &fleet;
         async move {
             let body = format!("draft {number}");
@@ -243,9 +243,9 @@
         tokio::time::sleep(Duration::from_millis(60)).await;
         fleet.send(0, "/unsafe/draft", "guilty", POISON_BODY).await
     };
-    let (cut, _) = tokio::join!(join_all(concurrent), poison);
+    let (first_responses, _) = tokio::join!(join_all(concurrent_requests), poison);
     assert!(
-        cut.iter().any(|response| !response.is_complete),
+        first_responses.iter().any(|response| !response.is_complete),
         "some streams were cut"
     );
     for target in &fleet.targets[1..] {
@@ -253,7 +253,7 @@
     }
     tokio::time::sleep(PROPAGATION_TIME).await;
 
-    let again = (0..6).map(|number| {
+    let repeats = (0..6).map(|number| {
         let fleet = &fleet;
         async move {
             let body = format!("draft {number}");
@@ -267,9 +267,12 @@
                 .await
         }
     });
-    let again = join_all(again).await;
+    let repeat_responses = join_all(repeats).await;
 
-    let statuses: Vec<u16> = again.iter().map(|response| response.status).collect();
+    let statuses: Vec<u16> = repeat_responses
+        .iter()
+        .map(|response| response.status)
+        .collect();
     assert_eq!(statuses, [200; 6]);
 }
 
@@ -277,7 +280,7 @@
 #[tokio::test]
 async fn a_draining_target_that_exits_makes_no_suspects() {
     let fleet = Fleet::start(1, 2).await;
-    let cut = fleet.send(0, "/once/stream", "near", "a draft");
+    let request = fleet.send(0, "/once/stream", "near", "a draft");
     let leaving = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
         for target in &fleet.targets {
@@ -289,7 +292,7 @@
         }
     };
 
-    tokio::join!(cut, leaving);
+    tokio::join!(request, leaving);
     tokio::time::sleep(PROPAGATION_TIME).await;
 
     let output = fleet.entries[0].daemon.output();
@@ -372,8 +375,8 @@
         tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
-    let metrics = fleet.entries[1].daemon.output();
-    assert!(metrics.contains("suspicions learnt"));
+    let log = fleet.entries[1].daemon.output();
+    assert!(log.contains("suspicions learnt"));
 }
 
 // Guards against a new entry that rejects requests that were cleared before it started. It read
--- a/crates/berylhook/tests/poison_own.rs
+++ b/crates/berylhook/tests/poison_own.rs
@@ -184,14 +184,17 @@
 async fn holds_survive_the_loss_of_all_entries() {
     let mut fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
-    let ended = fleet.exited_count();
+    let exited_before = fleet.exited_count();
 
     fleet.entries.clear();
     fleet.start_entry().await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let later = fleet.send(0, false).await;
+    let response = fleet.send(0, false).await;
 
-    assert_eq!((later.status, fleet.exited_count()), (503, ended));
+    assert_eq!(
+        (response.status, fleet.exited_count()),
+        (503, exited_before)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -199,11 +202,19 @@
     let fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
 
-    let held = fleet.send(0, false).await;
+    let rejected = fleet.send(0, false).await;
 
-    assert_eq!((held.status, held.outcome.as_str()), (503, "not-run"));
-    assert_eq!(held.json()["error"]["code"], "held_back", "{}", held.body);
-    let retry_after_s: f64 = held
+    assert_eq!(
+        (rejected.status, rejected.outcome.as_str()),
+        (503, "not-run")
+    );
+    assert_eq!(
+        rejected.json()["error"]["code"],
+        "held_back",
+        "{}",
+        rejected.body
+    );
+    let retry_after_s: f64 = rejected
         .retry_after
         .expect("a Retry-After header")
         .parse()
@@ -328,7 +339,7 @@
     let call = fleet.send(0, true);
     let engines = Arc::clone(&fleet.engines);
     let kill_agents = async {
-        until("an engine runs it", || async {
+        until("an engine runs the request", || async {
             let engines = engines.lock().expect("no holder panics");
             engines
                 .iter()
--- a/crates/berylhook/tests/poison_turns.rs
+++ b/crates/berylhook/tests/poison_turns.rs
@@ -102,9 +102,9 @@
                     .all(|target| target.address() != exited.address())
         };
         if let Some(exited) = fleet.targets.iter().find(is_unreplaced_exit) {
-            let other = PlatformTarget::start_at("i-other", exited.address()).await;
-            other.set_behaviour(Behaviour::IsOtherIncarnation);
-            replacements.push(other);
+            let replacement = PlatformTarget::start_at("i-other", exited.address()).await;
+            replacement.set_behaviour(Behaviour::IsOtherIncarnation);
+            replacements.push(replacement);
         }
         for other in 0..12 {
             let body = format!("a draft {other}");
@@ -132,9 +132,9 @@
                 .all(|target| target.address() != exited.address())
     };
     if let Some(exited) = fleet.targets.iter().find(is_unreplaced_exit) {
-        let other = PlatformTarget::start_at("i-other", exited.address()).await;
-        other.set_behaviour(Behaviour::IsOtherIncarnation);
-        replacements.push(other);
+        let replacement = PlatformTarget::start_at("i-other", exited.address()).await;
+        replacement.set_behaviour(Behaviour::IsOtherIncarnation);
+        replacements.push(replacement);
     }
 }
 
--- a/crates/berylhook/tests/restored.rs
+++ b/crates/berylhook/tests/restored.rs
@@ -52,11 +52,11 @@
     );
     let store = KeyValueStandIn::start().await;
     let snapshot = snapshot_with(&store, &[&staying, &leaving]);
-    let both = [
+    let routes = [
         route("old", "safe", 2, false),
         route("new", "safe", 2, false),
     ];
-    store.put_raw("op/config", &configuration(2, &both));
+    store.put_raw("op/config", &configuration(2, &routes));
     let entry = start_entry(&store, &[]);
     until_ready(&entry).await;
     until(async || request_status(entry.caller_address, "/old/", "before").await == 200).await;
@@ -90,7 +90,7 @@
     let fleet = Fleet::start(2, 6).await;
     let snapshot = fleet.store.snapshot();
     put_on_hold(&fleet).await;
-    let ended = fleet.exited_count();
+    let exited_before = fleet.exited_count();
 
     fleet.store.restore(&snapshot);
     for target in fleet.targets.iter().filter(|target| !target.has_exited()) {
@@ -98,9 +98,12 @@
     }
     until(async || !fleet.store.keys("berylhook/quarantine/hold/").is_empty()).await;
     tokio::time::sleep(PROPAGATION_TIME).await;
-    let again = fleet.send(1, "/unsafe/draft", "again", POISON_BODY).await;
+    let response = fleet.send(1, "/unsafe/draft", "again", POISON_BODY).await;
 
-    assert_eq!((again.status, fleet.exited_count()), (503, ended));
+    assert_eq!(
+        (response.status, fleet.exited_count()),
+        (503, exited_before)
+    );
 }
 
 /// Guards against a confirmation that is sent twice: the snapshot lacks the claim by which an agent
@@ -141,8 +144,8 @@
     let (repeat, _) = send_attempt(&caller, informed.address, &key, "b").await;
     drop(successor);
 
-    let effects = service.runs().iter().filter(|run| run.body == key).count();
+    let run_count = service.runs().iter().filter(|run| run.body == key).count();
     assert_eq!(first.outcome, "done", "{}", first.body);
     assert_ne!(repeat.outcome, "not-run", "{}", repeat.body);
-    assert_eq!(effects, 1);
+    assert_eq!(run_count, 1);
 }
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -85,9 +85,9 @@
     assert!(refused.retry_after.is_some());
 }
 
-/// Guards against the failure of a repeatable request whose only, healthy target became unreachable
-/// before the response because its connection went silent. The target counted as failed for this
-/// request; over a new connection the request can run there again.
+/// Guards against a repeatable request that fails although its target is healthy. The connection to
+/// the only target goes silent before the response. The target must not count as failed for this
+/// request, which can run there again over a new connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeatable_request_is_retried_over_a_new_connection() {
     let cluster = Cluster::start().await;
