--- a/crates/berylhook/tests/at_most_once.rs
+++ b/crates/berylhook/tests/at_most_once.rs
@@ -162,9 +162,10 @@
     assert_eq!(run_count(&service, &key), 1);
 }
 
-/// Guards against wrong reports during an outage of the key-value service that is longer than the
-/// home's lease. A home that cannot renew its lease cannot tell an outage from a partition in which
-/// it was replaced. It refuses new keys as not run, and still answers keys that it has on record.
+/// Guards against callers that get no outcome, or one that the home cannot know, during an outage
+/// of the key-value service that is longer than the home's lease. A home that cannot renew its
+/// lease cannot tell an outage from a partition in which it was replaced. It refuses new keys as
+/// not run, and still answers keys that it has on record.
 #[tokio::test(flavor = "multi_thread")]
 async fn in_a_long_outage_new_keys_are_refused_and_recorded_ones_answered() {
     let cluster = Cluster::start().await;
--- a/crates/berylhook/tests/causes.rs
+++ b/crates/berylhook/tests/causes.rs
@@ -94,9 +94,9 @@
 
 #[test]
 fn requests_are_counted_by_their_last_target() {
-    let mut sent = request_ended("streamed", 900, 10, 90);
-    sent["last_target"] = json!("i-7f3a");
-    let log = [log_line(1, &sent), log_line(2, &sent)];
+    let mut record = request_ended("streamed", 900, 10, 90);
+    record["last_target"] = json!("i-7f3a");
+    let log = [log_line(1, &record), log_line(2, &record)];
 
     let causes = causes_json(&log.join("\n"), "target");
 
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -143,9 +143,9 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take at least twice as long for seconds after a planned stop of the
-// leader during a store outage. No entry can be elected without the store, so the leader has to
-// hand its leadership over before it stops.
+// Guards against passes that take at least twice as long as usual for seconds after a planned stop
+// of the leader during a store outage. No entry can be elected without the store, so the leader has
+// to hand its leadership over before it stops.
 #[tokio::test]
 async fn a_leader_that_stops_during_a_store_outage_has_a_successor() {
     let fleet = start_fleet().await;
@@ -168,9 +168,9 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take at least twice as long for the whole of a store outage after an
-// agent has restarted. A switch needs every rank, so an agent must relay commands even before it
-// has read the store.
+// Guards against passes that take at least twice as long as usual for the whole of a store outage
+// after an agent has restarted. A switch needs every rank, so an agent must relay commands even
+// before it has read the store.
 #[tokio::test]
 async fn an_agent_that_starts_during_a_store_outage_relays_for_the_leader() {
     let mut fleet = start_fleet().await;
@@ -209,10 +209,10 @@
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against passes that take at least twice as long for the rest of a group's life after an
-// engine has restarted under its id and the group has formed again with its first map. State of the
-// previous incarnation, such as its map, its counts or a pause that was commanded, must not be
-// taken for that of the new one, whether the demand stays or shifts.
+// Guards against passes that take at least twice as long as usual for the rest of a group's life
+// after an engine has restarted under its id and the group has formed again with its first map.
+// State of the previous incarnation, such as its map, its counts or a pause that was commanded,
+// must not be taken for that of the new one, whether the demand stays or shifts.
 #[tokio::test]
 async fn a_map_follows_the_demand_after_an_engine_restart() {
     let fleet = start_fleet().await;
@@ -264,7 +264,8 @@
 }
 
 // Guards against an entry with a sixth of a processor that becomes leader because it reached the
-// store first: switches of maps then take twice as long. All entries start at once.
+// store first: switches of maps then take twice as long as under a larger leader. All entries start
+// at once.
 #[tokio::test]
 async fn the_entry_with_more_cpu_is_elected() {
     let fleet = start_fleet().await;
--- a/crates/berylhook/tests/leaving.rs
+++ b/crates/berylhook/tests/leaving.rs
@@ -26,8 +26,8 @@
 }
 
 /// Guards against a target that the platform's VM list marks as leaving and that still gets
-/// requests. Its agent has received no signal: what an agent says takes precedence over the list,
-/// but either source is sufficient.
+/// requests. Its agent has received no signal to stop. An agent's own report takes precedence over
+/// the list, but either source is sufficient.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_marked_as_leaving_gets_no_new_requests_and_finishes_its_streams() {
     let cluster = Cluster::start().await;
--- a/crates/berylhook/tests/once_history.rs
+++ b/crates/berylhook/tests/once_history.rs
@@ -142,14 +142,14 @@
 }
 
 async fn record_history(seed: u64) -> Recorder {
-    let mut faulted = FaultedCluster::start().await;
-    let addresses: Vec<_> = faulted.entries.iter().map(|entry| entry.address).collect();
+    let mut cluster = FaultedCluster::start().await;
+    let addresses: Vec<_> = cluster.entries.iter().map(|entry| entry.address).collect();
     let workers: Vec<_> = (0..WORKERS)
         .map(|worker| tokio::spawn(run_worker(seed * 100 + worker, addresses.clone())))
         .collect();
     let mut random = StdRng::seed_from_u64(seed);
     for _ in 0..FAULTS {
-        faulted.inject_fault(&mut random).await;
+        cluster.inject_fault(&mut random).await;
     }
     let mut recorder = Recorder::default();
     let mut unconfirmed_keys = Vec::new();
@@ -168,7 +168,7 @@
         let entry = addresses[number % addresses.len()];
         recorder.push(send_attempt(&caller, entry, key, &name).await.1);
     }
-    let runs = faulted.service.runs();
+    let runs = cluster.service.runs();
     let keyed: Vec<_> = runs
         .into_iter()
         .filter(|run| !run.attempt.is_empty())
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -92,17 +92,17 @@
         "{}",
         fleet.exited_count()
     );
-    let sent = responses
+    let executed_count = responses
         .iter()
         .filter(|response| response.status == 502)
         .count();
-    let rejected = responses
+    let rejected_count = responses
         .iter()
         .filter(|response| response.status == 503)
         .count();
     assert_eq!(
-        (sent, rejected),
-        (fleet.exited_count() - 1, 12 - sent),
+        (executed_count, rejected_count),
+        (fleet.exited_count() - 1, 12 - executed_count),
         "{responses:?}"
     );
 }
@@ -110,13 +110,16 @@
 #[tokio::test]
 async fn a_rejection_reports_not_run_and_when_a_retry_can_succeed() {
     let fleet = Fleet::start(2, 6).await;
-    let sent = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
+    let first_response = fleet.send(0, "/unsafe/draft", "first", POISON_BODY).await;
     put_on_hold_after_first(&fleet).await;
 
     let started_at = std::time::Instant::now();
     let rejected = fleet.send(1, "/unsafe/draft", "last", POISON_BODY).await;
 
-    assert_eq!((sent.status, sent.retry_after), (502, None));
+    assert_eq!(
+        (first_response.status, first_response.retry_after),
+        (502, None)
+    );
     assert_eq!(rejected.status, 503);
     assert!(rejected.body.contains("held-back"), "{}", rejected.body);
     assert!(
--- a/crates/berylhook/tests/poison_agents.rs
+++ b/crates/berylhook/tests/poison_agents.rs
@@ -141,8 +141,8 @@
 }
 
 // Guards against a poison stream that the entry retries at one target after the other, and again
-// when its caller repeats it: seven of eight engines exited. Only the attempt that lost its
-// response knew what the request had caused.
+// when its caller repeats it: seven of eight engines exited. Nothing but the attempt that lost its
+// response had a record of what the request had caused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_poison_stream_causes_at_most_three_exits() {
     let fleet = Fleet::start(1).await;
