--- a/crates/berylhook/tests/path.rs
+++ b/crates/berylhook/tests/path.rs
@@ -1,11 +1,11 @@
-//! The whole path with the real binaries: caller, entry, agent, engine.
+//! Requests through all real binaries: caller, entry, agent, engine.
 
 use berylhook_test_support::calls::Caller;
 use berylhook_test_support::cluster::{CLAIMS_KEY, Cluster, DESK_KEY, until_serving};
 use berylhook_test_support::{Engine, EngineConfig, PlainService};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_request_is_answered_whole() {
+async fn a_model_request_gets_a_complete_response() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
@@ -13,18 +13,18 @@
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(DESK_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "river conditions", 12, false)
         .await;
 
-    assert_eq!(answered.status, 200, "{}", answered.body);
-    assert_eq!(answered.outcome, "done");
-    let text = answered.json()["choices"][0]["text"].clone();
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(response.outcome, "done");
+    let text = response.json()["choices"][0]["text"].clone();
     assert_eq!(text, Engine::response_text("river conditions", 12));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_passed_on_whole() {
+async fn a_stream_is_forwarded_completely() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(EngineConfig::default()).await;
     let _agent = cluster.start_agent("target-1", "briefing-llm", engine.server.address);
@@ -32,31 +32,31 @@
     until_serving(&entry, "briefing-llm").await;
 
     let caller = Caller::new(CLAIMS_KEY);
-    let answered = caller
+    let response = caller
         .complete(entry.address, "briefing-llm", "broken bag", 40, true)
         .await;
 
-    assert_eq!(answered.status, 200, "{}", answered.body);
-    assert!(answered.is_complete);
-    assert!(answered.body.ends_with("data: [DONE]\n\n"));
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert!(response.is_complete);
+    assert!(response.body.ends_with("data: [DONE]\n\n"));
     assert_eq!(
-        answered.streamed_text(),
+        response.streamed_text(),
         Engine::response_text("broken bag", 40)
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_must_not_be_repeated_runs_once_and_repeats_its_answer() {
+async fn a_repeated_at_most_once_call_runs_once_and_gets_the_same_response() {
     let cluster = Cluster::start().await;
     let service = PlainService::start().await;
     let _agent = cluster.start_agent("push-1", "guide-push", service.server.address);
     let entry = cluster.start_entry("entry-1");
     let caller = Caller::new(DESK_KEY);
     berylhook_test_support::cluster::until("the service answers", || async {
-        let answered = caller
+        let response = caller
             .post(entry.address, "/guide-push/warm-up", "{}", &[])
             .await;
-        answered.status == 200
+        response.status == 200
     })
     .await;
     let runs_before = service.runs().len();
