--- a/crates/berylhook/src/serve/control.rs
+++ b/crates/berylhook/src/serve/control.rs
@@ -147,7 +147,7 @@
 
     pub(crate) fn mark_catalogue_known(&self, from: &str) {
         if !self.node.has_catalogue.swap(true, Ordering::SeqCst) {
-            log::info!("catalogue received from {from}; ready to serve");
+            log::info!("catalogue received from {from}");
         }
     }
 
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -240,7 +240,7 @@
         Ok(Err(_)) | Err(_) => return Err(CallError::NotConnected),
     };
     if let Err(error) = set_options(&stream) {
-        log::warn!(reason:% = error; "a connection's options cannot be set");
+        log::warn!(reason:% = error; "the socket options of a connection could not be set");
     }
     let Ok((sender, driver)) = handshake(TokioIo::new(stream)).await else {
         return Err(CallError::NotConnected);
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -45,7 +45,7 @@
                     tokio::spawn(serve_connection(stream, Arc::clone(&shared)));
                 }
                 Err(error) => {
-                    log::warn!(reason:% = error; "a caller's connection was not accepted");
+                    log::warn!(reason:% = error; "a connection could not be accepted");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -91,7 +91,7 @@
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
     if let Err(error) = result {
-        log::warn!(reason:% = error; "a connection's options cannot be set");
+        log::warn!(reason:% = error; "the socket options of a connection could not be set");
     }
 }
 
