--- a/crates/backpressure/src/coordinator.rs
+++ b/crates/backpressure/src/coordinator.rs
@@ -5,9 +5,11 @@
 //! addresses; the highest-ranked entry is the home. An entry that does not reply is
 //! skipped until a message from it arrives again. That happens soon, because an entry that
 //! considers itself the home notifies all entries from which it receives nothing. The next
-//! entry in the ranking acts as home only once it cannot reach the skipped entry either:
-//! an entry that is the only one cut off from the home gets no permits, and there are
-//! never two homes.
+//! entry in the ranking acts as home only once it cannot reach the skipped entry either.
+//! An entry further down that is the only one cut off from the home therefore gets no
+//! permits, and there is no second home. There may be two homes if the next entry is cut
+//! off from the home, as in a partition of the network. A home that is not in contact with
+//! a majority of the entries grants only a fraction of each limit.
 
 use std::hash::Hash;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/backpressure/tests/common/mod.rs
+++ b/crates/backpressure/tests/common/mod.rs
@@ -341,8 +341,8 @@
         })
     }
 
-    /// Whether `event` is the arrival of a request that does not take place: during the time
-    /// without demand, or while the process has just started and queries a peer.
+    /// Whether `event` is a request arrival that the simulation drops: during the time without
+    /// demand, or while the process has just started and queries a peer.
     fn drops_arrival(&self, event: &Event) -> bool {
         let Event::Arrival(entry) = event else {
             return false;
@@ -527,8 +527,8 @@
         }
     }
 
-    /// Takes a token of the entry's equal part of the limit; returns whether there was one.
-    /// There is no limit until the entries know of it.
+    /// Takes a token from the bucket of an entry that uses an equal part of the limit; returns
+    /// whether there was one. No limit applies until the entries know of it.
     fn take_token(&mut self, entry: usize, part_count: f64) -> bool {
         if self.now_ms < LIMIT_KNOWN_AFTER_MS || self.limit() <= 0.0 {
             return true;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`burn`] | how fast an entry (a front-end process) uses up its error budget |
 //! | [`digest`] | whether two requests are the same request, sent again |
 //! | [`era_guard`] | when a key may be claimed in a store restored from a backup |
-//! | [`attempt`] | what the caller is told about one dispatched attempt |
+//! | [`attempt`] | which outcome of one dispatched attempt is reported to the caller |
 //! | [`start_gate`] | whether an agent (the process beside a target) may still start a request |
 //! | [`ledger`] | whether a request with an idempotency key may run, and the reply to a repeat |
 //! | [`lease`] | whether the holder of a lease may still act on it |
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -154,7 +154,7 @@
     ));
 }
 
-// Guards against a formerly harmless request that goes on stopping targets. The request was at one
+// Guards against a formerly harmless request that keeps making targets exit. The request was at one
 // exit, and dozens of entries each report a survived run of it; then engines of a new version crash
 // on it. Survived runs must not be credited against later exits.
 #[test]
@@ -549,9 +549,9 @@
     );
 }
 
-// Guards against a held request that is accepted again, and against an entry that grows. A client
-// sends thousands of other requests that each stop a target, and holds and exits share one
-// unbounded table.
+// Guards against the eviction of a hold, and against unbounded memory, while a client sends
+// thousands of other requests that each make a target exit. Both occur if holds and exits share one
+// table.
 #[test]
 fn a_flood_of_exits_is_bounded_and_evicts_no_hold() {
     let mut quarantine = Quarantine::default();
--- a/crates/experts/src/demand.rs
+++ b/crates/experts/src/demand.rs
@@ -3,6 +3,7 @@
 //! Each rank counts how often its requests were routed to each expert since
 //! its engine started. The difference between two polls is the demand between
 //! them.
+//!
 //! Older polls do not predict the demand after a shift, so the moving average
 //! gives them little weight and follows a shift at once. Each poll covers
 //! enough routing decisions to keep the average stable without a longer window.
--- a/crates/experts/src/placement.rs
+++ b/crates/experts/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placements of experts on the slots of ranks, and the resulting load balance.
 //!
 //! Each rank has a fixed number of expert slots in each layer. An expert may
-//! have replicas in several slots; its tokens are then split evenly among them.
+//! have copies in several slots; its tokens are then split evenly among them.
 //! All ranks wait for the slowest one in each layer, so a layer takes as long
 //! as its slowest rank.
 
@@ -69,23 +69,23 @@
 impl Placement {
     /// Number of slots that hold each expert.
     #[must_use]
-    pub fn replica_counts(&self, shape: &LayerShape) -> Vec<u32> {
-        let mut replica_counts = vec![0; shape.experts];
+    pub fn copy_counts(&self, shape: &LayerShape) -> Vec<u32> {
+        let mut copy_counts = vec![0; shape.experts];
         for expert in &self.slots {
-            replica_counts[usize::from(*expert)] += 1;
+            copy_counts[usize::from(*expert)] += 1;
         }
-        replica_counts
+        copy_counts
     }
 
     /// Time that each rank takes to process its share of the load.
     #[must_use]
     pub fn rank_times(&self, shape: &LayerShape, layer_load: &LayerLoad<'_>) -> Vec<f64> {
-        let replica_counts = self.replica_counts(shape);
+        let copy_counts = self.copy_counts(shape);
         let mut times = vec![0.0; shape.ranks];
         for (slot, expert) in self.slots.iter().enumerate() {
             let expert = usize::from(*expert);
             let rank = shape.rank_of(slot);
-            times[rank] += layer_load.loads[expert] / f64::from(replica_counts[expert]);
+            times[rank] += layer_load.loads[expert] / f64::from(copy_counts[expert]);
         }
         for (time, speed) in times.iter_mut().zip(layer_load.speeds) {
             *time /= speed;
--- a/crates/experts/src/placement/incremental.rs
+++ b/crates/experts/src/placement/incremental.rs
@@ -1,8 +1,8 @@
 //! Improves an existing placement by a small number of moves.
 //!
-//! Each move replaces the expert in one slot, which must have replicas in other
+//! Each move replaces the expert in one slot, which must have copies in other
 //! slots, by another expert. The candidates are the moves that take load off the
-//! slowest rank: one more replica of one of its most loaded experts on a fast
+//! slowest rank: one more copy of one of its most loaded experts on a fast
 //! rank, or an expert with little load in one of its own slots, which helps if
 //! the rank itself is slow. The search takes the candidate that lowers the sum
 //! of a high power of the ranks' times most. The plain maximum would not change
@@ -11,11 +11,11 @@
 use super::{LayerLoad, LayerShape, Placement};
 
 /// Number of the ranks with the lowest times that are candidates for another
-/// replica, per move.
+/// copy, per move.
 const FAST_RANKS: usize = 6;
 
 /// Number of the slowest rank's most loaded experts that are candidates for
-/// another replica, per move.
+/// another copy, per move.
 const HEAVY_EXPERTS: usize = 3;
 
 /// Number of the least loaded experts that are candidates for a slot of the
@@ -80,7 +80,7 @@
     shape: &'a LayerShape,
     layer_load: &'a LayerLoad<'a>,
     placement: Placement,
-    replica_counts: Vec<u32>,
+    copy_counts: Vec<u32>,
     /// Slots that hold each expert.
     slots_by_expert: Vec<Vec<usize>>,
     times: Vec<f64>,
@@ -95,7 +95,7 @@
             slots_by_expert[usize::from(*expert)].push(slot);
         }
         Self {
-            replica_counts: placement.replica_counts(shape),
+            copy_counts: placement.copy_counts(shape),
             times: placement.rank_times(shape, layer_load),
             min_time: layer_load.lower_bound().max(f64::MIN_POSITIVE),
             placement: placement.clone(),
@@ -116,7 +116,7 @@
     }
 
     fn share(&self, expert: usize) -> f64 {
-        self.layer_load.loads[expert] / f64::from(self.replica_counts[expert])
+        self.layer_load.loads[expert] / f64::from(self.copy_counts[expert])
     }
 
     fn slots_of_rank(&self, rank: usize) -> std::ops::Range<usize> {
@@ -191,10 +191,10 @@
     }
 
     /// Change of the sum of powers. `None` if the slot already holds the expert,
-    /// or holds the last replica of another one.
+    /// or holds the last copy of another one.
     fn power_sum_change(&self, candidate: Move) -> Option<f64> {
         let replaced = usize::from(self.placement.slots[candidate.slot]);
-        if replaced == candidate.expert || self.replica_counts[replaced] < 2 {
+        if replaced == candidate.expert || self.copy_counts[replaced] < 2 {
             return None;
         }
         let mut changes: Vec<RankTime> = Vec::new();
@@ -221,7 +221,7 @@
         let replaced = usize::from(self.placement.slots[candidate.slot]);
         let rank = self.shape.rank_of(candidate.slot);
         let speed = |rank: usize| self.layer_load.speeds[rank];
-        let count = f64::from(self.replica_counts[candidate.expert]);
+        let count = f64::from(self.copy_counts[candidate.expert]);
         let load = self.layer_load.loads[candidate.expert];
         for slot in &self.slots_by_expert[candidate.expert] {
             let holder = self.shape.rank_of(*slot);
@@ -231,7 +231,7 @@
             );
         }
         on_change(rank, load / (count + 1.0) / speed(rank));
-        let count = f64::from(self.replica_counts[replaced]);
+        let count = f64::from(self.copy_counts[replaced]);
         let load = self.layer_load.loads[replaced];
         for slot in &self.slots_by_expert[replaced] {
             let holder = self.shape.rank_of(*slot);
@@ -255,8 +255,8 @@
         let replaced = usize::from(self.placement.slots[best.slot]);
         self.slots_by_expert[replaced].retain(|slot| *slot != best.slot);
         self.slots_by_expert[best.expert].push(best.slot);
-        self.replica_counts[replaced] -= 1;
-        self.replica_counts[best.expert] += 1;
+        self.copy_counts[replaced] -= 1;
+        self.copy_counts[best.expert] += 1;
         self.placement.slots[best.slot] = as_u16(best.expert);
     }
 }
--- a/crates/experts/src/policy.rs
+++ b/crates/experts/src/policy.rs
@@ -287,7 +287,7 @@
 
     /// The part of the slowest rank's time that noise in the averages can explain.
     fn noise(&self, layer: &Layer, layer_load: &LayerLoad<'_>) -> f64 {
-        let replica_counts = layer.placement.replica_counts(&self.shape);
+        let copy_counts = layer.placement.copy_counts(&self.shape);
         let slowest = slowest_rank(&layer.placement.rank_times(&self.shape, layer_load));
         let first = slowest * self.shape.slots_per_rank;
         // Variance of the moving average as a fraction of the variance of one
@@ -297,7 +297,7 @@
             .iter()
             .map(|expert| {
                 let expert = usize::from(*expert);
-                layer.variance[expert] / f64::from(replica_counts[expert]).powi(2)
+                layer.variance[expert] / f64::from(copy_counts[expert]).powi(2)
             })
             .sum();
         NOISE_DEVIATIONS * (variance * variance_fraction).sqrt() / layer_load.speeds[slowest]
--- a/crates/experts/tests/policy.rs
+++ b/crates/experts/tests/policy.rs
@@ -141,8 +141,8 @@
 
         let improved = improve(&SHAPE, &initial, &demand, 20);
 
-        let replicas = improved.placement.replica_counts(&SHAPE);
-        assert!(replicas.iter().all(|count| *count > 0));
+        let copy_counts = improved.placement.copy_counts(&SHAPE);
+        assert!(copy_counts.iter().all(|count| *count > 0));
         assert!(improved.moves <= 20);
         let reported = improved.time_after;
         let real = improved.placement.layer_time(&SHAPE, &demand);
--- a/crates/experts/tests/switching.rs
+++ b/crates/experts/tests/switching.rs
@@ -1,5 +1,6 @@
-//! Exhaustive search of the map-switching protocol: in no order of events do the
-//! ranks use different maps in one pass, or does the group stay paused for ever.
+//! Exhaustive search of the map-switching protocol: whatever the order of events,
+//! the ranks never use different maps in one pass, and the group never stays paused
+//! for ever.
 //!
 //! The model has two ranks with an agent each, two leaders that both believe they
 //! lead, and a network that delivers commands in any order, late, repeatedly or
--- a/crates/groups/src/group_loop.rs
+++ b/crates/groups/src/group_loop.rs
@@ -29,7 +29,7 @@
 /// Minimum reduction of the skew by a new map, as a fraction of the present skew.
 ///
 /// Copying experts makes passes a seventh longer for a tenth of a second, while the benefit
-/// lasts for seconds. Smaller reductions cannot be told from noise in the polls.
+/// lasts for seconds. Smaller reductions cannot be distinguished from noise in the polls.
 const MIN_GAIN: f64 = 0.12;
 
 /// Upper limit on the estimated copy time, in case the operator's configuration of the
--- a/crates/quarantine/src/lost_requests.rs
+++ b/crates/quarantine/src/lost_requests.rs
@@ -1,9 +1,10 @@
 //! Detects exited targets after sends that lost their response.
 //!
 //! A connection that closes without a response is not sufficient evidence: the target may have
-//! exited, may have reset the connection, or only one of its peers in a group may be gone. The
-//! distinction is whether a process still listens at its address. A VM that does not reply at all
-//! has lost its power or is unreachable; neither is attributed to a request.
+//! exited, may have reset the connection, or only one of its peers in a group may be gone. A new
+//! connection shows whether the target has exited: it is refused if no process listens at the
+//! address. A VM that does not reply at all has lost its power or is unreachable; neither is
+//! attributed to a request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -87,8 +88,8 @@
         let lost = entry.or_insert_with(|| LostAtTarget {
             incarnation: incarnation.clone(),
             requests: Vec::new(),
-            // Cleared below, so that the target is probed, like one that a previous probe found
-            // alive.
+            // `None` would mean that a probe is pending. With a time, the code below requests a
+            // probe, as it does for a target that a previous probe found alive.
             no_exit_found_ms: Some(MonoMs(0)),
         });
         if lost.requests.len() < MAX_REQUESTS_PER_TARGET {
--- a/crates/traffic/src/ownership.rs
+++ b/crates/traffic/src/ownership.rs
@@ -19,8 +19,8 @@
 //! member joins or leaves, the arcs shift, and running requests stay where they are.
 //!
 //! Alternatives: with rendezvous hashing, each of fifty entries gets four of two hundred targets
-//! only on average, from none to nine; fixed random subsets overlap by chance. Both need a
-//! correction that arcs have built in.
+//! only on average, from none to nine; fixed random subsets overlap by chance. Both would need an
+//! additional correction step; arcs need none.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -126,7 +126,8 @@
 pub struct Preference {
     /// Whether the entry owns the target.
     pub is_owned: bool,
-    /// By how many requests another target may be fuller before this one is used.
+    /// Added to the target's score, in requests: other targets may be fuller by this much before
+    /// this one is used.
     pub penalty: f64,
 }
 
--- a/crates/traffic/tests/lost_group.rs
+++ b/crates/traffic/tests/lost_group.rs
@@ -188,7 +188,7 @@
 }
 
 /// Guards against a whole backlog that goes to the group that opens some milliseconds before the
-/// others: callers stall behind each other there, and their requests may have run.
+/// others: requests stall behind each other there, and may have run.
 #[test]
 fn the_first_group_to_open_does_not_get_the_whole_backlog() {
     let mut dispatcher = dispatcher();
