--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -29,8 +29,8 @@
 
 /// Requests of the traffic thread to the control thread.
 pub(crate) enum ControlRequest {
-    /// Claim a key shard that has no home, the agent that alone may run its keyed requests.
-    /// `done` is notified whether or not the claim succeeds.
+    /// Claim a key shard that has no home. The home of a shard is the only agent that may run the
+    /// shard's keyed requests. `done` is notified whether or not the claim succeeds.
     Claim {
         shard: u32,
         done: oneshot::Sender<()>,
--- a/crates/agent/src/control/claims.rs
+++ b/crates/agent/src/control/claims.rs
@@ -336,7 +336,7 @@
     ) -> Result<bool, KvError> {
         let range = self.key_value.range(&keys.prefix).await?;
         let state = ShardState::read(keys, &range);
-        // A key that was read in another era does not tell which agent is home in this one.
+        // A key that was read in another era does not show which agent is home in this one.
         Ok(state.era == era && state.home.is_some_and(|home| home.claim == claim))
     }
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -26,9 +26,9 @@
 /// Largest response body that is recorded for retries of a keyed request.
 const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
-/// How long after a run was abandoned an exit of the target is still reported to the entry. A
-/// target that exits because of the run does so within this time, or has learnt by then that the
-/// client has disconnected.
+/// How long after a run was abandoned an exit of the target is still reported to the entry. Within
+/// this time, a target has either exited because of the run or detected that the client has
+/// disconnected.
 const ABANDONED_RUN_WINDOW: Duration = Duration::from_secs(1);
 
 /// Retry delay for refused callers where no better estimate is known.
--- a/crates/berylhook/src/commands/check.rs
+++ b/crates/berylhook/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `berylhook check`.
+//! `berylhook check`: validates a settings or catalogue file.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/berylhook/src/commands/status.rs
+++ b/crates/berylhook/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `berylhook status`.
+//! `berylhook status`: prints the status of each entry.
 
 use std::process::ExitCode;
 
--- a/crates/berylhook/src/lib.rs
+++ b/crates/berylhook/src/lib.rs
@@ -1,8 +1,9 @@
 //! The entry daemon and the operators' commands.
 //!
 //! `berylhook serve` accepts callers' requests, chooses a target for each and streams the response
-//! back. The other commands are for operators. Routing decisions are made in `berylhook-core`; this
-//! package connects them to sockets, threads and clocks.
+//! back. Its routing decisions are made in `berylhook-core`; this package connects them to sockets,
+//! threads and clocks. `berylhook entry` runs the daemon of `berylhook-entry`, which connects to
+//! targets directly instead of through agents. The other commands are for operators.
 
 mod args;
 mod commands;
--- a/crates/berylhook/src/serve.rs
+++ b/crates/berylhook/src/serve.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! `berylhook serve`: the entry daemon that sends requests to targets through agents.
 //!
 //! One thread, the control thread, owns the control state: the catalogue, the list of VMs and the
 //! gossip with other entries. The other threads carry traffic. The control thread publishes
--- a/crates/berylhook/src/serve/keyed.rs
+++ b/crates/berylhook/src/serve/keyed.rs
@@ -2,7 +2,7 @@
 //!
 //! The agent that is the home (owner) of an idempotency key's shard keeps the record of the run;
 //! the entry only decides which agent to send the request to. An attempt may be repeated under the
-//! same key, because the home runs a key once and answers repeats from its record.
+//! same key, because the home runs a key once and responds to repeats from its record.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -357,8 +357,8 @@
     }
 }
 
-// Guards against a group that is paused for seconds: a switch paused it while one rank left
-// commands unanswered, so that each command had to be sent several times.
+// Guards against a group that is paused for seconds: a switch of the expert map paused it while one
+// rank left commands unanswered, so that each command had to be sent several times.
 #[tokio::test]
 async fn no_switch_pauses_a_group_while_a_rank_leaves_commands_unanswered() {
     let fleet = start_fleet().await;
--- a/crates/berylhook/tests/poison.rs
+++ b/crates/berylhook/tests/poison.rs
@@ -14,7 +14,7 @@
 // Guards against a poison request that is repeated through different entries under new attempt ids.
 // An entry that keeps nothing about an attempt after its end does not recognise the repeat. Eight
 // targets of one service exited one after the other, each within half a second of the service being
-// able to run again, and nobody was served in between. The log of the last exit had
+// able to run again, and no caller was served in between. The log of the last exit had
 // `result: streams` and 98 ms later `result: broke-off`, together with every other request in
 // flight at that target.
 #[tokio::test]
--- a/crates/berylhook/tests/poison_run_lock.rs
+++ b/crates/berylhook/tests/poison_run_lock.rs
@@ -14,8 +14,8 @@
 const TURN_DELAY: Duration = Duration::from_millis(144);
 
 // Guards against a request that waits for the run lock until shortly before its deadline and is
-// sent all the same. The target exited for a result nobody could use, and the caller was told that
-// the request may have run.
+// sent nevertheless. The target exited for a result that came too late, and the caller was told
+// that the request may have run.
 #[tokio::test]
 async fn a_request_whose_deadline_is_near_when_it_gets_the_lock_is_not_sent() {
     for path in ["/unsafe/draft", "/once/stream"] {
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -56,9 +56,9 @@
     until_serving(&entry, "briefing-llm").await;
 }
 
-/// Guards against callers that wait for an agent to which neither old nor new connections carry
-/// data. Requests in flight must be resolved: each without a response gets its outcome, and none
-/// waits for the link to recover.
+/// Guards against callers that keep waiting for an agent when neither the open connection to it nor
+/// a new one carries data. Requests in flight must be resolved: each without a response gets its
+/// outcome, and none waits for the link to recover.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_to_an_unreachable_agent_are_resolved() {
     let cluster = Cluster::start().await;
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,10 +1,10 @@
 //! Sends one request to one target, over a new connection.
 //!
-//! A pooled connection may have been closed, may be dead without a sign, or may still deliver a
-//! second response to an earlier request. None of this shows before the request is written, and
-//! then it is unknown whether the request ran, which is too late for one that must not be
-//! repeated. A new connection costs one round trip and avoids these cases, so connections are not
-//! pooled.
+//! A pooled connection may have been closed, may no longer carry data although it is open, or may
+//! still deliver a second response to an earlier request. None of this can be detected before the
+//! request is written. Afterwards it is unknown whether the request ran, so one that must not be
+//! repeated could not be sent again. A new connection costs one round trip and avoids these cases,
+//! so connections are not pooled.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -40,8 +40,8 @@
 /// the one before a new expert map is activated.
 const STREAM_SLOT_WAIT_FRACTION: f64 = 0.4;
 
-/// Longest wait for a slot when the response can only be late. Callers give up after two seconds
-/// without a response.
+/// Longest wait for a slot when the response cannot meet its latency objective. Callers disconnect
+/// after two seconds without a response.
 const MAX_LATE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Fraction of the remaining time that a wait for a late response may take.
@@ -452,7 +452,7 @@
 
     /// Reports to the quarantine what the result shows about target exits under this request.
     ///
-    /// A target that is leaving exits for its own reasons, so no request is blamed for it.
+    /// A target that is leaving exits for its own reasons, so its exit is attributed to no request.
     fn report_result(&self, target: &Target, result: SendResult) {
         match result {
             SendResult::Completed | SendResult::ErrorResponse => self.report_target_survived(),
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -41,8 +41,8 @@
 /// Jitter that spreads the requests of entries that learned of a limit at the same time.
 const REQUEST_JITTER_MS: u64 = 100;
 
-/// Timeout of a peer's reply. A slower peer is passed over, and another entry becomes home within
-/// two seconds.
+/// Timeout of a peer's reply. A slower peer counts as not responding, and another entry becomes
+/// home within two seconds.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Shortest time between two rounds, however often limits change.
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -8,7 +8,7 @@
 //! | Module | Purpose |
 //! |---|---|
 //! | `membership` | which entries share the targets, and how much demand each has |
-//! | `limits` | which entries share the targets' limits, and what a new entry is sent of them |
+//! | `limits` | which entries share the targets' limits, and the limit reports for a new entry |
 //! | `leadership` | what a leader sends its peers, and to whom it transfers its leadership |
 //!
 //! Queries use plain HTTP. A messaging library would bring threads and wake-ups that cost more
--- a/crates/entry/src/store_watch.rs
+++ b/crates/entry/src/store_watch.rs
@@ -1,7 +1,7 @@
 //! Watches the store: one long-poll watch per topic, for the lifetime of the process.
 //!
-//! Each topic has its own watch. A single watch over all keys would wake every entry at each
-//! switch of an expert map, and every watch that returns is billed.
+//! Each topic has its own watch. A single watch over all keys would wake every entry at each switch
+//! of an expert map, and the platform bills every watch that returns.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -94,7 +94,7 @@
     gap_started: Instant,
 }
 
-/// Serves the request.
+/// Sends the request to a target and streams the response to the caller.
 pub(crate) async fn serve(job: Job) -> Response<Body> {
     if let Some(refusal) = job.refuse_if_quarantined() {
         return refusal;
--- a/crates/entry/src/streaming/head.rs
+++ b/crates/entry/src/streaming/head.rs
@@ -48,7 +48,7 @@
     }
 
     /// What the result says about the target's health. Refusals are common when a whole group
-    /// refuses requests, and say nothing about one rank.
+    /// refuses requests, and indicate nothing about the health of one rank.
     pub(super) fn health_sample(&self) -> Option<HealthSample> {
         let is_refusal = matches!(
             self.result,
--- a/crates/relay/src/fencing.rs
+++ b/crates/relay/src/fencing.rs
@@ -20,8 +20,8 @@
 /// this agent.
 const PEER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Bits of a fencing token within one era of the store: sixteen million elections with their
-/// transfers of leadership.
+/// Number of low bits of a fencing token that are used within one era of the store: enough for
+/// sixteen million elections with their transfers of leadership. The era is in the higher bits.
 const ERA_SHIFT: u32 = 30;
 
 /// Lower bound of the fencing tokens of an era: below every token of the leaders elected in that
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -15,8 +15,8 @@
 /// Statuses for requests that no configuration allows.
 const UNKNOWN_STATUSES: [u16; 3] = [401, 403, 404];
 
-/// An interrupted request is attributed to a planned change only if nothing else was wrong from
-/// this long before the request to its end.
+/// An interrupted request is attributed to a planned change only if no fault could affect requests
+/// from this long before the request was sent until its end.
 const UNDISTURBED_BEFORE: Duration = Duration::from_secs(1);
 
 /// Specified limits for a poison request: target exits until it is quarantined, time for the
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -223,7 +223,7 @@
         Ok(cluster)
     }
 
-    /// Starts a target and writes its entry.
+    /// Starts a target and writes its entry to the store.
     pub(crate) async fn new_target(&self) -> Arc<Target> {
         let number = self.target_count.fetch_add(1, Ordering::SeqCst);
         let stand_in = PlatformTarget::start(&format!("i-{number}")).await;
--- a/crates/soak/src/restores.rs
+++ b/crates/soak/src/restores.rs
@@ -1,8 +1,8 @@
 //! Restores the store from older snapshots, concurrently with all other faults.
 //!
 //! After a restore, the configuration and the targets' entries are written again with a delay,
-//! while everything that entries and agents wrote since the snapshot is lost. A restore does not
-//! excuse a failed request.
+//! while everything that entries and agents wrote since the snapshot is lost. A failed request is
+//! never attributed to a restore.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Default)]
 struct State {
     fault: Fault,
-    /// Connections with a number below this are frozen.
+    /// Connections are numbered as they are accepted; those below this number are frozen.
     frozen_below: u64,
     accepted: u64,
 }
