--- a/crates/berylhook/src/commands/burn.rs
+++ b/crates/berylhook/src/commands/burn.rs
@@ -55,11 +55,12 @@
     pub(crate) requests: u64,
     /// Requests without a complete response.
     pub(crate) failed: u64,
-    /// Burn rate; `None` if there were no events or the objective is not known.
+    /// Burn rate of the availability objective. A burn rate is `None` if there were no events or
+    /// the objective is not known.
     pub(crate) availability: Option<f64>,
-    /// See `availability`.
+    /// Burn rate of the objective for the time to the first token.
     pub(crate) first_token: Option<f64>,
-    /// See `availability`.
+    /// Burn rate of the objective for the time between two tokens.
     pub(crate) token_gap: Option<f64>,
 }
 
--- a/crates/berylhook/src/serve/shares.rs
+++ b/crates/berylhook/src/serve/shares.rs
@@ -46,7 +46,7 @@
 pub(crate) struct Shares {
     state: RefCell<State>,
     /// Prevents a claim while a home of the store's previous era may still grant shares.
-    claim_gate: ClaimGuard,
+    claim_guard: ClaimGuard,
 }
 
 impl Default for Shares {
@@ -54,7 +54,7 @@
         let lease_s = u64::try_from(LEASE_TTL_S).unwrap_or(0);
         Self {
             state: RefCell::default(),
-            claim_gate: ClaimGuard::new(CLAIMABLE_KEY.into(), lease_s * 1_000),
+            claim_guard: ClaimGuard::new(CLAIMABLE_KEY.into(), lease_s * 1_000),
         }
     }
 }
@@ -292,8 +292,8 @@
     }
     let sent_ms = control.node.now_ms();
     let era = era_of(stored.revision);
-    let claim_gate = &control.shares.claim_gate;
-    if !claim_gate
+    let claim_guard = &control.shares.claim_guard;
+    if !claim_guard
         .may_claim(&*control.key_value, era, sent_ms)
         .await?
     {
--- a/crates/berylhook/tests/poison_agents.rs
+++ b/crates/berylhook/tests/poison_agents.rs
@@ -134,9 +134,9 @@
         assert!(self.exited_count() <= MAX_EXITS, "{}", self.exited_count());
     }
 
-    fn outputs(&self) -> String {
-        let outputs = self.entries.iter().map(|entry| entry.daemon.output());
-        outputs.collect()
+    fn entry_outputs(&self) -> String {
+        let entry_outputs = self.entries.iter().map(|entry| entry.daemon.output());
+        entry_outputs.collect()
     }
 }
 
@@ -171,7 +171,7 @@
     }
 
     assert!(fleet.exited_count() > 0, "the request reached no target");
-    let log = fleet.outputs();
+    let log = fleet.entry_outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
         "{}\n{log}",
@@ -238,7 +238,7 @@
     stopper.abort();
 
     assert!(fleet.exited_count() > 0, "the request reached no target");
-    let log = fleet.outputs();
+    let log = fleet.entry_outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
         "{}\n{log}",
@@ -275,7 +275,7 @@
     stopper.abort();
 
     assert!(fleet.exited_count() > 0, "the request reached no target");
-    let log = fleet.outputs();
+    let log = fleet.entry_outputs();
     assert!(
         fleet.exited_count() <= MAX_EXITS,
         "{}\n{log}",
@@ -355,6 +355,6 @@
     fleet.agents.clear();
     tokio::time::sleep(PROPAGATION_TIME).await;
 
-    let log = fleet.outputs();
+    let log = fleet.entry_outputs();
     assert!(!log.contains("a target ended with a request"), "{log}");
 }
--- a/crates/berylhook/tests/poison_run_lock.rs
+++ b/crates/berylhook/tests/poison_run_lock.rs
@@ -11,7 +11,7 @@
 
 /// Deadline of the request. The reply to its lock request arrives when a fifth of this is left.
 const DEADLINE_MS: u64 = 180;
-const TURN_DELAY: Duration = Duration::from_millis(144);
+const LOCK_REPLY_DELAY: Duration = Duration::from_millis(144);
 
 // Guards against a request that waits for the run lock until shortly before its deadline and is
 // sent nevertheless. The target exited for a result that came too late, and the caller was told
@@ -26,7 +26,7 @@
 
         let waiting = fleet.send_with_deadline(0, path, "second", POISON_BODY, DEADLINE_MS);
         let releasing = async {
-            tokio::time::sleep(TURN_DELAY).await;
+            tokio::time::sleep(LOCK_REPLY_DELAY).await;
             fleet.store.release_reads();
         };
         let (response, ()) = tokio::join!(waiting, releasing);
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -146,19 +146,19 @@
         attempt
     };
 
-    let older_later = violations_of(
+    let after_decrease = violations_of(
         &[attempt_at_version(3, 0), attempt_at_version(2, 500)],
         1,
         true,
     );
-    let newer_later = violations_of(
+    let after_increase = violations_of(
         &[attempt_at_version(2, 0), attempt_at_version(3, 500)],
         1,
         true,
     );
 
-    assert_eq!(older_later, ["entry-0 had version 3 in force, then 2"]);
-    assert_eq!(newer_later, Vec::<String>::new());
+    assert_eq!(after_decrease, ["entry-0 had version 3 in force, then 2"]);
+    assert_eq!(after_increase, Vec::<String>::new());
 }
 
 #[test]
