--- a/crates/berylhook/tests/entry.rs
+++ b/crates/berylhook/tests/entry.rs
@@ -1,4 +1,4 @@
-//! The entry that speaks to targets itself, as a real process between callers,
+//! A real process of `berylhook entry`, which connects to targets directly, between callers,
 //! stand-in targets and the stand-in store.
 
 mod common;
@@ -12,7 +12,7 @@
 };
 use serde_json::Value;
 
-use crate::common::entry::{Entry, KEY, configuration, route, start_entry, until, until_ready};
+use crate::common::entry::{API_KEY, Entry, configuration, route, start_entry, until, until_ready};
 
 fn all_routes() -> Vec<Value> {
     vec![
@@ -23,8 +23,7 @@
     ]
 }
 
-/// A store with the configuration, targets listed in it, and an entry that
-/// knows them.
+/// Starts a store with the configuration and the targets, and an entry that is ready.
 async fn start(targets: &[&PlatformTarget]) -> (KeyValueStandIn, Entry) {
     let store = KeyValueStandIn::start().await;
     store.put_raw("op/config", &configuration(1, &all_routes()));
@@ -43,19 +42,19 @@
         ("berylhook-deadline-ms", "3000"),
         ("berylhook-tenant", "somebody-else"),
     ];
-    Caller::new(KEY)
-        .post(entry.callers, path, "hello", &headers)
+    Caller::new(API_KEY)
+        .post(entry.caller_address, path, "hello", &headers)
         .await
 }
 
 #[tokio::test]
-async fn a_request_reaches_its_target_unchanged_but_for_what_the_entry_sets() {
+async fn a_request_reaches_its_target_unchanged_except_for_the_headers_of_the_entry() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
-    let answered = post(&entry, "/unsafe/a?b=c").await;
+    let response = post(&entry, "/unsafe/a?b=c").await;
 
-    assert_eq!((answered.status, answered.is_complete), (200, true));
+    assert_eq!((response.status, response.is_complete), (200, true));
     let runs = target.runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].request, "POST /unsafe/a?b=c");
@@ -77,26 +76,30 @@
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     let headers = [("host", "desk.example")];
-    let caller = Caller::new(KEY);
+    let caller = Caller::new(API_KEY);
 
-    let unknown = caller.post(entry.callers, "/nowhere/", "", &headers).await;
-    let stranger = Caller::new("no-key")
-        .post(entry.callers, "/safe/", "", &headers)
+    let unknown = caller
+        .post(entry.caller_address, "/nowhere/", "", &headers)
+        .await;
+    let wrong_key = Caller::new("no-key")
+        .post(entry.caller_address, "/safe/", "", &headers)
+        .await;
+    let large_body = "x".repeat(20_000);
+    let too_large = caller
+        .post(entry.caller_address, "/safe/", &large_body, &headers)
         .await;
-    let large = "x".repeat(20_000);
-    let too_large = caller.post(entry.callers, "/safe/", &large, &headers).await;
 
     assert_eq!(unknown.status, 404);
-    assert_eq!(stranger.status, 401);
+    assert_eq!(wrong_key.status, 401);
     assert_eq!(too_large.status, 413);
     assert!(target.runs().is_empty());
 }
 
-// Symptom: a guide's confirmation comes twice. Sequence: the target runs it and
-// its answer is lost, the entry sends it again or says that it did not run.
-// Cause: "no answer" was taken for "not run".
+// Guards against a confirmation that is sent twice: the target runs the request, its response is
+// lost, and the entry sends the request again or reports that it did not run, because it took a
+// missing response for "not run".
 #[tokio::test]
-async fn an_unsafe_request_whose_answer_is_lost_runs_once_and_promises_nothing() {
+async fn an_unsafe_request_whose_response_is_lost_runs_once_and_is_not_reported_as_not_run() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -111,17 +114,17 @@
             target.set_behaviour(behaviour);
         }
 
-        let answered = post(&entry, "/unsafe/").await;
+        let response = post(&entry, "/unsafe/").await;
 
-        assert_eq!(answered.status, 502, "{behaviour:?}");
-        assert_eq!(answered.retry_after, None);
+        assert_eq!(response.status, 502, "{behaviour:?}");
+        assert_eq!(response.retry_after, None);
         let after = targets[0].runs().len() + targets[1].runs().len();
         assert_eq!(after, before + 1, "{behaviour:?}");
     }
 }
 
 #[tokio::test]
-async fn an_answer_without_the_targets_mark_is_not_passed_on() {
+async fn a_response_without_the_targets_seal_is_not_forwarded() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::RespondsWithoutSeal);
@@ -129,27 +132,26 @@
     assert_eq!(post(&entry, "/unsafe/").await.status, 502);
 }
 
-// Symptom: a caller is told that its request did not run, repeats it, and it
-// has run twice. Sequence: a target answers 503 without saying that it did not
-// run the request, the entry passes the status on. Cause: the status alone was
-// taken for the target's word.
+// Guards against a caller that is told "not run" and repeats a request that has run. A target
+// answers 503 without the `berylhook-not-executed` header; the entry must not take the status alone
+// as proof that the request did not run.
 #[tokio::test]
-async fn only_the_targets_own_word_makes_not_run() {
+async fn only_the_not_executed_header_of_a_target_makes_not_run() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
     target.set_behaviour(Behaviour::RejectsWithoutReason);
-    let without_word = post(&entry, "/unsafe/").await;
+    let without_header = post(&entry, "/unsafe/").await;
     target.set_behaviour(Behaviour::RejectsAsNotExecuted);
-    let with_word = post(&entry, "/unsafe/").await;
+    let with_header = post(&entry, "/unsafe/").await;
 
-    assert_eq!(without_word.status, 502);
-    assert_eq!(with_word.status, 503);
-    assert!(with_word.retry_after.is_some());
+    assert_eq!(without_header.status, 502);
+    assert_eq!(with_header.status, 503);
+    assert!(with_header.retry_after.is_some());
 }
 
 #[tokio::test]
-async fn a_safe_request_is_answered_by_another_target() {
+async fn a_safe_request_is_retried_at_another_target() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -168,18 +170,18 @@
     }
 }
 
-fn ids(answered: &CallResult) -> Vec<u64> {
-    let lines = answered.body.lines();
+fn event_ids(response: &CallResult) -> Vec<u64> {
+    let lines = response.body.lines();
     lines
         .filter_map(|line| line.strip_prefix("id: ")?.parse().ok())
         .collect()
 }
 
-// Symptom: a briefing stops in the middle, or a line of it comes twice.
-// Sequence: a target breaks off in the middle of an event, another goes on.
-// Cause: passing on parts of events, or resuming at the wrong one.
+// Guards against a stream that stops early or repeats an event: a target closes the connection in
+// the middle of an event and another target resumes the stream. Forwarding part of an event, or
+// resuming at the wrong event, causes both.
 #[tokio::test]
-async fn a_stream_that_breaks_off_goes_on_at_another_target() {
+async fn an_interrupted_stream_is_resumed_at_another_target() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -189,18 +191,21 @@
         target.set_behaviour(Behaviour::CutsStreamAfter(3));
     }
     let streaming = post(&entry, "/stream/");
-    let mending = async {
+    let restoring = async {
         until(async || targets.iter().any(|target| !target.runs().is_empty())).await;
-        // The one that has not been asked yet answers the resumption whole.
+        // The target that has no run yet serves the rest of the stream.
         for target in targets.iter().filter(|target| target.runs().is_empty()) {
             target.set_behaviour(Behaviour::Responds);
         }
     };
 
-    let (answered, ()) = tokio::join!(streaming, mending);
+    let (response, ()) = tokio::join!(streaming, restoring);
 
-    assert_eq!((answered.status, answered.is_complete), (200, true));
-    assert_eq!(ids(&answered), (1..=EVENTS_PER_STREAM).collect::<Vec<_>>());
+    assert_eq!((response.status, response.is_complete), (200, true));
+    assert_eq!(
+        event_ids(&response),
+        (1..=EVENTS_PER_STREAM).collect::<Vec<_>>()
+    );
     let resumed = targets.iter().flat_map(PlatformTarget::runs);
     let resumed_after: Vec<_> = resumed
         .filter_map(|run| run.header("last-event-id").map(str::to_owned))
@@ -209,46 +214,45 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_is_cut_visibly() {
+async fn a_stream_that_must_not_be_resumed_ends_without_the_final_chunk() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::CutsStreamAfter(3));
 
-    let answered = post(&entry, "/once/stream").await;
+    let response = post(&entry, "/once/stream").await;
 
-    assert_eq!(answered.status, 200);
-    assert!(!answered.is_complete);
-    assert_eq!(ids(&answered), [1, 2, 3]);
+    assert_eq!(response.status, 200);
+    assert!(!response.is_complete);
+    assert_eq!(event_ids(&response), [1, 2, 3]);
     assert_eq!(target.runs().len(), 1);
 }
 
-// Symptom: targets go on with work that nobody waits for, and no log line tells
-// what became of the request. Sequence: a caller leaves while its request is at a
-// target. Cause: the connection to the target outlived the one to the caller; the
-// end of a request was logged by whoever answered it.
+// Guards against targets that continue runs whose caller has disconnected, and against requests
+// whose end is not logged. The connection to the target outlived the one to the caller, and only
+// the code that sent a response logged the end of a request.
 #[tokio::test]
-async fn when_a_caller_leaves_its_stream_ends_at_the_target_too() {
+async fn when_a_caller_disconnects_its_stream_is_cancelled_at_the_target() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
 
-    let left = tokio::time::timeout(Duration::from_millis(60), post(&entry, "/stream/")).await;
+    let outcome = tokio::time::timeout(Duration::from_millis(60), post(&entry, "/stream/")).await;
 
-    assert!(left.is_err(), "the caller left in mid-stream");
+    assert!(outcome.is_err(), "the caller disconnects in mid-stream");
     tokio::time::sleep(Duration::from_millis(400)).await;
     let runs = target.runs();
     assert!(runs.iter().all(|run| !run.is_finished));
-    until(async || left_at_a_target(&entry)).await;
+    until(async || has_disconnect_line(&entry)).await;
 }
 
-/// Whether a line tells that the caller left and which target had its request.
-fn left_at_a_target(entry: &Entry) -> bool {
+/// Whether the log has a line that the caller disconnected, with the target of its request.
+fn has_disconnect_line(entry: &Entry) -> bool {
     let output = entry.daemon.output();
     let mut lines = output.lines().filter(|line| line.contains("caller-left"));
     lines.any(|line| line.contains("attempt-1") && line.contains("i-1"))
 }
 
 #[tokio::test]
-async fn a_leaving_target_gets_no_new_requests() {
+async fn a_draining_target_gets_no_new_requests() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -264,13 +268,12 @@
     assert!(targets[0].runs().is_empty());
 }
 
-// Symptom: a target that has left gets requests for two seconds more. Sequence:
-// the store is away and comes back, nothing changes for seconds, then a target
-// leaves. Cause: the entry learnt of the store's return from that very change,
-// since it was waiting in a long watch, and took the target for one whose entry
-// had lapsed during the outage.
+// Guards against a removed target that gets requests for two more seconds when it is removed long
+// after a store outage. The entry was waiting in a long watch, so that it noticed the recovery of
+// the store only with that removal, and took the target for one whose entry in the store had
+// expired during the outage.
 #[tokio::test]
-async fn a_target_that_leaves_long_after_an_outage_is_gone_at_once() {
+async fn a_target_removed_long_after_a_store_outage_is_dropped_at_once() {
     let targets = [
         PlatformTarget::start("i-1").await,
         PlatformTarget::start("i-2").await,
@@ -290,57 +293,57 @@
     assert!(targets[0].runs().is_empty());
 }
 
-// Symptom: a new entry says 404 or 401 to callers that are in their right.
-// Sequence: it starts while the store is away. Cause: not knowing was taken for
-// knowing that there is no such route.
+// Guards against an entry that starts during a store outage and answers 404 or 401 to valid
+// requests because it takes a missing configuration for an empty one.
 #[tokio::test]
-async fn an_entry_that_knows_no_configuration_promises_not_run_and_says_when_to_return() {
+async fn an_entry_without_a_configuration_reports_not_run_with_retry_after() {
     let store = KeyValueStandIn::start().await;
     store.set_outage(Outage::Refusing);
     let entry = start_entry(&store, &[]);
     until(async || post(&entry, "/safe/").await.status != 0).await;
 
-    let answered = post(&entry, "/safe/").await;
+    let response = post(&entry, "/safe/").await;
 
-    assert_eq!(answered.status, 503);
-    assert!(answered.retry_after.is_some());
+    assert_eq!(response.status, 503);
+    assert!(response.retry_after.is_some());
     assert_eq!(
-        Caller::new(KEY).get(entry.ready, "/-/readyz").await.status,
+        Caller::new(API_KEY)
+            .get(entry.readiness_address, "/-/readyz")
+            .await
+            .status,
         503
     );
 }
 
-// Symptom: on a fleet of many entries they end by themselves, most of them within
-// a minute. Sequence: an entry that knows more than some twenty others asks them in
-// random order. Cause: the order was made by sorting with keys drawn anew at each
-// comparison, which the standard library answers with a panic.
+// Guards against entries that exit by themselves, most of them within a minute, in a fleet of more
+// than some twenty. The random order in which an entry contacts its peers was made by sorting with
+// keys drawn anew at each comparison, which makes the standard library panic.
 #[tokio::test]
-async fn an_entry_that_knows_many_others_lives() {
+async fn an_entry_with_many_peers_keeps_running() {
     let target = PlatformTarget::start("i-1").await;
-    let (store, _open) = start(&[&target]).await;
-    let many: Vec<SocketAddr> = (0..200).map(|_| free_address()).collect();
+    let (store, _reachable) = start(&[&target]).await;
+    let peers: Vec<SocketAddr> = (0..200).map(|_| free_address()).collect();
 
-    let mut entry = start_entry(&store, &many);
+    let mut entry = start_entry(&store, &peers);
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
-    // A build for tests outlives the panic of a task, the one that runs does not.
+    // A test build survives the panic of a task, a release build aborts, so the log is checked too.
     let output = entry.daemon.output();
     assert!(!output.contains("panicked"), "{output}");
     assert!(!entry.daemon.has_exited(), "{output}");
     assert_eq!(post(&entry, "/safe/").await.status, 200);
 }
 
-// Symptom: one entry still serves a key that was taken away. Sequence: the
-// store shuts one entry out and serves the others, the configuration changes.
-// Cause: the store was the only way to learn of it.
+// Guards against an entry that serves an outdated configuration, for example a revoked key, because
+// it cannot reach the store while other entries can: it must get the configuration from its peers.
 #[tokio::test]
-async fn an_entry_that_the_store_shuts_out_learns_from_its_peers() {
+async fn an_entry_cut_off_from_the_store_gets_the_configuration_from_its_peers() {
     let target = PlatformTarget::start("i-1").await;
-    let (_store, open) = start(&[&target]).await;
-    let shut = KeyValueStandIn::start().await;
-    shut.set_outage(Outage::Refusing);
-    let entry = start_entry(&shut, &[open.peers]);
+    let (_store, reachable) = start(&[&target]).await;
+    let unavailable_store = KeyValueStandIn::start().await;
+    unavailable_store.set_outage(Outage::Refusing);
+    let entry = start_entry(&unavailable_store, &[reachable.peer_address]);
 
     until_ready(&entry).await;
 
@@ -348,7 +351,7 @@
 }
 
 #[tokio::test]
-async fn an_older_configuration_never_comes_back() {
+async fn an_older_configuration_is_never_applied() {
     let target = PlatformTarget::start("i-1").await;
     let (store, entry) = start(&[&target]).await;
     store.put_raw("op/config", &configuration(5, &all_routes()[..1]));
@@ -361,27 +364,28 @@
     assert_eq!(post(&entry, "/safe/").await.status, 200);
 }
 
-// Symptom: a planned stop cuts answers off. Sequence: the entry is asked to
-// stop while a stream runs. Cause: ending before the work in hand was done.
+// Guards against a planned stop that cuts running streams: the entry must drain before it exits.
 #[tokio::test]
-async fn a_planned_stop_lets_streams_end_and_sends_new_callers_elsewhere() {
+async fn a_planned_stop_drains_streams_and_withdraws_readiness() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, mut entry) = start(&[&target]).await;
 
-    let (answered, ()) = tokio::join!(post(&entry, "/stream/"), async {
+    let (response, ()) = tokio::join!(post(&entry, "/stream/"), async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         entry.daemon.signal(Signal::Terminate);
     });
-    let ready = Caller::new(KEY).get(entry.ready, "/-/readyz").await;
+    let ready = Caller::new(API_KEY)
+        .get(entry.readiness_address, "/-/readyz")
+        .await;
 
-    assert!(answered.is_complete);
-    assert_eq!(ids(&answered).len() as u64, EVENTS_PER_STREAM);
+    assert!(response.is_complete);
+    assert_eq!(event_ids(&response).len() as u64, EVENTS_PER_STREAM);
     assert_eq!(ready.status, 503);
-    assert_eq!(entry.daemon.wait().expect("it ends by itself"), 0);
+    assert_eq!(entry.daemon.wait().expect("the entry exits by itself"), 0);
 }
 
 #[tokio::test]
-async fn a_reload_ends_nothing() {
+async fn a_reload_signal_does_not_stop_the_entry() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, mut entry) = start(&[&target]).await;
 
@@ -393,7 +397,7 @@
 }
 
 #[tokio::test]
-async fn metrics_and_logs_tell_what_became_of_a_request() {
+async fn the_log_has_the_outcome_of_a_request() {
     let target = PlatformTarget::start("i-1").await;
     let (_store, entry) = start(&[&target]).await;
     target.set_behaviour(Behaviour::DropsResponses);
--- a/crates/berylhook/tests/groups.rs
+++ b/crates/berylhook/tests/groups.rs
@@ -1,5 +1,4 @@
-//! A group's map follows the demand: real entries and agents, stand-in store and
-//! group.
+//! A group's expert map follows the demand: real entries and agents, stand-in store and group.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +9,7 @@
 use serde_json::json;
 
 const RANKS: usize = 4;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn configuration() -> Vec<u8> {
     json!({
@@ -45,7 +44,7 @@
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
     let group = PlatformGroup::start("g-0", &engines).await;
     group.register(&store, "llm");
-    // One port for the agents of all VMs; each VM has an IP number of its own.
+    // All agents use one port; each stand-in VM has its own IP address.
     let agent_port = 7_340;
     let agents = engines
         .iter()
@@ -73,8 +72,8 @@
     start_sized_entry(fleet, name, 0.5, free_address(), "")
 }
 
-/// An entry with that part of a processor, which answers its peers at `peers`
-/// and begins with these seeds.
+/// Starts an entry that has `processor_share` of a processor, answers its peers at `peers` and has
+/// these seeds.
 fn start_sized_entry(
     fleet: &Fleet,
     name: &str,
@@ -94,178 +93,181 @@
     Daemon::start("berylhook", &["entry"], &settings).expect("the entry starts")
 }
 
-/// Shifts the demand and waits until the favourite stands on most ranks.
-async fn shift(fleet: &Fleet, favourite: usize) {
-    fleet.group.set_hot_expert(favourite);
-    let expert = u16::try_from(favourite).expect("few experts");
-    let began = Instant::now();
+/// Shifts the demand to `hot_expert` and waits until it has replicas on at least all ranks but one.
+async fn shift_demand(fleet: &Fleet, hot_expert: usize) {
+    fleet.group.set_hot_expert(hot_expert);
+    let expert = u16::try_from(hot_expert).expect("the index fits into 16 bits");
+    let started_at = Instant::now();
     while fleet.group.replicas_of(expert) < RANKS - 1 {
-        assert!(began.elapsed() < PATIENCE, "the map does not follow");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the map does not follow the demand"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// Symptom: passes take several times as long as they should for as long as the
-// store is down. Sequence: demand shifts in an outage. Cause: a switch needed
-// the store.
+// Guards against passes that take several times as long as they should for the whole of a store
+// outage, because the demand shifts and a switch of the map needs the store.
 #[tokio::test]
-async fn a_map_follows_the_demand_also_while_the_store_is_down() {
+async fn a_map_follows_the_demand_during_a_store_outage() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
 
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     fleet.store.set_outage(Outage::Refusing);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     fleet.store.set_outage(Outage::None);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: a pass with two maps, or a group held for ever, after a leader is
-// lost. Sequence: the leader is frozen or killed at any moment, another takes
-// over, the frozen one wakes. Cause: two leaders that both give orders.
+// Guards against a pass with two maps, or a group that stays paused, after its leader is lost. The
+// leader is frozen or killed, another entry takes over, and the frozen one resumes, so that two
+// leaders send commands.
 #[tokio::test]
 async fn a_map_follows_the_demand_through_frozen_and_killed_leaders() {
     let fleet = start_fleet().await;
     let first = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let second = start_entry(&fleet, "entry-2");
 
     first.signal(Signal::Stop);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     first.signal(Signal::Continue);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
     second.signal(Signal::Kill);
-    shift(&fleet, 14).await;
+    shift_demand(&fleet, 14).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: for seconds after a planned stop passes take twice as long and more.
-// Sequence: the store is away, the platform stops the leader, demand shifts.
-// Cause: nobody can be elected without the store, and a stopped leader left.
+// Guards against passes that take at least twice as long as usual for seconds after a planned stop
+// of the leader during a store outage. No entry can be elected without the store, so the leader has
+// to hand its leadership over before it stops.
 #[tokio::test]
-async fn a_leader_that_stops_while_the_store_is_away_is_succeeded() {
+async fn a_leader_that_stops_during_a_store_outage_has_a_successor() {
     let fleet = start_fleet().await;
     let (peers_1, peers_2) = (free_address(), free_address());
     let first = start_sized_entry(&fleet, "entry-1", 0.5, peers_1, &peers_2.to_string());
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let second = start_sized_entry(&fleet, "entry-2", 0.5, peers_2, &peers_1.to_string());
     let third = start_sized_entry(&fleet, "entry-3", 0.5, free_address(), &peers_1.to_string());
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     fleet.store.set_outage(Outage::Refusing);
     first.signal(Signal::Terminate);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
     second.signal(Signal::Terminate);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
     fleet.store.set_outage(Outage::None);
-    shift(&fleet, 14).await;
+    shift_demand(&fleet, 14).await;
 
     drop(third);
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: for as long as the store is away passes take twice as long and more.
-// Sequence: an agent starts anew meanwhile, demand shifts. Cause: it relayed no
-// order before it had read the store, and a change needs every rank.
+// Guards against passes that take at least twice as long as usual for the whole of a store outage
+// after an agent has restarted. A switch needs every rank, so an agent must relay commands even
+// before it has read the store.
 #[tokio::test]
-async fn an_agent_that_starts_while_the_store_is_away_relays_for_the_leader() {
+async fn an_agent_that_starts_during_a_store_outage_relays_for_the_leader() {
     let mut fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
     fleet.store.set_outage(Outage::Refusing);
     let store = fleet.store.address();
     fleet.agents.remove(0);
     let agent = start_agent(fleet.engines[0], fleet.agent_port, store);
     fleet.agents.push(agent);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-/// Guards against a group without a leader, or with two, after the store was restored from a
-/// copy that lacks the election.
+/// Guards against a group without a leader, or with two, after the store has been restored from a
+/// snapshot that lacks the election.
 #[tokio::test]
 async fn a_map_follows_the_demand_after_the_store_was_restored() {
     let mut fleet = start_fleet().await;
-    let copy = fleet.store.snapshot();
+    let snapshot = fleet.store.snapshot();
     let _first = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     let _second = start_entry(&fleet, "entry-2");
 
-    fleet.store.restore(&copy);
-    shift(&fleet, 7).await;
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
+    shift_demand(&fleet, 7).await;
+    fleet.store.restore(&snapshot);
     let store = fleet.store.address();
     fleet.agents.remove(0);
     let agent = start_agent(fleet.engines[0], fleet.agent_port, store);
     fleet.agents.push(agent);
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: passes take twice as long and more for as long as a group lives after
-// one of its engines has started again. Sequence: an engine starts anew under its
-// id; the group forms anew with its first map; demand stays or shifts. Cause: what
-// was known of the former incarnation, its map, its counts, a hold that was
-// ordered, was taken for the new one's.
+// Guards against passes that take at least twice as long as usual for the rest of a group's life
+// after an engine has restarted under its id and the group has formed again with its first map.
+// State of the previous incarnation, such as its map, its counts or a pause that was commanded,
+// must not be taken for that of the new one, whether the demand stays or shifts.
 #[tokio::test]
-async fn a_map_follows_the_demand_after_an_engine_has_started_again() {
+async fn a_map_follows_the_demand_after_an_engine_restart() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
     fleet.group.restart_engine(1);
-    shift(&fleet, 3).await;
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 3).await;
+    shift_demand(&fleet, 7).await;
     fleet.store.set_outage(Outage::Refusing);
     fleet.group.restart_engine(0);
-    shift(&fleet, 7).await;
-    shift(&fleet, 11).await;
+    shift_demand(&fleet, 7).await;
+    shift_demand(&fleet, 11).await;
 
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: all groups of a service run with maps that are seconds old. Sequence:
-// one group's copies do not end, demand shifts in another. Cause: the leader went
-// through its groups one after the other, so each change of one waited until the
-// other's was given up.
+// Guards against maps that are seconds old in all groups of a service because the copies of one
+// group never complete. A leader that served its groups one after the other delayed each switch
+// until the one of the stuck group had timed out.
 #[tokio::test]
-async fn a_group_that_hangs_delays_no_other() {
+async fn a_stuck_group_does_not_delay_other_groups() {
     const SHIFTS: usize = 6;
     let fleet = start_fleet().await;
     let engines: Vec<SocketAddr> = (0..RANKS).map(|_| free_address()).collect();
-    let hung = PlatformGroup::start("g-1", &engines).await;
-    hung.register(&fleet.store, "llm");
-    hung.set_copies_complete(false);
+    let stuck = PlatformGroup::start("g-1", &engines).await;
+    stuck.register(&fleet.store, "llm");
+    stuck.set_copies_complete(false);
     let store = fleet.store.address();
     let start = |engine: &SocketAddr| start_agent(*engine, fleet.agent_port, store);
     let _agents: Vec<Daemon> = engines.iter().map(start).collect();
     let _entry = start_entry(&fleet, "entry-1");
-    hung.set_hot_expert(5);
-    while hung.prepare_commands() == 0 {
+    stuck.set_hot_expert(5);
+    while stuck.prepare_commands() == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    let before = hung.prepare_commands();
-    for favourite in 1..=SHIFTS {
-        shift(&fleet, favourite).await;
+    let commands_before = stuck.prepare_commands();
+    for hot_expert in 1..=SHIFTS {
+        shift_demand(&fleet, hot_expert).await;
     }
 
-    let rounds = (hung.prepare_commands() - before) / RANKS as u64;
-    assert!(rounds < SHIFTS as u64, "{rounds} tries of the other group");
+    let prepare_rounds = (stuck.prepare_commands() - commands_before) / RANKS as u64;
+    assert!(
+        prepare_rounds < SHIFTS as u64,
+        "{prepare_rounds} switches begun in the stuck group"
+    );
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: on a fleet of unequal VMs changes of maps take twice as long after
-// some elections as after others. Sequence: all entries stand at once, and one
-// with a sixth of a processor wins. Cause: whoever asked the store first led.
+// Guards against an entry with a sixth of a processor that becomes leader because it reached the
+// store first: switches of maps then take twice as long as under a larger leader. All entries start
+// at once.
 #[tokio::test]
-async fn of_unequal_entries_a_larger_one_leads() {
+async fn the_entry_with_more_cpu_is_elected() {
     let fleet = start_fleet().await;
     let large_peers = free_address();
     let seeds = large_peers.to_string();
@@ -277,11 +279,11 @@
     assert!(leader(&fleet).await.starts_with("large "));
 }
 
-// Symptom: after a loss of power the entry with the narrowest link leads a large group
-// for the rest of the day. Sequence: all entries start together and stand before they
-// have met; a small one is first. Cause: who leads was settled once, at the election.
+// Guards against the smallest entry leading a large group for the rest of the day after a power
+// loss. All entries start at once, a small one is elected before it knows its peers, and the
+// decision must not be final.
 #[tokio::test]
-async fn a_small_leader_makes_room_for_a_larger_entry_that_it_meets() {
+async fn a_small_leader_hands_over_to_a_larger_peer() {
     let fleet = start_fleet().await;
     let (small_peers, large_peers) = (free_address(), free_address());
     let _small = start_sized_entry(&fleet, "small", 0.18, small_peers, "");
@@ -289,19 +291,22 @@
 
     let _large = start_sized_entry(&fleet, "large", 0.5, large_peers, &small_peers.to_string());
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !leader(&fleet).await.starts_with("large ") {
-        assert!(began.elapsed() < PATIENCE, "the small one goes on leading");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the smaller entry still leads"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Symptom: entries crowd some targets while others are idle. Cause: an entry did not
-// know that others share its targets, or went on counting one that had stopped.
+// Guards against entries that overload some targets while others are idle, because an entry does
+// not know that others share its targets, or still counts one that has stopped.
 #[tokio::test]
-async fn entries_know_who_shares_the_targets_with_them() {
+async fn entries_track_how_many_entries_share_the_targets() {
     let fleet = start_fleet().await;
     let (first_peers, second_peers) = (free_address(), free_address());
     let first = start_sized_entry(&fleet, "first", 0.5, first_peers, "");
@@ -313,78 +318,87 @@
         &first_peers.to_string(),
     );
 
-    wait_for_line(&first, r#""members":2"#).await;
-    wait_for_line(&second, r#""members":2"#).await;
+    wait_for_sharing_line(&first, r#""members":2"#).await;
+    wait_for_sharing_line(&second, r#""members":2"#).await;
     second.signal(Signal::Terminate);
 
-    wait_for_line(&first, r#""members":1"#).await;
+    wait_for_sharing_line(&first, r#""members":1"#).await;
 }
 
-/// Waits until the newest line about who shares the targets holds this.
-async fn wait_for_line(entry: &Daemon, wanted: &str) {
-    let began = Instant::now();
+/// Waits until the newest log line about sharing the targets contains `expected`.
+async fn wait_for_sharing_line(entry: &Daemon, expected: &str) {
+    let started_at = Instant::now();
     loop {
         let output = entry.output();
-        let mut shared = output.lines().filter(|line| line.contains("shared anew"));
-        if shared.next_back().is_some_and(|line| line.contains(wanted)) {
+        let mut sharing_lines = output.lines().filter(|line| line.contains("shared anew"));
+        if sharing_lines
+            .next_back()
+            .is_some_and(|line| line.contains(expected))
+        {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{wanted} is not logged");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "{expected} is not logged"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// The value of the leader's key, once there is one.
+/// Waits until there is a leader and returns the value of its key.
 async fn leader(fleet: &Fleet) -> String {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(leader) = fleet.store.value("berylhook/leader/llm") {
             return leader;
         }
-        assert!(began.elapsed() < PATIENCE, "nobody leads");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "no leader is elected");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// A group stood still for seconds: a switch had begun to hold it while its ranks left orders
-// unanswered, and each order had to be given several times.
+// Guards against a group that is paused for seconds: a switch of the expert map paused it while one
+// rank left commands unanswered, so that each command had to be sent several times.
 #[tokio::test]
-async fn no_switch_holds_a_group_while_a_rank_leaves_orders_unanswered() {
+async fn no_switch_pauses_a_group_while_a_rank_leaves_commands_unanswered() {
     let fleet = start_fleet().await;
     let _entry = start_entry(&fleet, "entry-1");
-    shift(&fleet, 3).await;
-    // One more switch may follow the last holder.
+    shift_demand(&fleet, 3).await;
+    // One more switch may follow after the hot expert has its last replica.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let holds = fleet.group.pause_commands();
+    let pauses_before = fleet.group.pause_commands();
 
     fleet.group.drop_command_replies_of(Some(RANKS - 1));
     fleet.group.set_hot_expert(7);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let held_meanwhile = fleet.group.pause_commands() - holds;
+    let pauses_meanwhile = fleet.group.pause_commands() - pauses_before;
     fleet.group.drop_command_replies_of(None);
-    shift(&fleet, 7).await;
+    shift_demand(&fleet, 7).await;
 
-    assert_eq!(held_meanwhile, 0);
+    assert_eq!(pauses_meanwhile, 0);
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
 
-// Guards against requests that wait for seconds at the rank that holds, since its VM froze, and
-// go on there after their callers have left.
+// Guards against requests that wait for seconds at the rank that pauses the group because its VM
+// has frozen, and still run there after their callers have disconnected.
 #[tokio::test]
-async fn the_rank_with_the_least_work_holds() {
+async fn the_rank_with_the_least_work_gets_the_pause_command() {
     let fleet = start_fleet().await;
     for rank in 0..RANKS - 1 {
         fleet.group.set_queued(rank, 3);
     }
     let _entry = start_entry(&fleet, "entry-1");
 
-    shift(&fleet, 3).await;
+    shift_demand(&fleet, 3).await;
 
-    let by_rank: Vec<u64> = (0..RANKS)
+    let pauses_by_rank: Vec<u64> = (0..RANKS)
         .map(|rank| fleet.group.pause_commands_of(rank))
         .collect();
-    let (least, others) = by_rank.split_last().expect("ranks");
-    assert!(*least > 0, "{by_rank:?}");
-    assert!(others.iter().all(|holds| *holds == 0), "{by_rank:?}");
+    let (least_loaded_pauses, others) = pauses_by_rank.split_last().expect("the group has ranks");
+    assert!(*least_loaded_pauses > 0, "{pauses_by_rank:?}");
+    assert!(
+        others.iter().all(|pauses| *pauses == 0),
+        "{pauses_by_rank:?}"
+    );
     assert_eq!(fleet.group.mixed_passes(), 0);
 }
--- a/crates/berylhook/tests/limited_targets.rs
+++ b/crates/berylhook/tests/limited_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that name a limit on what they take from all entries together.
+//! Targets that announce a rate limit for the requests of all entries together.
 
 mod common;
 
@@ -6,94 +6,107 @@
 
 use berylhook_test_support::PlatformTarget;
 
-use crate::common::load::{most_in_window, send_steadily};
+use crate::common::load::{max_in_window, send_steadily};
 use crate::common::poison::Fleet;
 
-/// The users allow half as much again as a target names in any span of this length, and
-/// five requests more.
+/// The requirement allows one and a half times the announced limit in any span of this length, and
+/// five more requests.
 const WINDOW: Duration = Duration::from_secs(4);
 
-fn allowed(limit_per_s: usize) -> usize {
+fn max_allowed(limit_per_s: usize) -> usize {
     limit_per_s * 4 * 3 / 2 + 5
 }
 
-/// Time for all entries to hear of a limit; the users allow three seconds.
-const NEWS: Duration = Duration::from_millis(1_500);
-
-/// How long each load lasts.
-const LASTING: Duration = Duration::from_millis(6_500);
-
-/// Whether the target got no more than the users allow for that limit, from the moment on
-/// at which all entries have heard of it.
-fn keeps_to(target: &PlatformTarget, limit_per_s: usize, named: Instant) -> Result<(), String> {
-    let most = most_in_window(&target.arrivals(), named + NEWS, WINDOW);
-    let allowed = allowed(limit_per_s);
-    if most <= allowed {
+/// Time for all entries to receive a limit; the requirement is three seconds.
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
+
+/// Duration of the load in tests that check one limit.
+const LOAD_DURATION: Duration = Duration::from_millis(6_500);
+
+/// Returns an error if the target received more than [`max_allowed`] requests in any window,
+/// counted from the moment at which all entries have received the limit.
+fn check_limit(
+    target: &PlatformTarget,
+    limit_per_s: usize,
+    limit_set_at: Instant,
+) -> Result<(), String> {
+    let max_seen = max_in_window(&target.arrivals(), limit_set_at + PROPAGATION_TIME, WINDOW);
+    let allowed = max_allowed(limit_per_s);
+    if max_seen <= allowed {
         Ok(())
     } else {
-        Err(format!("{most} requests in a window, {allowed} allowed"))
+        Err(format!(
+            "{max_seen} requests in a window, {allowed} allowed"
+        ))
     }
 }
 
-// Guards against entries that send a target more than it takes from all of them together.
+// Guards against entries that each keep to the limit of a target but together exceed it.
 #[tokio::test]
 async fn all_entries_together_keep_to_a_targets_limit() {
     let fleet = Fleet::start(3, 2).await;
     fleet.targets[0].set_limit(Some("2"));
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/safe/", "/stream/"], LASTING).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/safe/", "/stream/"], LOAD_DURATION).await;
 
-    assert_eq!(keeps_to(&fleet.targets[0], 2, named), Ok(()));
-    assert!(answers.iter().all(|answered| answered.status == 200));
+    assert_eq!(check_limit(&fleet.targets[0], 2, limit_set_at), Ok(()));
+    assert!(responses.iter().all(|response| response.status == 200));
 }
 
-// Guards against callers that wait, or are told nothing, where no target takes more.
+// Guards against callers that wait, or get no `Retry-After` header, when all targets are at their
+// limit.
 #[tokio::test]
-async fn callers_are_told_when_to_come_back_where_all_targets_are_at_their_limit() {
+async fn callers_get_retry_after_when_all_targets_are_at_their_limit() {
     let fleet = Fleet::start(2, 2).await;
     for target in &fleet.targets {
         target.set_limit(Some("2"));
     }
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/stream/"], LASTING).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/stream/"], LOAD_DURATION).await;
 
     for target in &fleet.targets {
-        assert_eq!(keeps_to(target, 2, named), Ok(()));
+        assert_eq!(check_limit(target, 2, limit_set_at), Ok(()));
     }
-    let (served, refused): (Vec<_>, Vec<_>) = answers.iter().partition(|it| it.status == 200);
+    let (served, refused): (Vec<_>, Vec<_>) = responses
+        .iter()
+        .partition(|response| response.status == 200);
     assert!(!served.is_empty());
     assert!(
         refused
             .iter()
-            .all(|it| it.status == 503 && it.retry_after.is_some())
+            .all(|response| response.status == 503 && response.retry_after.is_some())
     );
 }
 
-// Guards against a target that gets less than it takes for good, once it has named a limit.
+// Guards against a target that stays limited after it has stopped announcing a limit.
 #[tokio::test]
-async fn a_target_that_names_no_limit_any_more_is_used_in_full_again() {
+async fn a_target_that_no_longer_announces_a_limit_is_used_in_full_again() {
     let fleet = Fleet::start(3, 2).await;
     fleet.targets[0].set_limit(Some("2"));
     send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
     fleet.targets[0].set_limit(None);
     send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
-    let before = fleet.targets[0].arrivals().len();
+    let count_before = fleet.targets[0].arrivals().len();
 
-    let answers = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
+    let responses = send_steadily(&fleet, &["/unsafe/", "/stream/"], Duration::from_secs(2)).await;
 
-    let got = fleet.targets[0].arrivals().len() - before;
-    assert!(got * 4 > answers.len(), "{got} of {}", answers.len());
+    let received_count = fleet.targets[0].arrivals().len() - count_before;
+    assert!(
+        received_count * 4 > responses.len(),
+        "{received_count} of {}",
+        responses.len()
+    );
 }
 
-// Guards against an entry that has just started and sends as if there were no limit, and
-// against permits that nobody gives out once their home has ended.
+// Guards against an entry that has just started and sends as if there were no limit, and against
+// permits that no entry grants after their home, the entry that allocates the limit, has exited.
 #[tokio::test]
-async fn entries_that_come_and_go_keep_to_a_targets_limit() {
+async fn entries_that_start_and_stop_keep_to_a_targets_limit() {
     let mut fleet = Fleet::start(2, 2).await;
     fleet.targets[0].set_limit(Some("2"));
-    let named = Instant::now();
+    let limit_set_at = Instant::now();
     let paths = ["/unsafe/", "/stream/"];
     for _ in 0..3 {
         send_steadily(&fleet, &paths, Duration::from_millis(1_500)).await;
@@ -103,7 +116,10 @@
 
     send_steadily(&fleet, &paths, Duration::from_millis(1_500)).await;
 
-    assert_eq!(keeps_to(&fleet.targets[0], 2, named), Ok(()));
-    let used = fleet.targets[0].arrivals().len();
-    assert!(used >= 6, "{used} requests in six seconds");
+    assert_eq!(check_limit(&fleet.targets[0], 2, limit_set_at), Ok(()));
+    let received_count = fleet.targets[0].arrivals().len();
+    assert!(
+        received_count >= 6,
+        "{received_count} requests in six seconds"
+    );
 }
--- a/crates/berylhook/tests/silent.rs
+++ b/crates/berylhook/tests/silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent without a reset.
+//! Connections that stop carrying data without a reset.
 
 use std::time::Duration;
 
@@ -13,13 +13,12 @@
     }
 }
 
-/// Symptom: requests hang for minutes although the target is healthy.
-/// Sequence: the connection between entry and agent is forgotten by something
-/// in between; nothing is reset; new connections work.
-/// Cause: only heartbeats inside the connection show it. A fresh connection
-/// is dialled, streams are resumed over it, and fresh requests use it.
+/// Guards against requests that hang for minutes although the target is healthy. A device between
+/// entry and agent drops the state of their connection: nothing is reset, and new connections work.
+/// Only heartbeats on the connection reveal this; the entry then reconnects, resumes streams and
+/// sends new requests over the new connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_continue_over_a_fresh_connection_when_the_old_one_is_dead() {
+async fn streams_continue_over_a_new_connection_when_the_old_one_is_dead() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
@@ -33,10 +32,10 @@
             tokio::spawn(async move {
                 let caller = Caller::new(DESK_KEY);
                 let prompt = format!("stream {number}");
-                let answered = caller
+                let response = caller
                     .complete(entry.address, "briefing-llm", &prompt, 60, true)
                     .await;
-                (prompt, answered)
+                (prompt, response)
             })
         })
         .collect();
@@ -49,20 +48,19 @@
     linked.link.set_fault(Fault::FreezeOpen);
 
     for stream in streams {
-        let (prompt, answered) = stream.await.expect("the stream ends");
-        assert!(answered.is_complete, "{}", answered.body);
-        assert_eq!(answered.streamed_text(), Engine::response_text(&prompt, 60));
+        let (prompt, response) = stream.await.expect("the stream ends");
+        assert!(response.is_complete, "{}", response.body);
+        assert_eq!(response.streamed_text(), Engine::response_text(&prompt, 60));
     }
     assert!(entry.daemon.output().contains("resumed at event"));
     until_serving(&entry, "briefing-llm").await;
 }
 
-/// Symptom: callers wait for a target that nothing can reach.
-/// Sequence: no connection to the agent carries anything, old or new.
-/// Cause: the requests in flight must be settled: what was never answered is
-/// told so, and nothing waits for the link to come back.
+/// Guards against callers that keep waiting for an agent when neither the open connection to it nor
+/// a new one carries data. Requests in flight must be resolved: each without a response gets its
+/// outcome, and none waits for the link to recover.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_to_an_unreachable_agent_are_settled() {
+async fn requests_to_an_unreachable_agent_are_resolved() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
@@ -73,27 +71,25 @@
 
     linked.link.set_fault(Fault::FreezeAll);
     let caller = Caller::new(DESK_KEY);
-    let sent = caller
+    let unacknowledged = caller
         .complete(entry.address, "briefing-llm", "into the hole", 5, false)
         .await;
-    let after = caller
+    let refused = caller
         .complete(entry.address, "briefing-llm", "later", 5, false)
         .await;
 
-    // Nobody could be asked what became of the first; the second was never
-    // sent.
-    assert_eq!(sent.outcome, "unknown", "{}", sent.body);
-    assert_eq!(after.outcome, "not-run", "{}", after.body);
-    assert!(after.retry_after.is_some());
+    // The agent could not be queried for the outcome of the first request; the
+    // second was never sent.
+    assert_eq!(unacknowledged.outcome, "unknown", "{}", unacknowledged.body);
+    assert_eq!(refused.outcome, "not-run", "{}", refused.body);
+    assert!(refused.retry_after.is_some());
 }
 
-/// Symptom: a request that may be repeated fails although its target is
-/// healthy.
-/// Sequence: the only target's connection goes silent before the answer.
-/// Cause: the target counted as failed for this request, and there is no
-/// other; over a fresh connection it can run again.
+/// Guards against a repeatable request that fails although its target is healthy. The connection to
+/// the only target goes silent before the response. The target must not count as failed for this
+/// request, which can run there again over a new connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_runs_again_over_a_fresh_connection() {
+async fn a_repeatable_request_is_retried_over_a_new_connection() {
     let cluster = Cluster::start().await;
     let engine = Engine::start(slow_engine()).await;
     let linked = cluster
@@ -114,9 +110,9 @@
     .await;
 
     linked.link.set_fault(Fault::FreezeOpen);
-    let answered = call.await.expect("the call ends");
+    let response = call.await.expect("the call ends");
 
-    assert_eq!(answered.outcome, "done", "{}", answered.body);
-    let text = answered.json()["choices"][0]["text"].clone();
+    assert_eq!(response.outcome, "done", "{}", response.body);
+    let text = response.json()["choices"][0]["text"].clone();
     assert_eq!(text, Engine::response_text("again", 60));
 }
