--- a/crates/berylhook/tests/poison_own.rs
+++ b/crates/berylhook/tests/poison_agents.rs
@@ -1,4 +1,5 @@
-//! Requests under which targets end, on the product's own daemons: entries and agents.
+//! Poison requests, under which targets exit, with real entries and agents in front of stand-in
+//! engines.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,64 +11,64 @@
 use berylhook_test_support::{Engine, EngineConfig, PlainService, Signal};
 use tokio::task::JoinHandle;
 
-/// Targets that may end under one request before it is held back.
-const ENDS_ALLOWED: usize = 3;
+/// Targets that may exit under one request before the quarantine rejects it.
+const MAX_EXITS: usize = 3;
 
-/// Engines, each with an agent beside it.
+/// Number of engines, each with an agent of its own.
 const ENGINES: usize = 8;
 
-/// Time between two looks at whether an engine has begun a run.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Time between two polls for engines that have begun a run.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time from the beginning of a run to the end of an engine that ends a while after it.
-const ENDS_AFTER: Duration = Duration::from_millis(150);
+/// Time from the beginning of a run to the exit of its engine, for engines that exit with a delay.
+const EXIT_DELAY: Duration = Duration::from_millis(150);
 
-/// Time for the news of an end to reach all entries.
-const NEWS: Duration = Duration::from_millis(800);
+/// Time for the report of a target exit to reach all entries.
+const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
-/// What none of the engines survives.
+/// Prompt of the poison request.
 const POISON: &str = "what none survives";
 
 type Engines = Arc<Mutex<Vec<Option<Engine>>>>;
 
-/// Ends each engine that begins a run.
-async fn end_those_that_run(engines: Engines) {
+/// Stops each engine as soon as it has begun a run.
+async fn stop_engines_on_run(engines: Engines) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         for engine in engines.lock().expect("no holder panics").iter_mut() {
             engine.take_if(|engine| !engine.runs().is_empty());
         }
     }
 }
 
-/// The same a while after the run began.
-async fn end_a_while_after_they_run(engines: Engines) {
+/// Stops each engine [`EXIT_DELAY`] after it has begun a run.
+async fn stop_engines_after_run_start(engines: Engines) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         for engine in engines.lock().expect("no holder panics").iter_mut() {
-            let ending = engine.take_if(|engine| !engine.runs().is_empty());
-            if ending.is_some() {
+            let stopper = engine.take_if(|engine| !engine.runs().is_empty());
+            if stopper.is_some() {
                 tokio::spawn(async move {
-                    tokio::time::sleep(ENDS_AFTER).await;
-                    drop(ending);
+                    tokio::time::sleep(EXIT_DELAY).await;
+                    drop(stopper);
                 });
             }
         }
     }
 }
 
-/// Engines that end under each run, their agents, and entries before them.
+/// Engines that exit under each run, their agents, and entries.
 struct Fleet {
     cluster: Cluster,
     agents: Vec<AgentProcess>,
     entries: Vec<EntryProcess>,
     engines: Engines,
-    ending: JoinHandle<()>,
+    stopper: JoinHandle<()>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.ending.abort();
+        self.stopper.abort();
     }
 }
 
@@ -87,18 +88,18 @@
             engines.push(Some(engine));
         }
         let engines = Arc::new(Mutex::new(engines));
-        let ending = tokio::spawn(end_those_that_run(Arc::clone(&engines)));
+        let stopper = tokio::spawn(stop_engines_on_run(Arc::clone(&engines)));
         let mut fleet = Self {
             cluster,
             agents,
             entries: Vec::new(),
             engines,
-            ending,
+            stopper,
         };
         for _ in 0..entries {
             fleet.start_entry().await;
         }
-        // Links to all agents.
+        // Time for the entries to connect to all agents.
         tokio::time::sleep(Duration::from_secs(1)).await;
         fleet
     }
@@ -110,7 +111,7 @@
         self.entries.push(entry);
     }
 
-    fn ended(&self) -> usize {
+    fn exited_count(&self) -> usize {
         let engines = self.engines.lock().expect("no holder panics");
         engines.iter().filter(|engine| engine.is_none()).count()
     }
@@ -123,14 +124,14 @@
             .await
     }
 
-    /// Sends the guilty request until it is held back.
+    /// Sends the poison request until the quarantine rejects it.
     async fn put_on_hold(&self) {
-        for number in 0..ENDS_ALLOWED {
+        for number in 0..MAX_EXITS {
             self.send(number, false).await;
-            tokio::time::sleep(NEWS).await;
+            tokio::time::sleep(PROPAGATION_TIME).await;
         }
-        assert!(self.ended() > 0, "it reached none");
-        assert!(self.ended() <= ENDS_ALLOWED, "{}", self.ended());
+        assert!(self.exited_count() > 0, "the request reached no target");
+        assert!(self.exited_count() <= MAX_EXITS, "{}", self.exited_count());
     }
 
     fn outputs(&self) -> String {
@@ -139,12 +140,11 @@
     }
 }
 
-// The same cause as on the users' platform: an attempt that loses its answer is all that
-// knows what its request did. The entry sends a stream that may be repeated to one target
-// after the other by itself, and again when its caller comes again: seven of eight engines
-// ended.
+// Guards against a poison stream that the entry retries at one target after the other, and again
+// when its caller repeats it: seven of eight engines exited. Nothing but the attempt that lost its
+// response had a record of what the request had caused.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_products_own_entry_lets_a_request_end_three_targets_at_most() {
+async fn a_repeated_poison_stream_causes_at_most_three_exits() {
     let fleet = Fleet::start(1).await;
 
     for _ in 0..ENGINES {
@@ -152,13 +152,17 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.ended() > 0, "it reached none");
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}", fleet.ended());
+    assert!(fleet.exited_count() > 0, "the request reached no target");
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}",
+        fleet.exited_count()
+    );
 }
 
-// What one entry has seen the other must know, or each lets three targets end.
+// Entries must share the exits that they see; otherwise each entry lets three targets exit.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_again_at_another_entry_is_known_there() {
+async fn a_poison_request_repeated_at_another_entry_is_known_there() {
     let fleet = Fleet::start(3).await;
 
     for number in 0..2 * ENGINES {
@@ -166,65 +170,90 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
-// What an entry knows must not end with its process.
+// Quarantine state must outlive the process of the entry.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_held_outlasts_the_entries() {
+async fn holds_survive_the_loss_of_all_entries() {
     let mut fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
-    let ended = fleet.ended();
+    let exited_before = fleet.exited_count();
 
     fleet.entries.clear();
     fleet.start_entry().await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let later = fleet.send(0, false).await;
+    let response = fleet.send(0, false).await;
 
-    assert_eq!((later.status, fleet.ended()), (503, ended));
+    assert_eq!(
+        (response.status, fleet.exited_count()),
+        (503, exited_before)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_caller_is_told_that_it_did_not_run_and_when_coming_back_can_help() {
+async fn a_rejection_reports_not_run_and_when_a_retry_can_succeed() {
     let fleet = Fleet::start(1).await;
     fleet.put_on_hold().await;
 
-    let held = fleet.send(0, false).await;
-
-    assert_eq!((held.status, held.outcome.as_str()), (503, "not-run"));
-    assert_eq!(held.json()["error"]["code"], "held_back", "{}", held.body);
-    let back_s: f64 = held.retry_after.expect("a time").parse().expect("seconds");
-    assert!((200.0..=300.0).contains(&back_s), "{back_s}");
+    let rejected = fleet.send(0, false).await;
+
+    assert_eq!(
+        (rejected.status, rejected.outcome.as_str()),
+        (503, "not-run")
+    );
+    assert_eq!(
+        rejected.json()["error"]["code"],
+        "held_back",
+        "{}",
+        rejected.body
+    );
+    let retry_after_s: f64 = rejected
+        .retry_after
+        .expect("a Retry-After header")
+        .parse()
+        .expect("seconds");
+    assert!((200.0..=300.0).contains(&retry_after_s), "{retry_after_s}");
 }
 
-// Callers that leave lose no answer, so nothing that a run shows reaches them.
+// Guards against exits that are attributed to no request because its caller has disconnected and so
+// loses no response.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_ends_after_its_caller_left_is_laid_to_the_request() {
+async fn an_exit_after_the_caller_disconnected_is_attributed_to_the_request() {
     let fleet = Fleet::start(2).await;
-    fleet.ending.abort();
-    let ending = tokio::spawn(end_a_while_after_they_run(Arc::clone(&fleet.engines)));
+    fleet.stopper.abort();
+    let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
 
     for number in 0..ENGINES {
-        let sent = fleet.send(number, true);
-        let _ = tokio::time::timeout(Duration::from_millis(80), sent).await;
-        tokio::time::sleep(2 * NEWS).await;
+        let call = fleet.send(number, true);
+        let _ = tokio::time::timeout(Duration::from_millis(80), call).await;
+        tokio::time::sleep(2 * PROPAGATION_TIME).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
-// The time of a request was over before its target ended: the agent told the end of the run
-// at once, and the entry did not listen any more when it told which target had ended.
+// Guards against a target exit after the deadline of its request. The agent reported the end of the
+// run at the deadline, and the entry no longer listened when the agent reported which target had
+// exited.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_ends_after_the_deadline_is_laid_to_the_request() {
+async fn an_exit_after_the_deadline_is_attributed_to_the_request() {
     let fleet = Fleet::start(2).await;
-    fleet.ending.abort();
-    let ending = tokio::spawn(end_a_while_after_they_run(Arc::clone(&fleet.engines)));
+    fleet.stopper.abort();
+    let stopper = tokio::spawn(stop_engines_after_run_start(Arc::clone(&fleet.engines)));
 
     for number in 0..ENGINES {
         let entry = &fleet.entries[number % fleet.entries.len()];
@@ -241,18 +270,23 @@
                 &headers,
             )
             .await;
-        tokio::time::sleep(2 * NEWS).await;
+        tokio::time::sleep(2 * PROPAGATION_TIME).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(fleet.ended() > 0, "it reached none");
+    assert!(fleet.exited_count() > 0, "the request reached no target");
     let log = fleet.outputs();
-    assert!(fleet.ended() <= ENDS_ALLOWED, "{}\n{log}", fleet.ended());
+    assert!(
+        fleet.exited_count() <= MAX_EXITS,
+        "{}\n{log}",
+        fleet.exited_count()
+    );
 }
 
-// A caller that draws a new idempotency key for each repeat asks for a new run each time.
+// A new idempotency key makes each repeat a new run, but must not hide that the request is the
+// same.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_with_a_new_key_each_time_ends_three_targets_at_most() {
+async fn a_poison_request_with_a_new_key_each_time_causes_at_most_three_exits() {
     let cluster = Cluster::start().await;
     let mut services = Vec::new();
     let mut agents = Vec::new();
@@ -264,18 +298,22 @@
         services.push(Some(service));
     }
     let services = Arc::new(Mutex::new(services));
-    let ended = || {
+    let exited_count = || {
         let services = services.lock().expect("no holder panics");
         services.iter().filter(|service| service.is_none()).count()
     };
     let entry = cluster.start_entry("entry-1");
     until_ready(&entry).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let running = Arc::clone(&services);
-    let ending = tokio::spawn(async move {
+    let running_services = Arc::clone(&services);
+    let stopper = tokio::spawn(async move {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            for service in running.lock().expect("no holder panics").iter_mut() {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            for service in running_services
+                .lock()
+                .expect("no holder panics")
+                .iter_mut()
+            {
                 service.take_if(|service| !service.runs().is_empty());
             }
         }
@@ -286,21 +324,22 @@
         caller.post(entry.address, "/guide-push", POISON, &[]).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    ending.abort();
+    stopper.abort();
 
-    assert!(ended() > 0, "it reached none");
-    assert!(ended() <= ENDS_ALLOWED, "{}", ended());
+    assert!(exited_count() > 0, "the request reached no target");
+    assert!(exited_count() <= MAX_EXITS, "{}", exited_count());
 }
 
-// A VM that goes as a whole, agent and target, is laid to nobody: it may have lost power.
+// The loss of a whole VM, agent and target, is not attributed to a request: the VM may have lost
+// power.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_goes_with_its_agent_makes_no_suspects() {
+async fn the_loss_of_a_vm_with_its_agent_makes_no_suspects() {
     let mut fleet = Fleet::start(1).await;
-    fleet.ending.abort();
-    let sent = fleet.send(0, true);
+    fleet.stopper.abort();
+    let call = fleet.send(0, true);
     let engines = Arc::clone(&fleet.engines);
-    let running = async {
-        until("an engine runs it", || async {
+    let kill_agents = async {
+        until("an engine runs the request", || async {
             let engines = engines.lock().expect("no holder panics");
             engines
                 .iter()
@@ -312,9 +351,9 @@
             agent.daemon.signal(Signal::Kill);
         }
     };
-    tokio::join!(sent, running);
+    tokio::join!(call, kill_agents);
     fleet.agents.clear();
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 
     let log = fleet.outputs();
     assert!(!log.contains("a target ended with a request"), "{log}");
